--- a/doorman/src/main/java/barleyspur/admin/AdminConnection.java
+++ b/doorman/src/main/java/barleyspur/admin/AdminConnection.java
@@ -14,15 +14,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One caller of the second address: one call, one answer, then the end. A caller that has not sent a whole call
- * within {@link #CALL_MS} is answered 408 and left.
+ * Handles one connection to the administration address: one request, one response, then the close. A client that hasn't
+ * sent a complete request within {@link #CALL_MS} receives status 408.
  */
 final class AdminConnection extends SimpleChannelInboundHandler<HttpRequest> {
 
     private static final Logger LOG = LoggerFactory.getLogger("admin");
-    /** How long a caller has for a whole call: callers that hold a connection without one must not hold it long. */
+    /** How long a client has to send a complete request, because connections without one use up the limit. */
     static final double CALL_MS = 2_000;
-    /** How long the caller has to read the answer and close its side, before the connection is closed from here. */
+    /** How long the client has to read the response and close its side before the channel is closed. */
     static final double LAST_READ_MS = 1_000;
 
     private final AdminServer server;
@@ -44,7 +44,7 @@
         channel = ctx.channel();
         closing = new LingeringClose(channel, clock);
         late = clock.after(
-                CALL_MS, () -> answer(HttpAnswer.problem(408, "no whole call within " + (long) CALL_MS + " ms")));
+                CALL_MS, () -> answer(HttpAnswer.problem(408, "no complete request within " + (long) CALL_MS + " ms")));
         ctx.fireChannelActive();
     }
 
@@ -55,7 +55,7 @@
             answer = routes.answer(request);
         } catch (RuntimeException e) {
             LogEvent.log(LOG.atError().setCause(e), "call failed", "method", request.method(), "path", request.path());
-            answer = HttpAnswer.problem(500, "the call failed: " + e);
+            answer = HttpAnswer.problem(500, "the request failed: " + e);
         } finally {
             request.body().release();
         }
@@ -65,8 +65,9 @@
     }
 
     /**
-     * Writes the answer and ends the connection: first this side, so that the caller reads all of it, then the whole
-     * once the caller has closed, or after a while. A close with unread input would reset the answer away.
+     * Writes the response and shuts down the sending side; the channel closes once the client has closed its side, or
+     * after {@link #LAST_READ_MS}. An immediate close with unread input would reset the connection, and the client
+     * could lose the response.
      */
     void answer(HttpAnswer answer) {
         if (answered || channel == null) {
--- a/doorman/src/main/java/barleyspur/admin/AdminServer.java
+++ b/doorman/src/main/java/barleyspur/admin/AdminServer.java
@@ -15,17 +15,18 @@
 import java.util.Set;
 
 /**
- * The second address: HTTP/1.1, one call per connection, on the doorman's event loop, where the state that calls read
- * and change is owned. Holds at most {@link #MOST_CALLERS} connections; a newcomer beyond that closes the oldest one
- * that has not sent a whole call, so that callers who say nothing can't keep an operator out.
+ * The HTTP/1.1 server of the administration address, with one request per connection. It runs on the doorman's event
+ * loop, which owns the state that the requests read and change. At most {@link #MOST_CALLERS} connections are open; a
+ * new one beyond that replaces the oldest one without a complete request, so that silent connections can't lock out
+ * operators.
  */
 public final class AdminServer {
 
-    /** Bounds the descriptors that the second address can take. */
+    /** Limits the file descriptors that the administration address can use. */
     static final int MOST_CALLERS = 64;
-    /** A call's head: the request line and a few header fields. */
+    /** Maximum size of the request line and the header fields, of which a few are expected. */
     static final int MAX_HEAD = 8 * 1024;
-    /** A call's body: settings of later parts of the API will come in it. */
+    /** Maximum size of a body; leaves room for API calls that send settings. */
     static final int MAX_BODY = 64 * 1024;
 
     private static final int BACKLOG = 64;
@@ -33,19 +34,19 @@
     private final EventLoopGroup group;
     private final Clock clock;
     private final Routes routes;
-    /** Connections without a whole call yet, the oldest first. */
+    /** Connections without a complete request so far, the oldest first. */
     private final Set<Channel> waiting = new LinkedHashSet<>();
 
     private int open;
 
-    /** A server of these routes that does not listen yet. */
+    /** Creates a server of these routes that doesn't listen yet. */
     public AdminServer(EventLoopGroup group, Clock clock, Routes routes) {
         this.group = group;
         this.clock = clock;
         this.routes = routes;
     }
 
-    /** Starts to listen. */
+    /** Starts to listen on the address. */
     public ChannelFuture listen(InetSocketAddress address) {
         return new ServerBootstrap()
                 .group(group)
@@ -57,7 +58,7 @@
                 .bind(address);
     }
 
-    /** Makes a newly accepted channel a caller's. */
+    /** Returns the initializer for accepted channels. */
     ChannelInitializer<Channel> acceptor() {
         return new ChannelInitializer<>() {
             @Override
@@ -85,7 +86,7 @@
                 .addLast(new HttpRequestDecoder(MAX_HEAD, MAX_BODY), new AdminConnection(this, routes, clock));
     }
 
-    /** The channel has its call, or is gone: it no longer waits. */
+    /** Called when the channel's request is complete or the channel is closed. */
     void called(Channel channel) {
         waiting.remove(channel);
     }
--- a/doorman/src/main/java/barleyspur/admin/LifecycleCalls.java
+++ b/doorman/src/main/java/barleyspur/admin/LifecycleCalls.java
@@ -8,9 +8,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The operators' calls on a doorman's lifecycle: {@code GET /admin/health} says yes (200) while it takes clients and no
- * (503) otherwise; {@code PUT /admin/quiesce} sends clients away, {@code PUT /admin/resume} takes them again. Each
- * answer holds the phase, as in {@code {"ready":false,"phase":"quiesced"}}.
+ * The administration routes of a doorman's lifecycle. {@code GET /admin/health} returns 200 while the doorman accepts
+ * clients and 503 otherwise; {@code PUT /admin/quiesce} starts a drain of the clients and {@code PUT /admin/resume}
+ * ends it. Each response contains the phase, as in {@code {"ready":false,"phase":"quiesced"}}.
  */
 public final class LifecycleCalls {
 
@@ -23,14 +23,14 @@
     private final Clock clock;
     private final Runnable quiesced;
 
-    /** {@code quiesced} runs once a quiesce is new: it closes the idle connections. */
+    /** Creates the routes; {@code quiesced} runs when a quiesce has started and closes the idle client connections. */
     public LifecycleCalls(Lifecycle lifecycle, Clock clock, Runnable quiesced) {
         this.lifecycle = lifecycle;
         this.clock = clock;
         this.quiesced = quiesced;
     }
 
-    /** Adds the calls to {@code routes}. */
+    /** Adds these routes to {@code routes}. */
     public Routes.Builder addTo(Routes.Builder routes) {
         return routes.add("GET", "/admin/health", call -> state(lifecycle.ready() ? OK : UNAVAILABLE))
                 .add("PUT", "/admin/quiesce", call -> quiesce())
--- a/doorman/src/main/java/barleyspur/admin/Routes.java
+++ b/doorman/src/main/java/barleyspur/admin/Routes.java
@@ -7,16 +7,15 @@
 import java.util.TreeSet;
 
 /**
- * The administration API's calls by method and path. A path that no route has is a 404; a path that one has under
- * another method is a 405 with {@code Allow} (RFC 9110 section 15.5.6). Routes are exact paths; calls of later parts
- * (tenants, settings) come as further paths under {@code /admin/}.
+ * The routes of the administration API by method and exact path, all below {@code /admin/}. An unknown path results in
+ * a 404; a known path with another method results in a 405 with {@code Allow} (RFC 9110 section 15.5.6).
  */
 public final class Routes {
 
-    /** What answers a call; it runs on the event loop and must not wait. */
+    /** Handles the requests of a route; runs on the event loop and must not block. */
     @FunctionalInterface
     public interface Handler {
-        /** The answer to a request. */
+        /** Returns the response to a request. */
         HttpAnswer answer(HttpRequest request);
     }
 
@@ -28,33 +27,33 @@
         this.routes = List.copyOf(routes);
     }
 
-    /** Routes are put together here, then fixed. */
+    /** Collects routes for an immutable {@link Routes}. */
     public static final class Builder {
         private final List<Route> routes = new ArrayList<>();
 
-        /** Adds the handler of a method on a path. */
+        /** Adds the handler for a method and path; a second one for the same pair is rejected. */
         public Builder add(String method, String path, Handler handler) {
             for (Route r : routes) {
                 if (r.method.equals(method) && r.path.equals(path)) {
-                    throw new IllegalArgumentException("route " + method + " " + path + " is there already");
+                    throw new IllegalArgumentException("route " + method + " " + path + " is already defined");
                 }
             }
             routes.add(new Route(method, path, handler));
             return this;
         }
 
-        /** The routes that were added. */
+        /** Returns the routes that were added. */
         public Routes build() {
             return new Routes(routes);
         }
     }
 
-    /** A builder without routes. */
+    /** Returns a builder without routes. */
     public static Builder builder() {
         return new Builder();
     }
 
-    /** The answer to one call. */
+    /** Returns the response to a request. */
     public HttpAnswer answer(HttpRequest request) {
         String path = request.path();
         TreeSet<String> allowed = new TreeSet<>();
@@ -67,9 +66,9 @@
             }
         }
         if (allowed.isEmpty()) {
-            return HttpAnswer.problem(404, "no call " + path);
+            return HttpAnswer.problem(404, "no such path: " + path);
         }
-        return HttpAnswer.problem(405, path + " is called by " + String.join(", ", allowed))
+        return HttpAnswer.problem(405, path + " allows only " + String.join(", ", allowed))
                 .with("Allow", String.join(", ", allowed));
     }
 }
--- a/doorman/src/main/java/barleyspur/admin/http/HttpAnswer.java
+++ b/doorman/src/main/java/barleyspur/admin/http/HttpAnswer.java
@@ -7,8 +7,10 @@
 import java.util.Map;
 
 /**
- * An answer to one call: status, header fields beside the standard ones, and a body of text. Each one closes its
- * connection ({@code Connection: close}, RFC 9112 section 9.6): one call per connection.
+ * An HTTP/1.1 response with a text body. It closes its connection ({@code Connection: close}, RFC 9112 section 9.6),
+ * since a connection carries one request only.
+ *
+ * @param headers header fields in addition to those that every response has
  */
 public record HttpAnswer(int status, Map<String, String> headers, String contentType, String body) {
 
@@ -26,24 +28,24 @@
             Map.entry(503, "Service Unavailable"),
             Map.entry(505, "HTTP Version Not Supported"));
 
-    /** An answer whose body is one JSON object. */
+    /** Returns a response whose body is one JSON object. */
     public static HttpAnswer json(int status, String body) {
         return new HttpAnswer(status, Map.of(), "application/json", body + "\n");
     }
 
-    /** An answer that says what went wrong, as the caller's fault or ours. */
+    /** Returns an error response with the message as plain text. */
     public static HttpAnswer problem(int status, String message) {
         return new HttpAnswer(status, Map.of(), "text/plain; charset=utf-8", message + "\n");
     }
 
-    /** The same with one header field more. */
+    /** Returns a copy with an additional header field. */
     public HttpAnswer with(String name, String value) {
         Map<String, String> more = new LinkedHashMap<>(headers);
         more.put(name, value);
         return new HttpAnswer(status, Map.copyOf(more), contentType, body);
     }
 
-    /** The bytes on the wire. */
+    /** Returns the encoded response. */
     public ByteBuf encode(ByteBufAllocator alloc) {
         byte[] content = body.getBytes(StandardCharsets.UTF_8);
         StringBuilder head = new StringBuilder(128)
--- a/doorman/src/main/java/barleyspur/admin/http/HttpFault.java
+++ b/doorman/src/main/java/barleyspur/admin/http/HttpFault.java
@@ -3,8 +3,9 @@
 import io.netty.handler.codec.DecoderException;
 
 /**
- * A request that can't be taken, with the status that says why (RFC 9110 section 15.5 and 15.6): 400 for what is not
- * HTTP, 413 for too long a body, 431 for too long a head, 501 for a transfer coding, 505 for another version.
+ * Thrown for a request that can't be accepted, with the status of the response (RFC 9110 sections 15.5 and 15.6): 400
+ * for input that isn't valid HTTP, 413 for a body that is too long, 431 for a head that is too long, 501 for a transfer
+ * coding, 505 for another HTTP version.
  */
 public final class HttpFault extends DecoderException {
 
@@ -12,13 +13,13 @@
 
     private final int status;
 
-    /** A fault of the request that is answered with this status. */
+    /** Creates an exception for a response with this status. */
     public HttpFault(int status, String message) {
         super(message);
         this.status = status;
     }
 
-    /** The status of the answer that tells the caller. */
+    /** Returns the status of the response. */
     public int status() {
         return status;
     }
--- a/doorman/src/main/java/barleyspur/admin/http/HttpRequest.java
+++ b/doorman/src/main/java/barleyspur/admin/http/HttpRequest.java
@@ -4,13 +4,16 @@
 import java.util.Map;
 
 /**
- * One HTTP/1.1 request as RFC 9112 section 3 has it: the method, the request target in origin form, the header fields
- * by lower-case name (a name that comes twice holds its values joined by {@code ", "}, RFC 9110 section 5.3), and the
- * body, a slice of the buffer that it was read into. Whoever is handed one releases its body.
+ * An HTTP/1.1 request (RFC 9112 section 3). The receiver has to release the body.
+ *
+ * @param target  the request target in origin form
+ * @param headers the header fields by lower-case name; the values of a repeated field are joined by {@code ", "}
+ *                (RFC 9110 section 5.3)
+ * @param body    a slice of the input buffer
  */
 public record HttpRequest(String method, String target, Map<String, String> headers, ByteBuf body) {
 
-    /** The target without its query, as routes name it. */
+    /** Returns the target without its query. */
     public String path() {
         int query = target.indexOf('?');
         return query < 0 ? target : target.substring(0, query);
--- a/doorman/src/main/java/barleyspur/admin/http/HttpRequestDecoder.java
+++ b/doorman/src/main/java/barleyspur/admin/http/HttpRequestDecoder.java
@@ -10,11 +10,11 @@
 import java.util.Map;
 
 /**
- * Reads one HTTP/1.1 request from a stream (RFC 9112): the request line (section 3), header fields (section 5), and a
- * body of {@code Content-Length} bytes (section 6.2). One call per connection: once a request is whole, what follows is
- * thrown away. Lines may end in CRLF or in a bare LF (section 2.2). Bounded in size: a head of over
- * {@code maxHead} bytes is a 431, a body of over {@code maxBody} a 413. Faults are {@link HttpFault}s, after which
- * nothing more is read.
+ * Decodes one HTTP/1.1 request from a stream (RFC 9112): the request line (section 3), header fields (section 5), and a
+ * body of {@code Content-Length} bytes (section 6.2). A connection carries one request, so everything after a complete
+ * request is discarded. Lines may end in CRLF or in a bare LF (section 2.2). A head of more than {@code maxHead} bytes
+ * results in status 431, a body of more than {@code maxBody} bytes in 413. An invalid request throws {@link HttpFault};
+ * nothing more is decoded afterwards.
  */
 public final class HttpRequestDecoder extends ByteToMessageDecoder {
 
@@ -23,12 +23,12 @@
     private static final int HTTP_HEAD_TOO_LARGE = 431;
     private static final int HTTP_NOT_IMPLEMENTED = 501;
     private static final int HTTP_VERSION = 505;
-    /** What a token may hold beside letters and digits: RFC 9110 section 5.6.2. */
+    /** The characters that a token may contain besides letters and digits (RFC 9110 section 5.6.2). */
     private static final String TCHAR = "!#$%&'*+-.^_`|~";
 
     private final int maxHead;
     private final int maxBody;
-    /** How much of what is left is known to hold no end of the head. */
+    /** How many of the readable bytes have already been searched for the end of the head. */
     private int searched;
 
     private String method;
@@ -37,13 +37,13 @@
     private int bodyLength = -1;
     private boolean done;
 
-    /** A decoder of requests with so many bytes of head and body at most. */
+    /** Creates a decoder with the maximum sizes of head and body in bytes. */
     public HttpRequestDecoder(int maxHead, int maxBody) {
         this.maxHead = maxHead;
         this.maxBody = maxBody;
     }
 
-    /** Whether a whole request has come. */
+    /** Whether a complete request has been received, or an invalid one was rejected. */
     public boolean whole() {
         return done;
     }
@@ -64,29 +64,29 @@
         }
     }
 
-    /** Reads the head, if it is whole; true once it is. */
+    /** Parses the head and returns true if it is complete. */
     private boolean head(ByteBuf in) {
         int start = in.readerIndex();
         int end = endOfHead(in, start);
         if (end < 0) {
             if (in.readableBytes() > maxHead) {
-                throw fault(in, HTTP_HEAD_TOO_LARGE, "a head of over " + maxHead + " bytes");
+                throw fault(in, HTTP_HEAD_TOO_LARGE, "the head is longer than " + maxHead + " bytes");
             }
             return false;
         }
         if (end - start > maxHead) {
-            throw fault(in, HTTP_HEAD_TOO_LARGE, "a head of over " + maxHead + " bytes");
+            throw fault(in, HTTP_HEAD_TOO_LARGE, "the head is longer than " + maxHead + " bytes");
         }
         String text = in.toString(start, end - start, StandardCharsets.ISO_8859_1);
         in.readerIndex(end);
         String[] lines = text.split("\r?\n", -1);
-        // RFC 9112 section 2.2: empty lines before the request line are passed over.
+        // RFC 9112 section 2.2: empty lines before the request line are ignored.
         int first = 0;
         while (first < lines.length && lines[first].isEmpty()) {
             first++;
         }
         if (first == lines.length) {
-            throw fault(in, HTTP_BAD, "no request line");
+            throw fault(in, HTTP_BAD, "the request line is missing");
         }
         requestLine(in, lines[first]);
         headers = new LinkedHashMap<>();
@@ -100,8 +100,8 @@
     }
 
     /**
-     * The index just past the empty line that ends the head, or -1 while it has not come. Empty lines before the request
-     * line don't count. A line feed at the end of what has come is looked at again when more comes.
+     * Returns the index just after the empty line that ends the head, or -1 if it hasn't been received yet. Empty lines
+     * before the request line don't count. A line feed at the end of the input is examined again with the next input.
      */
     private int endOfHead(ByteBuf in, int start) {
         int last = in.writerIndex();
@@ -131,18 +131,18 @@
     private void requestLine(ByteBuf in, String line) {
         String[] parts = line.split(" ", -1);
         if (parts.length != 3 || !token(parts[0]) || parts[1].isEmpty()) {
-            throw fault(in, HTTP_BAD, "no request line: method, target and version apart by one space");
+            throw fault(in, HTTP_BAD, "the request line is not method, target and version separated by single spaces");
         }
         if (!parts[2].matches("HTTP/[0-9]\\.[0-9]")) {
-            throw fault(in, HTTP_BAD, "no HTTP version");
+            throw fault(in, HTTP_BAD, "the request line has no valid HTTP version");
         }
         if (!parts[2].startsWith("HTTP/1.")) {
-            throw fault(in, HTTP_VERSION, "version " + parts[2] + " is not spoken");
+            throw fault(in, HTTP_VERSION, "version " + parts[2] + " is not supported");
         }
         for (int i = 0; i < parts[1].length(); i++) {
             char c = parts[1].charAt(i);
             if (c <= ' ' || c >= 0x7f) {
-                throw fault(in, HTTP_BAD, "the target holds a byte that is not visible ASCII");
+                throw fault(in, HTTP_BAD, "the target contains a character that is not visible ASCII");
             }
         }
         if (parts[1].charAt(0) != '/') {
@@ -152,14 +152,14 @@
         target = parts[1];
     }
 
-    /** One header field: RFC 9112 section 5. */
+    /** Parses a header field (RFC 9112 section 5). */
     private void field(ByteBuf in, String line) {
         if (line.charAt(0) == ' ' || line.charAt(0) == '\t') {
-            throw fault(in, HTTP_BAD, "a folded header line");
+            throw fault(in, HTTP_BAD, "folded header lines are not supported");
         }
         int colon = line.indexOf(':');
         if (colon <= 0 || !token(line.substring(0, colon))) {
-            throw fault(in, HTTP_BAD, "a header line without a name and a colon");
+            throw fault(in, HTTP_BAD, "a header line does not start with a name and a colon");
         }
         String name = line.substring(0, colon).toLowerCase(Locale.ROOT);
         String value = line.substring(colon + 1).strip();
@@ -168,22 +168,22 @@
 
     private int bodyLength(ByteBuf in) {
         if (headers.containsKey("transfer-encoding")) {
-            throw fault(in, HTTP_NOT_IMPLEMENTED, "no transfer coding is spoken; send Content-Length");
+            throw fault(in, HTTP_NOT_IMPLEMENTED, "transfer codings are not supported; send Content-Length");
         }
         String length = headers.get("content-length");
         if (length == null) {
             return 0;
         }
-        // RFC 9110 section 8.6: a list of the same figure is that figure.
+        // RFC 9110 section 8.6: a list that repeats one value counts as that value.
         String[] figures = length.split("\\s*,\\s*");
         for (String f : figures) {
             if (!f.equals(figures[0]) || !f.matches("[0-9]{1,10}")) {
-                throw fault(in, HTTP_BAD, "Content-Length is not one number");
+                throw fault(in, HTTP_BAD, "Content-Length is not a single valid number");
             }
         }
         long bytes = Long.parseLong(figures[0]);
         if (bytes > maxBody) {
-            throw fault(in, HTTP_TOO_LARGE, "a body of over " + maxBody + " bytes");
+            throw fault(in, HTTP_TOO_LARGE, "the body is longer than " + maxBody + " bytes");
         }
         return (int) bytes;
     }
@@ -201,7 +201,7 @@
         return true;
     }
 
-    /** What comes after a fault is not read: else the end of the connection would bring a second complaint. */
+    /** Creates the exception and discards the input: otherwise the end of the connection would cause a second one. */
     private HttpFault fault(ByteBuf in, int status, String message) {
         done = true;
         in.skipBytes(in.readableBytes());
--- a/doorman/src/main/java/barleyspur/cli/BudgetCommand.java
+++ b/doorman/src/main/java/barleyspur/cli/BudgetCommand.java
@@ -8,10 +8,10 @@
 import org.json.JSONArray;
 import org.json.JSONObject;
 
-/** {@code budget status|why NAME}: reads what a running doorman may use of the fleet's budgets, and who holds how much. */
+/** The command {@code budget status|why NAME}, which shows a running doorman's shares of the fleet's budgets. */
 final class BudgetCommand {
 
-    private static final String NONE = "has no budgets: its settings have no block budgets";
+    private static final String NONE = "has no budgets: its settings contain no block budgets";
 
     private BudgetCommand() {}
 
@@ -19,8 +19,8 @@
         return new Command(
                 "budget",
                 "status|why NAME",
-                "Show what a running doorman may use of the fleet's budgets and, "
-                        + "where it divides them, who holds how much, until when, and what is held back and why.",
+                "Show a running doorman's shares of the fleet's budgets and, if it divides the budgets, "
+                        + "which doorman holds how much, until when, and what is withheld and why.",
                 new Options().addOption(SecondAddress.option()).addOption(Command.flag("json", "print JSON")),
                 BudgetCommand::run);
     }
@@ -30,10 +30,10 @@
         String what = words.isEmpty() ? "status" : words.get(0);
         boolean why = what.equals("why");
         if (!List.of("status", "why").contains(what) || words.size() > (why ? 2 : 1)) {
-            throw Command.Unusable.line("status or why NAME was wanted, not " + String.join(" ", words));
+            throw Command.Unusable.line("expected status or why NAME, not " + String.join(" ", words));
         }
         if (why && words.size() < 2) {
-            throw Command.Unusable.line("why wants a budget's name, as cold or cold:s-00c41f7a");
+            throw Command.Unusable.line("why needs the name of a budget, such as cold or cold:s-00c41f7a");
         }
         URI uri = SecondAddress.uri(line, "/admin/budget");
         JSONObject ledger = SecondAddress.get(uri, NONE);
@@ -44,7 +44,7 @@
         return why ? why(ledger, words.get(1), line.hasOption("json")) : status(ledger, line.hasOption("json"));
     }
 
-    /** Exit code 1 where it asks and no divider answers. */
+    /** Prints all budgets; fails if the doorman needs shares and the doorman that divides them does not respond. */
     private static int status(JSONObject ledger, boolean json) {
         boolean lost = ledger.getBoolean("lost");
         if (json) {
--- a/doorman/src/main/java/barleyspur/cli/Cli.java
+++ b/doorman/src/main/java/barleyspur/cli/Cli.java
@@ -20,25 +20,25 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The sub-commands. */
+/** Selects and runs the sub-commands. */
 final class Cli {
 
-    /** No exit code: the process goes on in its other threads. */
+    /** Returned instead of an exit code when the process continues in other threads. */
     static final int RUNNING = -1;
 
     private static final String HELP =
             """
         usage: barleyspur COMMAND [OPTIONS]
-          serve     run one doorman, as RELAY_CONFIG says, until SIGTERM; SIGHUP rereads it
-          check     read and check the configuration that RELAY_CONFIG names
+          serve     run a doorman until SIGTERM; RELAY_CONFIG names its configuration, SIGHUP reloads it
+          check     validate the configuration that RELAY_CONFIG names
           expect    check routing expectations against a configuration, without traffic
           explain   replay a counterexample that expect has written
-          fleet     show a running doorman's view of the others
-          budget    show what a running doorman may use of the fleet's budgets
-          rehearse  start and end a doorman that plays made-up requests to itself; the build records its classes
-          simhost   run the decisions on the simulator's wire, on standard input and output
+          fleet     show a running doorman's view of the fleet
+          budget    show a running doorman's shares of the fleet's budgets
+          rehearse  run a doorman on synthetic requests to itself, for the build to record the classes it loads
+          simhost   run the routing decisions over the simulator's protocol, on standard input and output
           version   print the version
-        barleyspur COMMAND --help tells the options of each.
+        Run barleyspur COMMAND --help for the options of a command.
         """;
 
     private static final Logger LOG = LoggerFactory.getLogger("cli");
@@ -57,36 +57,37 @@
                         new Command(
                                 name,
                                 "",
-                                "Run one doorman until SIGTERM.",
+                                "Run a doorman until SIGTERM.",
                                 new Options()
                                         .addOption(Command.value(
                                                 "settings",
                                                 "FILE",
-                                                "an HCL file of our own settings; none: all that it could switch on "
-                                                        + "is off")),
+                                                "an HCL file with barleyspur's own settings; without it, all features "
+                                                        + "that it can enable are off")),
                                 Cli::serve);
                     case "check" ->
                         new Command(
                                 name,
                                 "",
-                                "Read and check the configuration that RELAY_CONFIG names.",
+                                "Validate the configuration that RELAY_CONFIG names.",
                                 new Options()
                                         .addOption(Command.value(
-                                                "expect",
-                                                "FILE",
-                                                "check it against these routing expectations " + "too"))
+                                                "expect", "FILE", "also check it against these routing expectations"))
                                         .addOption(Command.value(
-                                                "settings", "FILE", "check these settings of our own too")),
+                                                "settings",
+                                                "FILE",
+                                                "also validate these settings of barleyspur's own")),
                                 Cli::check);
                     case "expect" -> ExpectCommand.expect();
                     case "explain" -> ExpectCommand.explain();
                     case "fleet" -> FleetCommand.fleet();
                     case "budget" -> BudgetCommand.budget();
-                    case "rehearse" -> Command.of(name, "Start and end a doorman on loopback.", line -> rehearse());
+                    case "rehearse" ->
+                        Command.of(name, "Start and stop a doorman on the loopback interface.", line -> rehearse());
                     case "simhost" ->
                         Command.of(
                                 name,
-                                "Run the decisions on the simulator's wire, on standard input and " + "output.",
+                                "Run the routing decisions over the simulator's protocol on standard input and output.",
                                 line -> Adapter.run(
                                         new FileInputStream(FileDescriptor.in),
                                         new FileOutputStream(FileDescriptor.out)));
@@ -94,7 +95,7 @@
                     default -> null;
                 };
         if (command == null) {
-            System.err.println("barleyspur: " + (name.isEmpty() ? "a command is missing" : "unknown command " + name));
+            System.err.println("barleyspur: " + (name.isEmpty() ? "no command given" : "unknown command " + name));
             System.err.print(HELP);
             return Command.USAGE;
         }
@@ -144,7 +145,7 @@
             }
             if (!broken.isEmpty()) {
                 broken.forEach(b -> System.err.println("barleyspur: " + b));
-                System.err.println("barleyspur: barleyspur expect " + line.getOptionValue("expect") + " tells more");
+                System.err.println("barleyspur: barleyspur expect " + line.getOptionValue("expect") + " shows details");
                 return Command.FAILED;
             }
         }
@@ -177,7 +178,7 @@
         }
     }
 
-    /** The configuration of a reload: refused where it breaks what the settings expect of it. */
+    /** Loads the configuration for a reload; rejects it if it violates the routing expectations of the settings. */
     private static Configuration reread(OwnSettings settings) throws Configuration.Invalid {
         Configuration next = Configuration.load(System.getenv());
         if (settings.expectations() != null) {
@@ -186,7 +187,7 @@
         return next;
     }
 
-    /** Our own settings of a reload: a faulty file is refused whole. */
+    /** Loads barleyspur's own settings for a reload; a file with any error is rejected as a whole. */
     private static OwnSettings rereadOwn(CommandLine line, OwnSettings before) throws Configuration.Invalid {
         if (!line.hasOption("settings")) {
             return before;
@@ -211,8 +212,8 @@
         try {
             Node node = new Node(configuration, settings);
             reloadSignal.reloadBy(() -> node.reload(() -> reread(settings), () -> rereadOwn(line, settings)));
-            // On SIGTERM the process stays until its hooks have ended, so the hook waits for the drain. Before the
-            // start, so that there is no moment with clients and without it.
+            // After SIGTERM the JVM waits for its shutdown hooks, so the hook waits for the drain. It is added before
+            // the start, so that clients are never served without it.
             Runtime.getRuntime()
                     .addShutdownHook(new Thread(
                             () -> {
@@ -227,7 +228,7 @@
             node.start();
             return RUNNING;
         } catch (RejectedExecutionException e) {
-            // SIGTERM came while it started: the hook has ended it.
+            // SIGTERM arrived during the start, and the hook has stopped the node.
             return Command.FAILED;
         } catch (ExecutionException e) {
             throw new IOException(e.getMessage(), e);
--- a/doorman/src/main/java/barleyspur/cli/Command.java
+++ b/doorman/src/main/java/barleyspur/cli/Command.java
@@ -10,19 +10,22 @@
 import org.apache.commons.cli.help.HelpFormatter;
 
 /**
- * One sub-command: its name, its arguments and options, and what it does. Each has {@code --help} of its own.
+ * A sub-command with its options and its action. Each one has its own {@code --help}.
  *
- * @param arguments how the help names what stands beside the options; empty where nothing may
+ * @param arguments the arguments besides the options, as shown in the help; empty if none are accepted
  */
 record Command(String name, String arguments, String about, Options options, Action action) {
 
-    /** Good, found wrong or failed, and a command line or input that can't be used. */
+    /** Exit code of success. */
     static final int OK = 0;
 
+    /** Exit code of a failure, or of a check with a negative result. */
     static final int FAILED = 1;
+
+    /** Exit code of an invalid command line or input. */
     static final int USAGE = 2;
 
-    /** A command line or input that can't be used. */
+    /** Thrown for an invalid command line or input. */
     static final class Unusable extends Exception {
         private static final long serialVersionUID = 1L;
         private final boolean commandLine;
@@ -32,25 +35,29 @@
             this.commandLine = commandLine;
         }
 
+        /** An error in the command line, after which the help is mentioned. */
         static Unusable line(String message) {
             return new Unusable(message, true);
         }
 
+        /** An error in a file or other input. */
         static Unusable input(String message) {
             return new Unusable(message, false);
         }
     }
 
-    /** What a command does; returns the exit code, or {@link Cli#RUNNING}. */
+    /** The implementation of a command. */
     interface Action {
+        /** Runs the command and returns the exit code, or {@link Cli#RUNNING}. */
         int run(CommandLine line) throws Unusable, IOException;
     }
 
+    /** Returns a command without arguments and options. */
     static Command of(String name, String about, Action action) {
         return new Command(name, "", about, new Options(), action);
     }
 
-    /** An option with a value. */
+    /** Returns an option with a value. */
     static Option value(String name, String value, String about) {
         return Option.builder()
                 .longOpt(name)
@@ -60,13 +67,15 @@
                 .get();
     }
 
-    /** An option without one. */
+    /** Returns an option without a value. */
     static Option flag(String name, String about) {
         return Option.builder().longOpt(name).desc(about).get();
     }
 
+    /** Parses the arguments, runs the command and returns the exit code, or {@link Cli#RUNNING}. */
     int run(List<String> arguments) throws IOException {
-        options.addOption(Option.builder("h").longOpt("help").desc("print this").get());
+        options.addOption(
+                Option.builder("h").longOpt("help").desc("print this help").get());
         try {
             CommandLine line = new DefaultParser().parse(options, arguments.toArray(String[]::new));
             if (line.hasOption("help")) {
@@ -104,7 +113,11 @@
                         false);
     }
 
-    /** A whole number from an option. */
+    /**
+     * Returns the integer value of an option.
+     *
+     * @param otherwise the value if the option is missing
+     */
     static long number(CommandLine line, String option, long otherwise, long least, long most) throws Unusable {
         String text = line.getOptionValue(option);
         if (text == null) {
@@ -116,7 +129,7 @@
                 return number;
             }
         } catch (NumberFormatException e) {
-            // Said below, with the option.
+            // Reported below, with the name of the option.
         }
         throw Unusable.line("--" + option + " is not a whole number from " + least + " to " + most + ": " + text);
     }
--- a/doorman/src/main/java/barleyspur/cli/ExpectCommand.java
+++ b/doorman/src/main/java/barleyspur/cli/ExpectCommand.java
@@ -22,12 +22,12 @@
 import org.json.JSONArray;
 import org.json.JSONObject;
 
-/** The sub-commands that check routing expectations and retell counterexamples. */
+/** The commands {@code expect}, which checks routing expectations, and {@code explain}, which replays a violation. */
 final class ExpectCommand {
 
     private static final long BUDGET_S = 10;
     private static final double PROGRESS_S = 2;
-    /** Steps of a counterexample that are printed; explain tells all. */
+    /** Number of steps of a counterexample that {@code expect} prints; {@code explain} prints all. */
     private static final int MOST_STEPS = 40;
 
     private ExpectCommand() {}
@@ -35,43 +35,41 @@
     static Command expect() {
         Options options = new Options()
                 .addOption(Command.value(
-                        "config",
-                        "FILE",
-                        "the configuration to check, as RELAY_CONFIG has it; else the "
-                                + "file that RELAY_CONFIG names"))
-                .addOption(
-                        Command.value("fleet", "FILE", "an HCL file whose fleets stand in for the configuration's own"))
-                .addOption(Command.value("seed", "N", "of all that is drawn, 1"))
-                .addOption(Command.value("budget", "SECONDS", "how long to play, " + BUDGET_S + " s"))
-                .addOption(Command.value("cases", "N", "how many scenarios to play instead, the same on any machine"))
-                .addOption(
-                        Command.value("depth", "N", "play all orders of up to so many events, as the files say or 1"))
-                .addOption(Command.value("only", "NAME", "check this expectation alone"))
-                .addOption(Command.value("json", "FILE", "write a report there"))
-                .addOption(Command.value("traces", "FOLDER", "write counterexamples there, not to the current folder"))
-                .addOption(Command.flag("strict", "an expectation that no played request met counts as refuted"))
+                        "config", "FILE", "the configuration to check; default: the file that RELAY_CONFIG names"))
+                .addOption(Command.value("fleet", "FILE", "an HCL file whose fleets replace the configuration's own"))
+                .addOption(Command.value("seed", "N", "the seed of all random choices; default: 1"))
+                .addOption(Command.value("budget", "SECONDS", "how long to run scenarios; default: " + BUDGET_S))
+                .addOption(Command.value(
+                        "cases", "N", "run this many scenarios instead, which are the same on any machine"))
+                .addOption(Command.value(
+                        "depth", "N", "run all orders of up to this many events; default: as in the files, or 1"))
+                .addOption(Command.value("only", "NAME", "check this expectation only"))
+                .addOption(Command.value("json", "FILE", "write a report to this file"))
+                .addOption(Command.value(
+                        "traces", "FOLDER", "write counterexamples to this folder; default: the current one"))
+                .addOption(Command.flag("strict", "treat an expectation that no simulated request matched as refuted"))
                 .addOption(Option.builder()
                         .longOpt("diff")
                         .numberOfArgs(2)
                         .argName("OLD NEW")
-                        .desc("tell what changes in routing between two configurations, request by request")
+                        .desc("print the differences in routing between two configurations, request by request")
                         .get());
         return new Command(
                 "expect",
                 "FILE.hcl...",
                 "Check routing expectations against the decision module, without "
-                        + "traffic. Exit code 0: all hold; 1: one is refuted; 2: the input can't be used.",
+                        + "traffic. Exit code 0: all hold; 1: one is refuted; 2: the input is invalid.",
                 options,
                 ExpectCommand::check);
     }
 
     static Command explain() {
-        Options options = new Options().addOption(Command.flag("step", "wait for the enter key after each step"));
+        Options options = new Options().addOption(Command.flag("step", "wait for the Enter key after each step"));
         return new Command(
                 "explain",
                 "TRACE",
-                "Replay a counterexample that expect has written, and tell each step. "
-                        + "Exit code 0: the expectation holds now; 1: it fails; 2: the trace can't be used.",
+                "Replay a counterexample that expect has written, and print each step. "
+                        + "Exit code 0: the expectation holds now; 1: it fails; 2: the trace is invalid.",
                 options,
                 ExpectCommand::retell);
     }
@@ -96,7 +94,7 @@
     private static int check(CommandLine line) throws Command.Unusable, IOException {
         List<String> files = new ArrayList<>(line.getArgList());
         if (files.isEmpty()) {
-            throw Command.Unusable.line("a file of expectations is missing");
+            throw Command.Unusable.line("no expectation file given");
         }
         try {
             if (line.hasOption("diff")) {
@@ -109,11 +107,10 @@
             ExpectationCheck check = ExpectationCheck.of(site, files, line.hasOption("fleet"));
             String only = line.getOptionValue("only", "");
             if (!only.isEmpty() && !check.names().contains(only)) {
-                throw Command.Unusable.line(
-                        "--only names " + only + ", which is no expectation here" + Hcl.near(only, check.names()));
+                throw Command.Unusable.line("--only: no expectation is named " + only + Hcl.near(only, check.names()));
             }
             if (check.names().isEmpty()) {
-                throw Command.Unusable.input(files.get(0) + ":1: holds no block expectation");
+                throw Command.Unusable.input(files.get(0) + ":1: contains no block expectation");
             }
             return check(line, check, only);
         } catch (Configuration.Invalid | Hcl.Invalid e) {
@@ -135,8 +132,8 @@
         }
         for (Checker.Conflict c : result.conflicts()) {
             System.out.printf(
-                    "warning: \"%s\" (%s) and \"%s\" (%s) contradict each other or one is always broken: "
-                            + "of %d moments that both speak of, none met both%n",
+                    "warning: \"%s\" (%s) and \"%s\" (%s) contradict each other or one is always violated: "
+                            + "of %d situations to which both apply, none satisfied both%n",
                     c.one().name(), c.one().place(), c.other().name(), c.other().place(), c.moments());
         }
         result.covered().forEach(c -> System.out.println("covered: " + c));
@@ -181,7 +178,7 @@
 
             @Override
             public void shrinking(String expectation) {
-                System.err.println("making the counterexample of \"" + expectation + "\" small");
+                System.err.println("minimizing the counterexample of \"" + expectation + "\"");
             }
         };
     }
@@ -199,7 +196,7 @@
         Checker.Counterexample c = f.counterexample();
         if (f.verdict() == Checker.Verdict.VACUOUS) {
             System.out.println(
-                    "  nothing that was played met it: is it about a class, state or event that does not occur?");
+                    "  no simulated request matched it: does it name a class, state or event that does not occur?");
         }
         if (f.expectation().form() instanceof Expectation.Figures figures) {
             figures.broken()
@@ -290,7 +287,7 @@
 
     private static int retell(CommandLine line) throws Command.Unusable, IOException {
         if (line.getArgList().size() != 1) {
-            throw Command.Unusable.line("one trace is wanted");
+            throw Command.Unusable.line("expected exactly one trace file");
         }
         String file = line.getArgList().get(0);
         Traces.Trace trace;
--- a/doorman/src/main/java/barleyspur/cli/FleetCommand.java
+++ b/doorman/src/main/java/barleyspur/cli/FleetCommand.java
@@ -9,10 +9,10 @@
 import org.apache.commons.cli.Options;
 import org.json.JSONObject;
 
-/** {@code fleet status|watch|why NAME}: reads a running doorman's view at its second address, and changes nothing. */
+/** The command {@code fleet status|watch|why NAME}, which shows a running doorman's view of the fleet. */
 final class FleetCommand {
 
-    private static final String NONE = "has no fleet: its settings have no block fleet";
+    private static final String NONE = "has no fleet: its settings contain no block fleet";
     private static final long WATCH_EVERY_MS = 500;
 
     private FleetCommand() {}
@@ -21,12 +21,12 @@
         return new Command(
                 "fleet",
                 "status|watch|why NAME",
-                "Show a running doorman's view of the others: all of it, "
-                        + "what changes, or what is known of one and why.",
+                "Show a running doorman's view of the fleet: all members, "
+                        + "changes as they happen, or the state of one member and its reason.",
                 new Options()
                         .addOption(SecondAddress.option())
                         .addOption(Command.flag("json", "print JSON"))
-                        .addOption(Command.value("seconds", "N", "watch for so long; else until it is ended")),
+                        .addOption(Command.value("seconds", "N", "how long to watch; default: until interrupted")),
                 FleetCommand::run);
     }
 
@@ -35,10 +35,10 @@
         String what = words.isEmpty() ? "status" : words.get(0);
         boolean why = what.equals("why");
         if (!List.of("status", "watch", "why").contains(what) || words.size() > (why ? 2 : 1)) {
-            throw Command.Unusable.line("status, watch or why NAME was wanted, not " + String.join(" ", words));
+            throw Command.Unusable.line("expected status, watch or why NAME, not " + String.join(" ", words));
         }
         if (why && words.size() < 2) {
-            throw Command.Unusable.line("why wants a member's name");
+            throw Command.Unusable.line("why needs the name of a member");
         }
         URI uri = SecondAddress.uri(line, "/admin/fleet");
         return switch (what) {
@@ -52,7 +52,7 @@
         };
     }
 
-    /** Exit code 1 where the view is in doubt, or the name given up. */
+    /** Prints the view; fails if it is in doubt or the doorman has given up its name to a newer process. */
     private static int status(JSONObject view, boolean json) {
         if (json) {
             System.out.println(view.toString(2));
@@ -101,8 +101,7 @@
                 return Command.OK;
             }
         }
-        System.err.println(
-                "barleyspur: " + view.getString("self") + " has never heard of " + name + ", or has forgotten it");
+        System.err.println("barleyspur: " + view.getString("self") + " does not know a member " + name);
         return Command.FAILED;
     }
 
--- a/doorman/src/main/java/barleyspur/cli/ReloadSignal.java
+++ b/doorman/src/main/java/barleyspur/cli/ReloadSignal.java
@@ -1,24 +1,24 @@
 package barleyspur.cli;
 
 /**
- * The operators' signal to read the configuration anew. It is handled from the first moment of a start on, since unhandled it
- * ends the JVM; one that comes before there is a node is kept, and carried out once there is.
+ * Handles SIGHUP, which reloads the configuration. The handler has to be installed first of all, because an unhandled
+ * SIGHUP ends the JVM; a signal that arrives before the node exists is kept and runs once a task is set.
  */
 final class ReloadSignal {
 
     private static final String NAME = "HUP";
 
-    /** What a signal does; null while there is nothing to reload yet. */
+    /** The task that a signal runs; null until there is a node to reload. */
     private Runnable reload;
 
     private boolean pending;
 
-    /** Handles the signal from now on; false where who started this process has it ignored, so that it never comes. */
+    /** Installs the handler; returns false if the parent process has set the signal to be ignored. */
     boolean install() {
         return Signals.on(NAME, this::raise);
     }
 
-    /** The signal has come. */
+    /** Called when the signal arrives. */
     synchronized void raise() {
         if (reload == null) {
             pending = true;
@@ -27,7 +27,7 @@
         }
     }
 
-    /** From now on each signal runs this, at once where one has come before. */
+    /** Sets the task that each signal runs, and runs it now if a signal has already arrived. */
     synchronized void reloadBy(Runnable task) {
         reload = task;
         if (pending) {
--- a/doorman/src/main/java/barleyspur/cli/SecondAddress.java
+++ b/doorman/src/main/java/barleyspur/cli/SecondAddress.java
@@ -12,20 +12,22 @@
 import org.json.JSONException;
 import org.json.JSONObject;
 
-/** Reads a running doorman's second address for commands that show something of it; changes nothing. */
+/** Reads from the administration address of a running doorman, for commands that show its state. */
 final class SecondAddress {
 
     private static final Duration PATIENCE = Duration.ofSeconds(3);
 
     private SecondAddress() {}
 
+    /** Returns the option that names the administration address. */
     static Option option() {
         return Command.value(
                 "admin",
                 "ADDRESS",
-                "the doorman's second address, as 127.0.0.1:9101; else the variable " + "RELAY_MGMT");
+                "the doorman's administration address, such as 127.0.0.1:9101; default: the variable RELAY_MGMT");
     }
 
+    /** Returns the URI of a path at the address that the option or the variable RELAY_MGMT names. */
     static URI uri(CommandLine line, String path) throws Command.Unusable {
         String address = line.getOptionValue("admin", System.getenv().getOrDefault("RELAY_MGMT", ""));
         try {
@@ -37,7 +39,11 @@
         return URI.create("http://" + address + path);
     }
 
-    /** @param missing what it means that there is no such call */
+    /**
+     * Returns the JSON object at {@code uri}.
+     *
+     * @param missing the error message for status 404, to follow the doorman's address
+     */
     static JSONObject get(URI uri, String missing) throws IOException {
         try {
             HttpResponse<String> answer = HttpClient.newBuilder()
@@ -48,7 +54,7 @@
                 throw new IOException("the doorman at " + uri.getAuthority() + " " + missing);
             }
             if (answer.statusCode() != 200) {
-                throw new IOException(uri + " answers " + answer.statusCode() + ": "
+                throw new IOException(uri + " returned status " + answer.statusCode() + ": "
                         + answer.body().strip());
             }
             return new JSONObject(answer.body());
@@ -56,11 +62,11 @@
             Thread.currentThread().interrupt();
             throw new IOException("interrupted", e);
         } catch (JSONException e) {
-            throw new IOException(uri + " answers no JSON: " + e.getMessage(), e);
+            throw new IOException(uri + " did not return JSON: " + e.getMessage(), e);
         } catch (IOException e) {
             throw e.getMessage() != null && e.getMessage().contains(uri.getAuthority())
                     ? e
-                    : new IOException("no answer from " + uri.getAuthority() + ": " + e, e);
+                    : new IOException("no response from " + uri.getAuthority() + ": " + e, e);
         }
     }
 }
--- a/doorman/src/main/java/barleyspur/cli/Signals.java
+++ b/doorman/src/main/java/barleyspur/cli/Signals.java
@@ -3,16 +3,16 @@
 import java.lang.reflect.Proxy;
 
 /**
- * Handles a signal of the operating system. The JDK has no public interface for that; its {@code sun.misc} one is
- * supported, but the compiler warns of each use, and warnings are errors here.
+ * Handles operating system signals. The JDK has no public API for that; {@code sun.misc.Signal} is supported, but the
+ * compiler warns about each direct use, and warnings are errors in this build, so it is called by reflection.
  */
 final class Signals {
 
     private Signals() {}
 
     /**
-     * Runs {@code task}, on a thread of the JVM's, each time the signal comes; false where it never will, since whoever
-     * started this process has it ignored, which the JVM leaves so.
+     * Runs {@code task} on a JVM thread each time the signal arrives. Returns false if the parent process has set the
+     * signal to be ignored: the JVM keeps that, so the signal never arrives.
      */
     static boolean on(String name, Runnable task) {
         try {
--- a/doorman/src/main/java/barleyspur/front/thrift/ConnectionRegistry.java
+++ b/doorman/src/main/java/barleyspur/front/thrift/ConnectionRegistry.java
@@ -7,38 +7,39 @@
 import java.util.Set;
 
 /**
- * Who makes room when the clients' connections are all in use: first those that have never asked for anything, the
- * oldest first, then those that asked once and have nothing open, the longest idle first, and last those of which a
- * request is on its way in, the one that began first. Guards newcomers against crowds that connect and say nothing, and
- * against clients that keep a connection which they use no more. Those that are closing are counted apart: they keep a
- * place of their own for the moment in which their client reads the last answer.
+ * Tracks the client connections that have no pending request and chooses which one to evict when the connection limit
+ * is reached. The order is: connections that have never sent a request, oldest first; then idle connections, longest
+ * idle first; then connections on which part of a request has been received, the one that started first. This keeps
+ * the server reachable when many clients connect without sending anything or hold connections that they no longer use.
+ * Connections that are closing are counted separately, because they stay open only until the client has read the last
+ * response.
  */
 final class ConnectionRegistry<C> {
 
-    /** A client that has only just connected may be about to ask: until then it goes last. */
+    /** A connection younger than this is evicted only after the idle ones: its first request may be under way. */
     static final double NEW_MS = 250;
 
-    /** Closing, the longest first. */
+    /** Connections that are closing, in the order in which they began to. */
     private final Set<C> leaving = new LinkedHashSet<>();
-    /** Never asked, by when they came. */
+    /** Connections without any request so far, with the time of their accept. */
     private final Map<C, Double> strangers = new LinkedHashMap<>();
-    /** Nothing open, by when that began. */
+    /** Connections that have been used and have no pending request, with the time since when. */
     private final Map<C, Double> idle = new LinkedHashMap<>();
-    /** Nothing open, but part of a request has come; the longest under way first. */
+    /** Connections without a pending request on which part of a frame has been received, the earliest first. */
     private final Set<C> arriving = new LinkedHashSet<>();
 
-    /** A connection that has not asked yet. */
+    /** Registers a connection that has not sent a request yet. */
     void came(C connection, double now) {
         left(connection);
         strangers.put(connection, now);
     }
 
-    /** It has something open now, and must stay. */
+    /** Records that the connection has a pending request, so that it can't be evicted. */
     void busy(C connection) {
         left(connection);
     }
 
-    /** Nothing is open on it, but part of a request has come: it would be lost with the connection. */
+    /** Records that part of a request has been received; evicting the connection would lose that request. */
     void arriving(C connection) {
         if (!arriving.contains(connection)) {
             left(connection);
@@ -46,13 +47,13 @@
         }
     }
 
-    /** Nothing is open on it any more. */
+    /** Records that the connection has no pending request any more. */
     void idle(C connection, double now) {
         left(connection);
         idle.put(connection, now);
     }
 
-    /** It is being closed. */
+    /** Records that the connection is being closed. */
     void leaving(C connection) {
         if (!leaving.contains(connection)) {
             left(connection);
@@ -60,6 +61,7 @@
         }
     }
 
+    /** Removes the connection. */
     void left(C connection) {
         strangers.remove(connection);
         idle.remove(connection);
@@ -67,17 +69,17 @@
         leaving.remove(connection);
     }
 
-    /** How many are being closed. */
+    /** Returns the number of connections that are being closed. */
     int leaving() {
         return leaving.size();
     }
 
-    /** The one that has been closing for longest; null: none is. */
+    /** Returns the connection that has been closing for the longest time, or null if none is. */
     C closingLongest() {
         return leaving.isEmpty() ? null : leaving.iterator().next();
     }
 
-    /** The one that has to go for a newcomer, which is closing from here on; null: all are in use. */
+    /** Chooses the connection to evict and marks it as closing; returns null if all connections are in use. */
     C evictIdle(double now) {
         boolean known =
                 !strangers.isEmpty() && now - strangers.values().iterator().next() >= NEW_MS;
--- a/doorman/src/main/java/barleyspur/front/thrift/FrontConnection.java
+++ b/doorman/src/main/java/barleyspur/front/thrift/FrontConnection.java
@@ -26,48 +26,49 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One client connection: its open requests by sequence number.
+ * Handles one client connection and keeps its pending requests by sequence number.
  *
- * <p>It is always read, also while its client does not read: a client that has closed or cancelled is gone, and nothing
- * may be begun for it any more. What is read is taken only once the turn of the event loop has read all that there was,
- * so that an end or a cancel that came with a request is seen before it. Who asks for more than may be open without
- * reading the answers is let go.
+ * <p>The socket is read even while the client doesn't read its responses, because a close or a cancel must be noticed
+ * at once: no attempt may start for a client that is gone. Requests are processed only after the event loop has read
+ * all available input, so that a close or cancel that arrived together with a request is handled before it. A client
+ * that keeps sending requests without reading the responses is disconnected.
  *
- * <p>It ends by one way, {@link LingeringClose}, but for a client that is gone or does not read: those are closed outright.
+ * <p>The server closes a connection through {@link LingeringClose}, unless the client is gone or doesn't read; then
+ * the channel is closed immediately.
  */
 final class FrontConnection extends SimpleChannelInboundHandler<ByteBuf>
         implements ResponseWriter.Listener, PartialRequestWatch.Listener {
 
-    /** Why a connection ends. */
+    /** Reasons for which a connection ends. */
     private enum EndCause {
-        /** Its client closed it, or one side of it. */
+        /** The client closed it, or shut down its sending side. */
         CLIENT_CLOSED,
-        /** It was reset, or failed otherwise. */
+        /** It was reset, or another I/O error occurred. */
         BROKEN,
-        /** Nothing was open on it, and the process wants idle ones gone. */
+        /** It had no pending request, and the lifecycle requires idle connections to be closed. */
         IDLE,
-        /** Nothing was open on it, and a newcomer needed its place. */
+        /** It had no pending request and was closed in favour of a new connection. */
         EVICTED,
-        /** What came on it can't be used. */
+        /** Its input was invalid or incomplete, or the client did not read its responses. */
         REJECTED,
-        /** Its client does not read. */
+        /** The client reads nothing, so that no data has been written for too long. */
         STUCK,
-        /** An answer could not be written. */
+        /** A response could not be written. */
         ANSWER_LOST
     }
 
     private static final Logger LOG = LoggerFactory.getLogger("front");
     private static final String DISPATCH = "dispatch";
-    /** How long a client has to read what was last written, and to close its side, before its connection is closed. */
+    /** How long the client has to read the last responses and close its side before the channel is closed. */
     static final double LINGER_MS = 500;
-    /** Answers that a client leaves unread, in times of what may be open, after which it is let go. */
+    /** Unwritten responses, as a multiple of the limit on pending requests, at which the client is disconnected. */
     private static final int MOST_UNREAD = 2;
-    /** How long a client that is sent away for a drain or an upgrade is told to stay away: its connection closes. */
+    /** Retry delay sent with requests that are refused during a drain or hand-off; the connection then closes. */
     static final long AWAY_MS = 50;
-    /** Requests that can't be used, after which a connection with nothing open is closed. */
+    /** Number of invalid calls after which a connection without pending requests is closed. */
     private static final int MOST_BAD = 8;
 
-    /** What all connections of one front have in common. */
+    /** The state that all connections of one server share. */
     record Shared(
             Doorman doorman,
             Clock clock,
@@ -78,7 +79,7 @@
             CappedLog log,
             Lifecycle lifecycle) {}
 
-    /** A request that has been read, and when it may have come to this machine. */
+    /** A request that has been read, and the earliest time at which it may have reached this machine. */
     private record Arrival(ThriftCall.Dispatch call, double atMs) {}
 
     private final Shared front;
@@ -86,7 +87,7 @@
     private final CappedLog log;
     private final ThriftFrameDecoder decoder;
     private final Map<Integer, PendingResponse> open = new HashMap<>();
-    /** Requests read in this turn of the loop, in their order; each holds its body. */
+    /** Requests read in this iteration of the event loop, in order; each holds a reference to its body. */
     private final ArrayDeque<Arrival> arrived = new ArrayDeque<>();
 
     private Channel channel;
@@ -141,7 +142,7 @@
         }
     }
 
-    /** No answer is owed to what is cancelled, whether it was taken or has only just come. */
+    /** Drops a request without a response, whether it is already pending or has only been read so far. */
     private void cancel(int seqid) {
         for (Iterator<Arrival> it = arrived.iterator(); it.hasNext(); ) {
             ThriftCall.Dispatch call = it.next().call();
@@ -158,7 +159,7 @@
         }
     }
 
-    /** What was read is taken behind all that this turn of the loop reads: by then an end of the connection shows. */
+    /** Processes the requests after everything else that this iteration reads: by then a close has been noticed. */
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
         channel.eventLoop().execute(this::takeArrived);
@@ -182,13 +183,13 @@
             closing.discarded(decoder.discarded());
         } else if (responses.unwritten() >= MOST_UNREAD * front.mostOpen()) {
             log.warn("connection closed: it asks for more and reads no answers", "client", channel.remoteAddress());
-            reject(Thrift.PROTOCOL_ERROR, "answers are not read");
+            reject(Thrift.PROTOCOL_ERROR, "responses are not read");
         } else {
             watchArriving();
         }
     }
 
-    /** Who is in the midst of a request goes last when room is to be made, and is watched. */
+    /** Updates the read time-out and the eviction order after input that may have ended within a request. */
     private void watchArriving() {
         boolean wasArriving = partial.arriving();
         partial.look(channel.isActive(), useful);
@@ -214,14 +215,14 @@
                     channel.remoteAddress(),
                     "ms",
                     PartialRequestWatch.SILENCE_MS);
-            reject(Thrift.PROTOCOL_ERROR, "no request came");
+            reject(Thrift.PROTOCOL_ERROR, "no request received in time");
         }
     }
 
     @Override
     public void requestStoppedShort() {
         log.warn("connection closed: half a request", "client", channel.remoteAddress());
-        reject(Thrift.PROTOCOL_ERROR, "half a request came");
+        reject(Thrift.PROTOCOL_ERROR, "incomplete request");
     }
 
     private void used() {
@@ -240,7 +241,7 @@
         }
     }
 
-    /** Behind all that this turn of the loop reads, and behind the answer that made it idle. */
+    /** Checks after all input of this iteration, and after the response that made the connection idle. */
     private void closeSoonIfQuiet() {
         if (front.lifecycle().closeWhenIdle()) {
             channel.eventLoop().execute(this::closeIfQuiet);
@@ -248,9 +249,9 @@
     }
 
     /**
-     * Closes the connection where the lifecycle wants idle ones gone and nothing is open, unwritten or half read on it. One
-     * that never asked is left to the watch on half-sent requests, for it may be about to request, until nothing more is to
-     * come at all.
+     * Closes the connection if the lifecycle requires idle connections to be closed and this one has no pending
+     * request, no unwritten response and no partly received frame. A connection that has never been used is left to the
+     * read time-out, because its first request may be under way, until the lifecycle expects no further requests.
      */
     void closeIfQuiet() {
         boolean quiet = open.isEmpty() && arrived.isEmpty() && responses.unwritten() == 0 && !decoder.midFrame();
@@ -261,7 +262,7 @@
         }
     }
 
-    /** Begins to close; what still comes is thrown away. */
+    /** Starts to close the connection; further input is discarded. */
     private void close(EndCause cause) {
         if (!closing.begun() && channel.isActive()) {
             endCause = cause;
@@ -272,7 +273,7 @@
         }
     }
 
-    /** Answers what can't be used. Who sends nothing else is let go: guards the loop against endless repeats. */
+    /** Responds to an invalid call. Closes the connection after several, so that endless ones can't load the loop. */
     private void bad(String method, int seqid, int kind, String message) {
         responses.exception(method, seqid, kind, message);
         if (++bad >= MOST_BAD && open.isEmpty()) {
@@ -281,8 +282,9 @@
     }
 
     /**
-     * Fails what is open, says why, and closes once the client has had time to read that: a close with unread input
-     * resets the connection, which destroys what the client has not read yet.
+     * Fails all pending requests, sends an application exception and starts to close. The close lingers so that the
+     * client can read the responses: closing a socket with unread input resets the connection, which discards data that
+     * the client hasn't read yet.
      */
     private void reject(int kind, String message) {
         if (closing.begun()) {
@@ -317,7 +319,7 @@
         }
         useful = true;
         if (!front.lifecycle().takes(front.clock().nowMs(), request.remainingMs())) {
-            // Its connection is to be closed, which needs a moment with nothing open: the client asks again elsewhere.
+            // The connection can be closed only when no request is pending; the client retries at another doorman.
             responses.refused(call.seqid(), request.id(), Map.of("w", Long.toString(AWAY_MS)));
             idleIfDone();
         } else if (hasTooManyOpen()) {
@@ -328,18 +330,21 @@
         }
     }
 
-    /** The request that a call brings; throws where it can't be used. */
+    /** Returns the request of a call; throws IllegalArgumentException if its fields are invalid. */
     private Request read(ThriftCall.Dispatch call) {
         Request request =
                 RequestFields.read(call.fields(), call.body(), front.classes().get());
         if (doorman.hasTaken(request.id())) {
-            // Two requests under one id would be taken for one another at a depot.
+            // A depot can't tell two requests with the same id apart.
             throw new IllegalArgumentException("field i is the id of an earlier request");
         }
         return request;
     }
 
-    /** What is not yet out is open to its client: who keeps to the limit is never refused by this. */
+    /**
+     * Whether the client has reached the limit on pending requests. Responses that aren't written yet count, because to
+     * the client their requests are still pending; a client that respects the limit is never refused here.
+     */
     private boolean hasTooManyOpen() {
         boolean unreadFull = front.unread().full();
         if (open.size() + responses.unwritten() < front.mostOpen() && !unreadFull) {
@@ -364,7 +369,7 @@
         });
         open.put(seqid, response);
         front.registry().busy(this);
-        // The body outlives the frame that it is a slice of: until the request is over.
+        // The body is a slice of the frame and is needed until the request ends, longer than the frame itself.
         call.body().retain();
         response.taken(doorman.take(request, arrivedMs, response));
     }
@@ -385,29 +390,33 @@
     @Override
     public void lost(Throwable cause) {
         log.warn(
-                "connection closed: an answer could not be written", "client", channel.remoteAddress(), "cause", cause);
+                "connection closed: a response could not be written",
+                "client",
+                channel.remoteAddress(),
+                "cause",
+                cause);
         endNow(EndCause.ANSWER_LOST);
     }
 
-    /** Closes outright: nothing that is owed could still reach the client. */
+    /** Closes the channel immediately: no response could reach the client any more. */
     private void endNow(EndCause cause) {
         endCause = cause;
         channel.close();
     }
 
-    /** Closes the connection for a newcomer's, unless what has just been read is a request on it. */
+    /** Closes the connection in favour of a new one, unless a request has just been read on it. */
     void evict() {
         channel.eventLoop().execute(() -> {
             if (open.isEmpty() && arrived.isEmpty()) {
                 close(EndCause.EVICTED);
             } else if (open.isEmpty()) {
-                // It stays, and may have to go another time where what has come can't be used.
+                // The request may prove to be invalid, so the connection has to stay a candidate for eviction.
                 front.registry().idle(this, front.clock().nowMs());
             }
         });
     }
 
-    /** Ends what is closing, without lingering any further: its descriptor is needed. */
+    /** Closes the channel if it is lingering, because its file descriptor is needed. */
     void endClosing() {
         channel.eventLoop().execute(() -> {
             if (closing.begun()) {
@@ -416,7 +425,10 @@
         });
     }
 
-    /** A client to which nothing goes out any more is left at last; it is read meanwhile, to learn when it is gone. */
+    /**
+     * Starts or stops the time-out for a client that doesn't read. Reading from the client goes on meanwhile, to notice
+     * a close.
+     */
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
         responses.writabilityChanged(!channel.isWritable() && channel.isActive() && !closing.begun());
@@ -439,7 +451,7 @@
 
     private void malformed(Exception cause) {
         log.warn("connection closed", "client", channel.remoteAddress(), "cause", cause.getMessage());
-        reject(Thrift.PROTOCOL_ERROR, "not the strict binary protocol");
+        reject(Thrift.PROTOCOL_ERROR, "not a valid call in the strict binary protocol");
     }
 
     @Override
--- a/doorman/src/main/java/barleyspur/front/thrift/PartialRequestWatch.java
+++ b/doorman/src/main/java/barleyspur/front/thrift/PartialRequestWatch.java
@@ -5,20 +5,20 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Watches one client connection for what never becomes whole: a first request that does not come, or a request of which
- * only a part has come. One that goes on coming may take as long as any request may.
+ * Times out a client connection whose first request doesn't arrive, or on which a request has been received only in
+ * part. A request that continues to arrive may take as long as the longest deadline of any request class.
  */
 final class PartialRequestWatch {
 
-    /** How long a client may say nothing before its first request, or within one that it began. */
+    /** How long a client may send nothing before its first request, or in the middle of a request. */
     static final int SILENCE_MS = 2_000;
 
-    /** What to do about a client that says nothing more. */
+    /** Receives the time-outs. */
     interface Listener {
-        /** No request has come on a new connection. */
+        /** Called when a new connection has sent no request in time. */
         void noRequestCame();
 
-        /** A request has begun and does not go on, and nothing is open on its connection. */
+        /** Called when the rest of a request hasn't arrived in time and no request is pending on the connection. */
         void requestStoppedShort();
     }
 
@@ -30,9 +30,9 @@
 
     private Clock.Timer timer;
     private boolean arriving;
-    /** When the request began of which only a part has come. */
+    /** When the first bytes of the incomplete request were noticed. */
     private double arrivingSinceMs;
-    /** How many whole frames had come before it. */
+    /** How many complete frames had been received before it. */
     private long framesBefore;
 
     PartialRequestWatch(
@@ -48,17 +48,21 @@
         this.listener = listener;
     }
 
-    /** A client that has not asked for anything yet is to begin by and by. */
+    /** Starts the time-out for the first request. */
     void awaitFirst() {
         timer = clock.after(SILENCE_MS, listener::noRequestCame);
     }
 
-    /** Whether part of a request had come when this last looked. */
+    /** Whether part of a request had been received at the last update. */
     boolean arriving() {
         return arriving;
     }
 
-    /** Looks at what has come; {@code asked}: the client has sent something of use before. */
+    /**
+     * Restarts or cancels the time-out after input has been read.
+     *
+     * @param asked whether the client has sent a valid call before
+     */
     void look(boolean connected, boolean asked) {
         boolean midFrame = connected && decoder.midFrame();
         if (asked || midFrame) {
@@ -87,7 +91,7 @@
         });
     }
 
-    /** Watches no more. */
+    /** Cancels the time-out. */
     void stop() {
         timer.cancel();
     }
--- a/doorman/src/main/java/barleyspur/front/thrift/PendingResponse.java
+++ b/doorman/src/main/java/barleyspur/front/thrift/PendingResponse.java
@@ -7,13 +7,13 @@
 import io.netty.buffer.Unpooled;
 import java.util.Map;
 
-/** One open request of a client connection: writes its final answer, once the connection has let it go. */
+/** The pending response of one request: writes it after removing the request from its connection's pending ones. */
 final class PendingResponse implements ResponseHandler {
 
     private final int seqid;
     private final String requestId;
     private final ResponseWriter responses;
-    /** Takes it from the open requests of its connection. */
+    /** Removes this response from the pending ones of its connection. */
     private final Runnable letGo;
 
     private Doorman.Cancellable request;
@@ -25,18 +25,18 @@
         this.letGo = letGo;
     }
 
-    /** The core has taken the request. */
+    /** Sets the handle by which the accepted request can be cancelled. */
     void taken(Doorman.Cancellable taken) {
         request = taken;
     }
 
-    /** The client has left, or is made to: the core owes no answer any more. */
+    /** Cancels the request, because the client has disconnected, is being disconnected, or has cancelled it. */
     void cancel(String why) {
         RequestTrace.left(requestId, why);
         request.cancel();
     }
 
-    /** Writes that the request has failed, without the core. */
+    /** Writes a failure without waiting for the doorman's own result. */
     void writeFailed() {
         responses.failed(seqid, requestId);
     }
--- a/doorman/src/main/java/barleyspur/front/thrift/RequestFields.java
+++ b/doorman/src/main/java/barleyspur/front/thrift/RequestFields.java
@@ -6,20 +6,20 @@
 import java.util.Map;
 import java.util.regex.Pattern;
 
-/** Reads a request's fields; what a client must not send is named in the exception's message. */
+/** Parses and validates the fields of a request; the exception message names the field that is invalid. */
 final class RequestFields {
 
     private static final int HEX = 16;
-    /** Only these digits: the number parsers also take signs and other scripts' digits, which depots may not. */
+    /** ASCII digits only: Java's number parsers also accept signs and other scripts' digits, depots might not. */
     private static final Pattern ID = Pattern.compile("[0-9a-fA-F]{16}");
 
     private static final Pattern WHOLE = Pattern.compile("[0-9]{1,9}");
-    /** Goes on into a depot's list of fields, so it must not be able to end its field and begin another. */
+    /** Values that are copied into a depot's field list; they must not contain its separators. */
     private static final Pattern BARE = Pattern.compile("[!-~&&[^,=\"]]{1,256}");
 
     private static final int MOST_PART = 1 << 20;
     private static final int MOST_GROUP = 255;
-    /** Far above any object's: one figure out of all measure would spoil what is learned from sizes. */
+    /** Far above the size of any object: a single extreme value would distort the statistics on sizes. */
     private static final double MOST_KB = 1 << 20;
 
     private final Map<String, String> fields;
@@ -28,7 +28,7 @@
         this.fields = fields;
     }
 
-    /** The request; its body is still the frame's. */
+    /** Returns the request; its body still belongs to the frame. */
     static Request read(Map<String, String> fields, ByteBuf body, RequestClassRegistry classes) {
         return new RequestFields(fields).request(body, classes);
     }
@@ -60,11 +60,12 @@
                 body);
     }
 
-    /** A word that may be missing; null then. */
+    /** Returns the value of an optional field, or null if it is missing. */
     private String bare(String name) {
         String value = fields.get(name);
         if (value != null && !BARE.matcher(value).matches()) {
-            throw new IllegalArgumentException("field " + name + " is not a bare word");
+            throw new IllegalArgumentException(
+                    "field " + name + " is not 1 to 256 visible ASCII characters without , = or quote");
         }
         return value;
     }
@@ -87,7 +88,7 @@
     private int whole(String name, int most) {
         String value = word(name);
         if (!WHOLE.matcher(value).matches() || Integer.parseInt(value) > most) {
-            throw new IllegalArgumentException("field " + name + " is not a whole number up to " + most);
+            throw new IllegalArgumentException("field " + name + " is not an integer from 0 to " + most);
         }
         return Integer.parseInt(value);
     }
@@ -99,8 +100,8 @@
                 return number;
             }
         } catch (NumberFormatException e) {
-            // Said below.
+            // Reported below.
         }
-        throw new IllegalArgumentException("field " + name + " is not a size");
+        throw new IllegalArgumentException("field " + name + " is not a valid size in kB");
     }
 }
--- a/doorman/src/main/java/barleyspur/front/thrift/ResponseWriter.java
+++ b/doorman/src/main/java/barleyspur/front/thrift/ResponseWriter.java
@@ -10,24 +10,24 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Writes the messages of one client connection, each whole or not at all, and counts those that are not out yet. A
- * client to which nothing goes out for as long as any waits for an answer is reported to the {@link Listener}: what is
- * still unread then was for nobody.
+ * Writes the messages of one client connection, each completely or not at all, and counts those that haven't been
+ * written to the socket yet. If no data can be written for as long as any client waits for a response, the
+ * {@link Listener} is notified: by then every response that is still unwritten has missed its deadline.
  */
 final class ResponseWriter {
 
     private static final String DISPATCH = "dispatch";
     private static final String ALIVE = "alive";
 
-    /** The connection whose messages are written. */
+    /** Receives the results of writing; implemented by the connection. */
     interface Listener {
-        /** The last message that waited is out. */
+        /** Called when the last unwritten message has been written. */
         void allWritten();
 
-        /** Nothing has gone out for too long. */
+        /** Called when nothing could be written for too long. */
         void stuck();
 
-        /** An answer could not be written, so its client has none: the connection can't go on. */
+        /** Called when a write has failed: the client misses a response, so the connection can't be kept. */
         void lost(Throwable cause);
     }
 
@@ -38,12 +38,12 @@
     private final DoubleSupplier longestWaitMs;
     private final Listener listener;
     private Clock.Timer stuckTimer;
-    /** Since when nothing that was written has gone out, where something waits. */
+    /** When the last message was written to the socket, or when the socket stopped being writable. */
     private double stuckSince;
-    /** Messages written and not yet out. */
+    /** Number of messages that are queued and not yet written to the socket. */
     private int unwritten;
 
-    /** {@code longestWaitMs}: how long a client waits for an answer at most. */
+    /** Creates a writer; {@code longestWaitMs} supplies the longest time that any client waits for a response. */
     ResponseWriter(
             Channel channel,
             Clock clock,
@@ -59,46 +59,46 @@
         this.listener = listener;
     }
 
-    /** How many messages are written and not yet out. */
+    /** Returns the number of messages that are queued and not yet written to the socket. */
     int unwritten() {
         return unwritten;
     }
 
-    /** Answers a request with {@code body}, which is released once it is out. */
+    /** Writes a successful response with {@code body}, which is released once it has been written. */
     void served(int seqid, String requestId, ByteBuf body, Map<String, String> fields) {
         int bodyBytes = body.readableBytes();
         ByteBuf message;
         try {
             message = answer(DISPATCH, seqid, body, fields, true);
         } catch (RuntimeException e) {
-            log.warn("an answer could not be written", "client", channel.remoteAddress(), "cause", e);
+            log.warn("a response could not be encoded", "client", channel.remoteAddress(), "cause", e);
             failed(seqid, requestId);
             return;
         }
         write(message, bodyBytes, requestId, "served");
     }
 
-    /** Refuses a request. */
+    /** Writes a refusal with fields for the client, such as a retry delay. */
     void refused(int seqid, String requestId, Map<String, String> advice) {
         write(Thrift.busy(channel.alloc(), DISPATCH, seqid, advice), 0, requestId, "refused");
     }
 
-    /** Fails a request. */
+    /** Writes that a request has failed. */
     void failed(int seqid, String requestId) {
         write(Thrift.failed(channel.alloc(), DISPATCH, seqid), 0, requestId, "failed");
     }
 
-    /** Says whether this process takes work. */
+    /** Responds to {@code alive} with whether this process accepts requests. */
     void alive(int seqid, boolean ready) {
         write(answer(ALIVE, seqid, Unpooled.EMPTY_BUFFER, Map.of(), ready), 0, "", ALIVE);
     }
 
-    /** Answers a call with an application exception. */
+    /** Writes an application exception in response to a call. */
     void exception(String method, int seqid, int kind, String message) {
         write(Thrift.exception(channel.alloc(), method, seqid, kind, message), 0, "", "exception");
     }
 
-    /** The body is not copied. One message, so that no part of it can fail while the others go out. */
+    /** Encodes a response without copying its body, as a single message: parts could fail to be written separately. */
     private ByteBuf answer(String method, int seqid, ByteBuf body, Map<String, String> fields, boolean good) {
         ByteBuf tail = Thrift.answerTail(channel.alloc(), fields, good);
         ByteBuf head = Thrift.answerHead(channel.alloc(), method, seqid, body.readableBytes(), tail.readableBytes());
@@ -126,7 +126,7 @@
         }
     }
 
-    /** The socket takes no more for now, or takes more again: a client to which nothing goes out is watched. */
+    /** Starts the stall time-out if {@code watch}, else stops it; called when the socket's writability changes. */
     void writabilityChanged(boolean watch) {
         stop();
         if (watch) {
@@ -146,7 +146,7 @@
         });
     }
 
-    /** Watches no longer. */
+    /** Stops the stall time-out. */
     void stop() {
         if (stuckTimer != null) {
             stuckTimer.cancel();
--- a/doorman/src/main/java/barleyspur/front/thrift/Thrift.java
+++ b/doorman/src/main/java/barleyspur/front/thrift/Thrift.java
@@ -5,7 +5,7 @@
 import io.netty.buffer.ByteBufUtil;
 import java.util.Map;
 
-/** The strict binary protocol's numbers, and the messages that a doorman sends in it. */
+/** Constants of Thrift's strict binary protocol, and the encoding of the messages that a doorman sends. */
 final class Thrift {
 
     static final int VERSION = 0x80010000;
@@ -27,7 +27,7 @@
     static final byte SET = 14;
     static final byte LIST = 15;
 
-    /** Kinds of application exception. */
+    /** Types of application exception. */
     static final int UNKNOWN_METHOD = 1;
 
     static final int PROTOCOL_ERROR = 7;
@@ -39,7 +39,10 @@
 
     private Thrift() {}
 
-    /** An {@code Answer} up to its body, whose {@code bodyBytes} bytes and {@link #answerTail} follow. */
+    /**
+     * Encodes the start of an {@code Answer} struct up to its body. The {@code bodyBytes} bytes of the body and then
+     * {@link #answerTail} have to follow.
+     */
     static ByteBuf answerHead(ByteBufAllocator alloc, String method, int seqid, int bodyBytes, int tailBytes) {
         ByteBuf out = open(alloc, REPLY, method, seqid);
         field(out, STRUCT, SUCCESS);
@@ -48,7 +51,7 @@
         return close(out, bodyBytes + tailBytes);
     }
 
-    /** What follows the body of an {@code Answer}. */
+    /** Encodes what follows the body of an {@code Answer}. */
     static ByteBuf answerTail(ByteBufAllocator alloc, Map<String, String> fields, boolean good) {
         ByteBuf out = alloc.buffer(SMALL);
         fields(out, 2, fields);
@@ -57,12 +60,12 @@
         return out.writeByte(STOP).writeByte(STOP);
     }
 
-    /** {@code Busy}. */
+    /** Encodes the declared exception {@code Busy}. */
     static ByteBuf busy(ByteBufAllocator alloc, String method, int seqid, Map<String, String> fields) {
         return thrown(alloc, method, seqid, REFUSED, fields);
     }
 
-    /** {@code Failed}. */
+    /** Encodes the declared exception {@code Failed}. */
     static ByteBuf failed(ByteBufAllocator alloc, String method, int seqid) {
         return thrown(alloc, method, seqid, FAILED, Map.of());
     }
@@ -76,7 +79,7 @@
         return close(out, 0);
     }
 
-    /** An application exception. */
+    /** Encodes an application exception. */
     static ByteBuf exception(ByteBufAllocator alloc, String method, int seqid, int kind, String message) {
         ByteBuf out = open(alloc, EXCEPTION, method, seqid);
         field(out, STRING, 1);
@@ -93,7 +96,7 @@
         return out.writeInt(seqid);
     }
 
-    /** Sets the frame's length, of which {@code more} bytes are still to follow. */
+    /** Sets the frame's length, including {@code more} bytes that are sent after this buffer. */
     private static ByteBuf close(ByteBuf out, int more) {
         return out.setInt(out.readerIndex(), out.readableBytes() - Integer.BYTES + more);
     }
--- a/doorman/src/main/java/barleyspur/front/thrift/ThriftCall.java
+++ b/doorman/src/main/java/barleyspur/front/thrift/ThriftCall.java
@@ -5,21 +5,25 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** One call of the service, in the strict binary protocol. */
+/** A call of the service, decoded from the strict binary protocol. */
 sealed interface ThriftCall {
 
+    /** The sequence number by which the client matches the response. */
     int seqid();
 
-    /** {@code body} is a slice of the frame, which the reader does not retain. */
+    /** A request. {@code body} is a slice of the frame, which the parser doesn't retain. */
     record Dispatch(int seqid, Map<String, String> fields, ByteBuf body) implements ThriftCall {}
 
+    /** Cancels the request whose sequence number is {@code cancelled}. */
     record CancelRequest(int seqid, int cancelled) implements ThriftCall {}
 
+    /** Asks whether this process accepts requests. */
     record Alive(int seqid) implements ThriftCall {}
 
+    /** A call of a method that the service doesn't have. */
     record Unknown(int seqid, String method) implements ThriftCall {}
 
-    /** A frame that is no call in the strict binary protocol. */
+    /** Thrown for a frame that isn't a valid call in the strict binary protocol. */
     final class Malformed extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -28,16 +32,16 @@
         }
     }
 
-    /** Reads the call that fills {@code frame}. */
+    /** Parses the call in {@code frame}, which holds nothing else. */
     static ThriftCall read(ByteBuf frame) throws Malformed {
         try {
             return new Reader(frame).call();
         } catch (IndexOutOfBoundsException e) {
-            throw new Malformed("the frame is cut short");
+            throw new Malformed("the frame ends before the call does");
         }
     }
 
-    /** The cursor over one frame. */
+    /** Reads the call from one frame. */
     final class Reader {
         private static final int MOST_DEPTH = 8;
         private static final int MOST_ENTRIES = 256;
@@ -52,11 +56,11 @@
         ThriftCall call() throws Malformed {
             int head = in.readInt();
             if ((head & 0xFFFF0000) != Thrift.VERSION) {
-                throw new Malformed("no strict binary protocol");
+                throw new Malformed("no version of the strict binary protocol");
             }
             int type = head & 0xFF;
             if (type != Thrift.CALL && type != Thrift.ONEWAY) {
-                throw new Malformed("message type " + type);
+                throw new Malformed("message type " + type + " is not a call");
             }
             String method = text(MOST_NAME);
             int seqid = in.readInt();
@@ -105,10 +109,10 @@
             int valueType = in.readByte();
             int size = in.readInt();
             if (size < 0 || size > MOST_ENTRIES) {
-                throw new Malformed("a map of " + size + " entries");
+                throw new Malformed("invalid map size " + size);
             }
             if (size > 0 && (keyType != Thrift.STRING || valueType != Thrift.STRING)) {
-                throw new Malformed("fields that are no strings");
+                throw new Malformed("the map of fields has keys or values that are not strings");
             }
             Map<String, String> fields = new HashMap<>();
             for (int i = 0; i < size; i++) {
@@ -128,7 +132,7 @@
         private int length(int most) throws Malformed {
             int length = in.readInt();
             if (length < 0 || length > most || length > in.readableBytes()) {
-                throw new Malformed("a string of " + length + " bytes");
+                throw new Malformed("invalid string length " + length);
             }
             return length;
         }
@@ -140,10 +144,10 @@
             }
         }
 
-        /** Passes over a field that this version does not know. */
+        /** Skips the value of a field that this version doesn't know. */
         private void skip(int type, int depth) throws Malformed {
             if (depth > MOST_DEPTH) {
-                throw new Malformed("nested too deep");
+                throw new Malformed("structs or collections are nested too deeply");
             }
             switch (type) {
                 case Thrift.BOOL, Thrift.BYTE -> in.skipBytes(1);
@@ -166,14 +170,14 @@
                         skip(itemType, depth + 1);
                     }
                 }
-                default -> throw new Malformed("field type " + type);
+                default -> throw new Malformed("unknown field type " + type);
             }
         }
 
         private int entries() throws Malformed {
             int size = in.readInt();
             if (size < 0 || size > in.readableBytes()) {
-                throw new Malformed("a collection of " + size + " entries");
+                throw new Malformed("invalid collection size " + size);
             }
             return size;
         }
--- a/doorman/src/main/java/barleyspur/front/thrift/ThriftFrameDecoder.java
+++ b/doorman/src/main/java/barleyspur/front/thrift/ThriftFrameDecoder.java
@@ -6,7 +6,7 @@
 import io.netty.handler.codec.CorruptedFrameException;
 import java.util.List;
 
-/** Cuts a stream into Thrift frames, each a slice of what was read. */
+/** Splits a stream into Thrift frames, each a slice of the input buffer. */
 final class ThriftFrameDecoder extends ByteToMessageDecoder {
 
     private static final int LENGTH_BYTES = 4;
@@ -32,9 +32,9 @@
         }
         int length = in.getInt(in.readerIndex());
         if (length <= 0 || length > maxFrame) {
-            // Else what is left would be read, and complained of, once more when the connection ends.
+            // Otherwise the decoder would run on the rest again, and fail again, when the connection ends.
             in.skipBytes(in.readableBytes());
-            throw new CorruptedFrameException("a frame of " + (length & 0xFFFFFFFFL) + " bytes");
+            throw new CorruptedFrameException("invalid frame length " + (length & 0xFFFFFFFFL));
         }
         if (in.readableBytes() >= LENGTH_BYTES + length) {
             in.skipBytes(LENGTH_BYTES);
@@ -43,22 +43,22 @@
         }
     }
 
-    /** From here on all that comes is thrown away. */
+    /** Discards all input from now on. */
     void discard() {
         discarding = true;
     }
 
-    /** How many bytes were thrown away. */
+    /** Returns the number of bytes that were discarded. */
     long discarded() {
         return discarded;
     }
 
-    /** How many whole frames have come. */
+    /** Returns the number of complete frames that were received. */
     long frames() {
         return frames;
     }
 
-    /** Whether a frame has begun that is not whole. */
+    /** Whether part of a frame has been received. */
     boolean midFrame() {
         return actualReadableBytes() > 0;
     }
--- a/doorman/src/main/java/barleyspur/front/thrift/ThriftFront.java
+++ b/doorman/src/main/java/barleyspur/front/thrift/ThriftFront.java
@@ -22,22 +22,26 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The clients' server: framed Thrift over TCP. */
+/** The server for clients: framed Thrift over TCP. */
 public final class ThriftFront {
 
     private static final Logger LOG = LoggerFactory.getLogger("front");
-    /** A write carries up to 48,000 bytes, and its fields need far less than what is left. */
+    /** A write request has a body of up to 48,000 bytes; its fields need far less than the rest. */
     private static final int MAX_FRAME = 128 * 1024;
 
     private static final int MOST_OPEN = 32;
-    /** Connections that the system holds until they are accepted: as many as the largest limit on descriptors. */
+    /** Length of the kernel's accept queue: as many as the largest limit on file descriptors. */
     private static final int BACKLOG = 1_024;
     /**
-     * A connection is read until there is no more, but so often at most before others have their turn: an end of the
-     * connection is seen with the last request before it.
+     * Reads from one connection per iteration of the event loop. A connection is read until its socket is empty, so
+     * that a close is noticed together with the last request before it; the limit keeps other connections from
+     * starving.
      */
     private static final int MOST_READS = 16;
-    /** Beside those in use one in so many may be closing ones, which linger until their client has read the last answer. */
+    /**
+     * Divides the connection limit to give the number of closing connections that are allowed in addition; they linger
+     * until their client has read the last response.
+     */
     private static final int LINGERING = 16;
 
     private final EventLoopGroup group;
@@ -52,8 +56,11 @@
     private Channel listener;
 
     /**
-     * {@code mostUnread} bytes of answers may wait in memory for clients to read them; {@code onFull} is told when they leave more
-     * than that unread, so that no more can be taken in, and when that is over.
+     * Creates a server that doesn't listen yet.
+     *
+     * @param mostUnread how many bytes of response bodies may be queued for clients that read slowly
+     * @param onFull     called with true when more are queued, so that depots must not be read, and with false when
+     *                   that has ended
      */
     public ThriftFront(
             EventLoopGroup group,
@@ -84,8 +91,8 @@
     }
 
     /**
-     * Starts to listen. Where the port is shared, with SO_REUSEPORT, an upgrade's new process can listen beside the old
-     * one, and the kernel spreads new connections over both.
+     * Starts to listen. If the port is shared (SO_REUSEPORT), the new process of an upgrade can listen at the same time
+     * as the old one, and the kernel distributes new connections over both.
      */
     public ChannelFuture listen(InetSocketAddress address) {
         ServerBootstrap bootstrap = new ServerBootstrap();
@@ -103,7 +110,7 @@
                         new AdaptiveRecvByteBufAllocator()
                                 .respectMaybeMoreData(false)
                                 .maxMessagesPerRead(MOST_READS))
-                // Finds out clients that have vanished without a word.
+                // Detects clients that have disappeared without closing the connection.
                 .childOption(ChannelOption.SO_KEEPALIVE, true)
                 .childHandler(acceptor())
                 .bind(address);
@@ -111,7 +118,7 @@
         return bound;
     }
 
-    /** Makes a newly accepted channel one of a client's. */
+    /** Returns the initializer for accepted client channels. */
     public ChannelInitializer<Channel> acceptor() {
         return new ChannelInitializer<>() {
             @Override
@@ -123,7 +130,7 @@
 
     private void accept(Channel channel) {
         if (connections.size() - registry.leaving() >= mostConnections) {
-            // Guards the limit on descriptors: without it a crowd of clients would cut off the depots.
+            // Too many clients would use up the file descriptors that connections to depots need.
             FrontConnection leaves = registry.evictIdle(clock.nowMs());
             if (leaves == null) {
                 log.warn(
@@ -151,12 +158,12 @@
         channel.pipeline().addLast(decoder, new FrontConnection(shared, decoder));
     }
 
-    /** Requests name these classes from now on. */
+    /** Replaces the request classes for all requests from now on. */
     public void retune(RequestClassRegistry next) {
         classes = next;
     }
 
-    /** Closes every connection that has nothing open, as the lifecycle wants it now, once this turn of the loop has been read. */
+    /** Closes the idle connections as the lifecycle requires, after the current iteration of the event loop. */
     public void closeIdle() {
         group.next().execute(() -> {
             for (Channel c : connections) {
@@ -169,16 +176,16 @@
     }
 
     /**
-     * Stops listening: a successor has the address. Connections that are open stay. Done when the future is, but for
-     * the kernel's socket, which is given back when the loop next selects.
+     * Stops listening, because a successor process has taken over the address; open connections are kept. After the
+     * future completes, the kernel releases the socket only when the event loop selects the next time.
      */
     public ChannelFuture stopListening() {
         return listener.close();
     }
 
     /**
-     * Stops listening and ends every connection as it falls quiet, all of them after {@code mostMs}; then runs
-     * {@code then}. The lifecycle wants idle ones gone from before this call on.
+     * Stops listening and closes each connection when it becomes idle, all of them after {@code mostMs}; then runs
+     * {@code then}. Before this call the lifecycle has to be in a state in which idle connections are closed.
      */
     public void close(double mostMs, Runnable then) {
         if (listener != null) {
--- a/doorman/src/main/java/barleyspur/front/thrift/UnreadAnswers.java
+++ b/doorman/src/main/java/barleyspur/front/thrift/UnreadAnswers.java
@@ -6,9 +6,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Counts the bytes of answers that wait in memory for clients to read them, and says when to stop and when to go on
- * taking in more. Guards the direct memory: once that is used up, reads from depots fail, and depots get the blame for
- * clients that are slow.
+ * Counts the bytes of response bodies that are queued for clients, and signals when reading from depots has to stop and
+ * may resume. Without this limit slow clients could use up the direct memory; reads from depots would then fail, and
+ * the failures would be attributed to the depots.
  */
 final class UnreadAnswers {
 
@@ -24,7 +24,7 @@
         this.onFull = onFull;
     }
 
-    /** Adds an answer's bytes, or takes them off once they are written or given up. */
+    /** Adds the bytes of a response, or subtracts them once they are written or dropped. */
     void add(long change) {
         bytes += change;
         if (!full && bytes > most) {
@@ -38,6 +38,7 @@
         }
     }
 
+    /** Whether reading from depots is stopped: above the limit, and then until half of it is reached. */
     boolean full() {
         return full;
     }
--- a/doorman/src/test/java/barleyspur/admin/AdminServerTest.java
+++ b/doorman/src/test/java/barleyspur/admin/AdminServerTest.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The second address on virtual time: calls, callers that say nothing, and the lifecycle behind. */
+/** The administration server in virtual time: routes, silent connections and the lifecycle. */
 class AdminServerTest implements Clock {
 
     private record Task(double at, Runnable run) {}
@@ -70,11 +70,11 @@
                 method + " " + path + " HTTP/1.1\r\nHost: x\r\n\r\n", StandardCharsets.ISO_8859_1));
         String answer = read(caller);
         pass(AdminConnection.LAST_READ_MS);
-        assertFalse(caller.isOpen(), "one call per connection");
+        assertFalse(caller.isOpen(), "one request per connection");
         return answer;
     }
 
-    /** Guards the drain as the front sees it: health says no from the quiesce until the resume. */
+    /** Health returns 503 from a quiesce until the resume, so that load balancers send no clients. */
     @Test
     void quiesceAndResumeTurnHealth() {
         assertTrue(call("GET", "/admin/health").startsWith("HTTP/1.1 503"), "not yet serving");
@@ -85,11 +85,11 @@
         assertEquals(1, quiesced, "idle connections were closed");
         assertTrue(call("GET", "/admin/health").startsWith("HTTP/1.1 503"));
         call("PUT", "/admin/quiesce");
-        assertEquals(1, quiesced, "a second quiesce is nothing new");
+        assertEquals(1, quiesced, "a second quiesce has no effect");
         assertTrue(call("PUT", "/admin/resume").startsWith("HTTP/1.1 200"));
         assertTrue(call("GET", "/admin/health").startsWith("HTTP/1.1 200"));
         lifecycle.leave(now, false, 3_700);
-        assertTrue(call("PUT", "/admin/resume").startsWith("HTTP/1.1 409"), "a leaving process is not taken back");
+        assertTrue(call("PUT", "/admin/resume").startsWith("HTTP/1.1 409"), "no resume while shutting down");
     }
 
     @Test
@@ -100,8 +100,8 @@
     }
 
     /**
-     * Guards the page's term on callers that hold a connection for 4 s without a whole call: health is answered at once
-     * beside a full house of them, which makes room, and each of them is answered 408 after 2 s.
+     * Connections that stay without a complete request for 4 s must not block the server: even if they use up the
+     * limit, health is answered at once, because one of them is evicted, and the others receive status 408 after 2 s.
      */
     @Test
     void callersWhoSayNothingNeitherBlockNorStay() {
@@ -114,7 +114,7 @@
         }
         assertTrue(call("GET", "/admin/health").startsWith("HTTP/1.1 200"));
         silent.forEach(EmbeddedChannel::runPendingTasks);
-        assertFalse(silent.get(0).isOpen(), "the oldest silent caller made room");
+        assertFalse(silent.get(0).isOpen(), "the oldest silent connection was evicted");
         assertTrue(silent.get(1).isOpen());
         pass(AdminConnection.CALL_MS);
         assertTrue(read(silent.get(1)).startsWith("HTTP/1.1 408"));
@@ -122,7 +122,7 @@
         assertFalse(silent.get(1).isOpen());
     }
 
-    /** Guards the answer: a call that is not HTTP is told why, with the status of its fault. */
+    /** An invalid request receives a response with the status of its error. */
     @Test
     void aFaultIsAnsweredWithItsStatus() {
         EmbeddedChannel caller = connect();
--- a/doorman/src/test/java/barleyspur/admin/http/HttpPropertiesTest.java
+++ b/doorman/src/test/java/barleyspur/admin/http/HttpPropertiesTest.java
@@ -22,7 +22,7 @@
 import net.jqwik.api.constraints.Size;
 import net.jqwik.api.constraints.StringLength;
 
-/** The second address's request decoder against calls in pieces, garbage and what RFC 9112 turns down. */
+/** Property tests of the HTTP request decoder with split input, random input and input that RFC 9112 rejects. */
 class HttpPropertiesTest {
 
     private static final int MAX_HEAD = 1_024;
@@ -46,7 +46,7 @@
         return all;
     }
 
-    /** Guards reads that a network cuts anywhere: one whole call comes out, with its body a slice, and no more. */
+    /** Input that is split anywhere results in exactly one complete request. */
     @Property(seed = "41")
     void callsSurviveAnyCuts(
             @ForAll @AlphaChars @StringLength(min = 1, max = 8) String method,
@@ -65,7 +65,7 @@
         System.arraycopy(bytes, 0, twice, 0, bytes.length);
         System.arraycopy(more, 0, twice, bytes.length, more.length);
         List<Object> read = Cuts.feed(decoder(), twice, cuts);
-        assertEquals(1, read.size(), "one call per connection: what follows is thrown away");
+        assertEquals(1, read.size(), "one request per connection: the rest is discarded");
         HttpRequest request = (HttpRequest) read.get(0);
         assertEquals(method, request.method());
         assertEquals("/" + path, request.path());
@@ -77,7 +77,7 @@
         request.body().release();
     }
 
-    /** Guards the loop against garbage: it is a call, a fault with a status, or not yet anything. */
+    /** Random input results in a request, an exception with a status, or nothing yet, and in no other exception. */
     @Property(seed = "42")
     void garbageIsACallAFaultOrNothing(
             @ForAll @Size(max = 400) byte[] garbage, @ForAll boolean headed, @ForAll long cuts) {
@@ -92,7 +92,7 @@
         }
     }
 
-    /** Guards the bound on memory: a head that never ends is cut off at its bound, in any cuts. */
+    /** A head without an end is rejected at the size limit, however the input is split. */
     @Property(seed = "43")
     void aHeadWithoutEndIsCutOff(@ForAll long cuts, @ForAll @IntRange(min = 0, max = 2) int kind) {
         String filler =
--- a/doorman/src/test/java/barleyspur/arch/LayersTest.java
+++ b/doorman/src/test/java/barleyspur/arch/LayersTest.java
@@ -8,14 +8,17 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
 
-/** The layers that docs and README name: what decides has no I/O, the core knows no protocol, nobody knows the top. */
+/**
+ * Checks the dependencies between the layers that the documentation defines: decision code has no I/O, the core doesn't
+ * depend on protocols, and nothing depends on the commands.
+ */
 class LayersTest {
 
     private static final JavaClasses ALL = new ClassFileImporter()
             .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
             .importPackages("barleyspur");
 
-    /** Guards: decisions and the checker have no I/O, clock or random source of the system's. */
+    /** Decision code and the checker use no I/O and neither the system clock nor a system random source. */
     @Test
     void whatDecidesIsPure() {
         noClasses()
@@ -50,7 +53,7 @@
                 .check(ALL);
     }
 
-    /** Guards: the decision module stands alone. */
+    /** The decision module depends only on the JDK. */
     @Test
     void decisionsKnowNobody() {
         classes()
@@ -62,7 +65,7 @@
                 .check(ALL);
     }
 
-    /** Guards: the core knows neither fronts nor depots' protocol, so that a second front goes through the same. */
+    /** The core depends on no client or depot protocol, so that a second client protocol can use the same core. */
     @Test
     void theCoreKnowsNoProtocol() {
         noClasses()
@@ -81,7 +84,7 @@
                 .check(ALL);
     }
 
-    /** Guards: the checker knows neither configuration files nor commands. */
+    /** The checker depends neither on configuration files nor on commands. */
     @Test
     void theCheckerKnowsNoFiles() {
         noClasses()
@@ -93,7 +96,7 @@
                 .check(ALL);
     }
 
-    /** Guards: what serves has none of the checker: it is reached from the commands and from a gate that is set. */
+    /** Serving code doesn't depend on the checker, which only commands and an enabled expectation check use. */
     @Test
     void serveIsFreeOfTheChecker() {
         noClasses()
@@ -120,7 +123,7 @@
                 .check(ALL);
     }
 
-    /** Guards: nobody depends on the commands. */
+    /** No other package depends on the commands. */
     @Test
     void commandsAreTheTop() {
         noClasses()
@@ -132,7 +135,7 @@
                 .check(ALL);
     }
 
-    /** Guards: who is there is decided apart from how it is carried, and decisions of routing know neither. */
+    /** Membership decisions are independent of their transport, and routing decisions depend on neither. */
     @Test
     void theFleetViewKnowsNobody() {
         noClasses()
@@ -154,7 +157,7 @@
                 .check(ALL);
     }
 
-    /** Guards: what is divided is decided apart from the view, from how it is carried and from routing. */
+    /** The division of budgets is independent of the fleet view, of its transport and of routing. */
     @Test
     void theDivisionKnowsNobody() {
         noClasses()
--- a/doorman/src/test/java/barleyspur/cli/ExpectCommandTest.java
+++ b/doorman/src/test/java/barleyspur/cli/ExpectCommandTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The commands as an operator meets them: the examples' verdicts, messages and exit codes. */
+/** Runs the commands on the example files and checks verdicts, messages and exit codes. */
 class ExpectCommandTest {
 
     private static final String EXAMPLES = "../examples/expectations/";
@@ -53,7 +53,7 @@
                 EXAMPLES + file);
     }
 
-    /** Guards: the example that a new user starts from holds. */
+    /** The example configuration satisfies its expectations. */
     @Test
     void theStationKeepsToItsExpectations() {
         Ended e = expect("station.json", "station.hcl");
@@ -61,7 +61,7 @@
         assertTrue(e.out().contains("covered: 54 orders of up to 1 of 88 events"), e.out());
     }
 
-    /** Guards: each configuration that is wrong on purpose is caught, with what is wrong about it. */
+    /** Each deliberately wrong configuration is refuted, and the message names the violation. */
     @ParameterizedTest(name = "{0}")
     @CsvSource(
             delimiter = '|',
@@ -80,7 +80,7 @@
         assertTrue(e.out().contains(said), e.out());
     }
 
-    /** Guards: a wrong expectation is refuted too, and its trace tells the same each time it is replayed. */
+    /** A wrong expectation is refuted, and each replay of its trace prints the same. */
     @Test
     void aCounterexampleIsReplayed() throws IOException {
         Ended e = expect("station.json", "wrong-expectation.hcl");
@@ -91,13 +91,13 @@
         assertEquals(1, once.code(), once.out() + once.err());
         assertTrue(once.out().contains("NOT as expected by \"nothing ever from the head office\""), once.out());
         assertEquals(once, run("explain", trace));
-        // A module that holds to it now says so: the same trace with the expectation mended.
+        // The same trace with a corrected expectation passes.
         String mended = Files.readString(Path.of(trace)).replace("never { source", "must { source");
         Files.writeString(folder.resolve("mended.json"), mended);
         assertEquals(0, run("explain", folder.resolve("mended.json").toString()).code());
     }
 
-    /** Guards: input that can't be used ends with 2 and names file, line and key. */
+    /** Invalid input results in exit code 2 and a message that names file, line and key. */
     @ParameterizedTest(name = "{0}")
     @CsvSource(
             delimiter = '|',
@@ -114,7 +114,7 @@
         assertTrue(e.err().contains(said), e.err());
     }
 
-    /** Guards: files include others by paths of their own, share what those define, and name what is missing. */
+    /** Included files are found relative to the including file, share their definitions, and are named if missing. */
     @Test
     void filesIncludeOthers() throws IOException {
         Files.createDirectories(folder.resolve("shared"));
@@ -136,7 +136,7 @@
         assertTrue(missing.err().contains("main.hcl:1: file " + folder.resolve("shared/nmaes.hcl")), missing.err());
     }
 
-    /** Guards: a trace that is none is turned down. */
+    /** A file that isn't a trace is rejected. */
     @Test
     void aTraceThatIsNone() {
         Ended e = run("explain", EXAMPLES + "station.json");
@@ -144,7 +144,7 @@
         assertTrue(e.err().contains("key barleyspur_trace is not 1"), e.err());
     }
 
-    /** Guards: the same configuration routes the same, and another one's differences are told by request. */
+    /** Comparing a configuration with itself shows no difference; others are printed request by request. */
     @Test
     void theDifferenceOfTwoConfigurations() {
         String station = EXAMPLES + "station.json";
@@ -161,7 +161,7 @@
                 EXAMPLES + "station.hcl");
         assertEquals(1, some.code(), some.out() + some.err());
         assertTrue(some.out().contains("(swap-record"), some.out());
-        // A box less is a difference too, and only where that box had a part.
+        // A missing box makes a difference only for the requests that used it.
         Ended fewer = run(
                 "expect",
                 "--cases",
@@ -174,7 +174,7 @@
         assertTrue(fewer.out().contains("source=d-0000"), fewer.out());
     }
 
-    /** Guards: wrong options end with 2 and say where help is; each command has help of its own. */
+    /** Invalid options result in exit code 2 and a pointer to the help, which each command has. */
     @Test
     void optionsAndHelp() {
         assertEquals(2, run("expect").code());
--- a/doorman/src/test/java/barleyspur/front/thrift/ConnectionRegistryTest.java
+++ b/doorman/src/test/java/barleyspur/front/thrift/ConnectionRegistryTest.java
@@ -5,12 +5,12 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Who makes room for a newcomer. */
+/** The order in which connections are evicted. */
 class ConnectionRegistryTest {
 
     private final ConnectionRegistry<String> registry = new ConnectionRegistry<>();
 
-    /** A connection on which part of a request has come goes last, the one that began first before the others. */
+    /** Connections with a partly received request are evicted last, the one that started first before the others. */
     @Test
     void aRequestOnItsWayIsCutLast() {
         registry.came("stranger", 0);
@@ -26,7 +26,7 @@
         assertNull(registry.evictIdle(1_000));
     }
 
-    /** Once its request is whole it is in use, and stays. */
+    /** A connection is not evicted while its request is pending. */
     @Test
     void oneThatIsInUseStays() {
         registry.arriving("busy");
--- a/doorman/src/test/java/barleyspur/front/thrift/EndingsTest.java
+++ b/doorman/src/test/java/barleyspur/front/thrift/EndingsTest.java
@@ -26,7 +26,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** How things end on real sockets, with every crossing forced: see {@code docs/design/endings.md}. */
+/**
+ * Closes, cancels, time-outs and failures on real sockets, with each race forced by the test: see
+ * {@code docs/design/endings.md}.
+ */
 @Timeout(60)
 class EndingsTest {
 
@@ -45,7 +48,10 @@
         return doorman;
     }
 
-    /** What is presumed to be lost at a request's end: a quarter of the 1,500 ms that it has after it is wanted. */
+    /**
+     * The margin before the deadline by which the final response is sent: a quarter of the 1,500 ms between the time at
+     * which the response is wanted and the deadline.
+     */
     private static final int MARGIN_MS = 375;
 
     private static byte[] dispatch(int seqid, String className, String id) {
@@ -73,10 +79,10 @@
         return Cuts.take(out.setInt(0, out.readableBytes() - Integer.BYTES));
     }
 
-    /** Which of a service's answers came: served, refused, failed, or as an application exception, -1. */
+    /** Returns which response was received: served, refused or failed, or -1 for an application exception. */
     private static int answer(Wire client, int seqid) throws IOException {
         byte[] frame = client.frame();
-        assertNotNull(frame, "the connection has ended without an answer");
+        assertNotNull(frame, "the connection has ended without a response");
         ByteBuf in = Unpooled.wrappedBuffer(frame);
         int type = in.readInt() & 0xFF;
         in.skipBytes(in.readInt());
@@ -88,7 +94,7 @@
         return Arrays.copyOfRange(bytes, from, to);
     }
 
-    /** A request that must be the next at the box: nothing else has been sent on before it. */
+    /** Asserts that the box receives this request next, so nothing else was sent before it, and responds to it. */
     private static void assertNextIs(Loopback doorman, String id) throws Exception {
         Request next = doorman.box.next();
         assertEquals(List.of("serve", id), next.words().subList(0, 2));
@@ -103,9 +109,12 @@
         }
     }
 
-    // ---- a request that is late, or comes slowly -----------------------------------------------------------
+    // ---- requests that are read late or received slowly ------------------------------------------------
 
-    /** A busy loop reads a request late: its time counts from before that, so its final answer comes in time all the same. */
+    /**
+     * A busy event loop may read a request late. Its time must count from its earliest possible arrival, so that the
+     * final response is still sent before the deadline.
+     */
     @Test
     void aRequestThatWaitedToBeReadEndsInItsOwnTime() throws Exception {
         try (Loopback doorman = start();
@@ -122,7 +131,7 @@
         }
     }
 
-    /** One that comes as soon as the loop looks has all its time but what is presumed to be lost at its end. */
+    /** A request that is read on arrival may take until its deadline minus the margin. */
     @Test
     void aRequestThatIsReadAtOnceHasAllItsTimeButTheMargin() throws Exception {
         try (Loopback doorman = start();
@@ -138,7 +147,9 @@
         }
     }
 
-    /** Guards against the first standstill, which nothing announces: the final answer goes out while time is left for one. */
+    /**
+     * The process may be suspended without warning, so the final response is sent early enough to be in time even then.
+     */
     @Test
     void theFinalAnswerLeavesTimeForAStandstill() throws Exception {
         try (Loopback doorman = start();
@@ -150,7 +161,7 @@
         }
     }
 
-    /** A first request in pieces is taken when it is whole, however slowly it comes, while it goes on coming. */
+    /** A first request that arrives slowly in parts is served, as long as further parts keep arriving. */
     @Test
     void aFirstRequestThatComesSlowlyIsServed() throws Exception {
         try (Loopback doorman = start();
@@ -166,7 +177,7 @@
         }
     }
 
-    /** But no longer than any request may take. */
+    /** A request that isn't complete within the longest deadline of any class is given up. */
     @Test
     void aRequestThatNeverBecomesWholeIsGivenUp() throws Exception {
         try (Loopback doorman = start();
@@ -182,9 +193,12 @@
         }
     }
 
-    // ---- a client that has gone ---------------------------------------------------------------------------
+    // ---- clients that have disconnected ----------------------------------------------------------------
 
-    /** The connect hangs to the end of its time: the request has never gone out, so it is refused, and never run later. */
+    /**
+     * A request that must not run twice is refused, not failed, if its connect hangs until the deadline: it was never
+     * sent, and must not be sent later.
+     */
     @Test
     void anUnsafeRequestWhoseConnectHungIsRefused() throws Exception {
         try (Loopback doorman = new Loopback(folder, c -> {}, 1);
@@ -200,7 +214,7 @@
         }
     }
 
-    /** FIN, RST and a cancel that have come by the time in which their requests are read: no first attempt begins. */
+    /** No attempt starts for requests that are read together with a FIN, an RST or a cancel of their client. */
     @Test
     void noAttemptBeginsForWhoHasGoneInTheSameTurn() throws Exception {
         try (Loopback doorman = start();
@@ -234,7 +248,7 @@
         }
     }
 
-    /** The same while the request waits for a connection to the box that comes up late. */
+    /** The same for requests that wait for a slow connect to the box when their client disconnects or cancels. */
     @Test
     void noAttemptBeginsForWhoHasGoneWhileItWaitedForAConnect() throws Exception {
         try (Loopback doorman = new Loopback(folder, c -> {}, 1);
@@ -242,7 +256,7 @@
                 Wire rst = doorman.client();
                 Wire cancels = doorman.client();
                 Wire probe = doorman.client()) {
-            // The listener's queue is full, so that the doorman's connects come up only once it is emptied.
+            // The box's accept queue is full, so the doorman's connects complete only when it is emptied.
             List<Wire> crowd = doorman.box.fillQueue();
             fin.write(dispatch(1, id(1)));
             rst.write(dispatch(1, id(2)));
@@ -264,20 +278,23 @@
         }
     }
 
-    /** By now the doorman has read all that was written to it before. */
+    /** Asserts that the doorman responds, which means that it has read all data that was written before. */
     private static void assertAlive(Wire probe, int seqid) throws IOException {
         probe.write(alive(seqid));
         assertEquals(SERVED, answer(probe, seqid));
     }
 
-    /** Lets the loop turn often enough to read and write all that it can. */
+    /** Lets the event loop iterate often enough to read and write as much as possible. */
     private static void turn(Wire probe) throws IOException {
         for (int i = 1; i <= 500; i++) {
             assertAlive(probe, i);
         }
     }
 
-    /** A client that takes no answers is heard all the same: its cancel gives up what is out, and nothing is tried again. */
+    /**
+     * A cancel must be processed even if the client doesn't read its responses: the attempt is cancelled and not
+     * retried.
+     */
     @Test
     void aCancelBehindUnreadAnswersIsHeard() throws Exception {
         try (Loopback doorman =
@@ -287,7 +304,7 @@
             doorman.box.serve();
             client.write(dispatch(1, id(1)));
             Request waits = doorman.box.next();
-            // More than the sockets hold between them, so that the doorman can't write on.
+            // More than the socket buffers hold, so that the doorman can't write any more.
             for (int i = 2; i < 32; i++) {
                 client.write(dispatch(i, id(i)));
                 doorman.box.next().answer("DONE", DONE, new byte[240_000]);
@@ -300,7 +317,7 @@
         }
     }
 
-    /** A client that shuts its side has gone: the protocol knows no half-closed clients. */
+    /** A client that shuts down its sending side counts as disconnected: the protocol has no half-closed clients. */
     @Test
     void whoShutsItsSideHasGone() throws Exception {
         try (Loopback doorman = start();
@@ -315,9 +332,12 @@
         }
     }
 
-    // ---- connections that the doorman ends ----------------------------------------------------------------
+    // ---- connections that the doorman closes -----------------------------------------------------------
 
-    /** All places taken by idle clients, discovery down: a newcomer is let in, and the channel and the box are reached. */
+    /**
+     * When idle clients use all connections and discovery is unreachable, a new client must still be accepted, and the
+     * doorman must have file descriptors left for the command channel and the box.
+     */
     @Test
     void idleClientsMakeRoomWhileDiscoveryIsDown() throws Exception {
         try (Loopback doorman =
@@ -331,7 +351,7 @@
                 assertEquals(SERVED, answer(client, 1));
                 idle.add(client);
             }
-            assertNull(idle.get(0).frame(), "the longest idle one has made room, and was not reset");
+            assertNull(idle.get(0).frame(), "the longest idle connection was evicted without a reset");
             assertStillServes(doorman, id(1));
             doorman.pass(300);
             Wire again = doorman.channel.accept();
@@ -343,8 +363,8 @@
     }
 
     /**
-     * Bytes that arrive in the very turn in which an idle connection is shut for a newcomer: half a request is thrown away
-     * and the connection ends without a reset, so that the answer before it survives.
+     * Part of a request may arrive in the same event loop iteration in which its idle connection is evicted. It must be
+     * discarded without resetting the connection, so that the client still receives the previous response.
      */
     @Test
     void bytesThatCrossAnEvictionDoNotResetTheConnection() throws Exception {
@@ -353,7 +373,7 @@
             doorman.box.serve();
             List<Wire> idle = new ArrayList<>();
             Wire oldest = doorman.client();
-            // Its answer is left unread.
+            // Its response is left unread.
             oldest.write(alive(1));
             for (int i = 0; i < 32; i++) {
                 Wire client = doorman.client();
@@ -375,7 +395,7 @@
             idle.add(newcomer);
             oldest.write(part(request, 50, request.length));
             assertEquals(SERVED, answer(oldest, 1));
-            assertNull(oldest.frame(), "shut, and not reset");
+            assertNull(oldest.frame(), "closed without a reset");
             assertStillServes(doorman, id(2));
             for (Wire client : idle) {
                 client.close();
@@ -384,8 +404,9 @@
     }
 
     /**
-     * Crowds that send garbage, endless frames, half a request, half a frame's length or nothing are let go within 2.5 s of
-     * the doorman's time, more of them than there are places; somebody else's request is answered meanwhile.
+     * Clients that send garbage, endless frames, part of a request, part of a frame length or nothing, more of them
+     * than connections are allowed, are disconnected within 2.5 s of virtual time, and other requests are served
+     * meanwhile.
      */
     @Test
     void badClientsAreLetGoAndHarmNobody() throws Exception {
@@ -410,7 +431,7 @@
                 }
             }
             try (Wire last = doorman.client()) {
-                // Connections are accepted in their order, and read in the next turn.
+                // Connections are accepted in order and read in the next iteration of the event loop.
                 assertAlive(last, 1);
                 assertAlive(last, 2);
             }
@@ -427,7 +448,7 @@
         }
     }
 
-    /** A whole request in the very turn in which its idle connection would be shut keeps the connection. */
+    /** A complete request in the event loop iteration of its connection's eviction prevents the eviction. */
     @Test
     void aRequestInTheTurnOfItsEvictionIsServed() throws Exception {
         try (Loopback doorman =
@@ -454,9 +475,9 @@
         }
     }
 
-    // ---- SIGTERM ------------------------------------------------------------------------------------------
+    // ---- SIGTERM ---------------------------------------------------------------------------------------
 
-    /** Whatever is between its first and last byte at SIGTERM is served, and idle clients end without a reset. */
+    /** A request that is partly received at SIGTERM is served, and idle connections close without a reset. */
     @Test
     void aRequestCutBySigtermIsServed() throws Exception {
         Loopback doorman = start();
@@ -473,14 +494,14 @@
         client.write(part(request, 60, request.length));
         Request out = doorman.box.next();
         doorman.pass(1_000);
-        assertNull(idle.frame(), "idle, and nothing more is to come");
+        assertNull(idle.frame(), "idle connections are closed at the end of the grace period");
         out.answer("DONE", DONE, new byte[10]);
         assertEquals(SERVED, answer(client, 1));
         assertNull(client.frame());
         doorman.close();
     }
 
-    /** A depot that hangs past the last moment before SIGKILL: its request is failed while there is time. */
+    /** A request whose depot doesn't respond is failed before SIGKILL may end the process. */
     @Test
     void aHungDepotIsHeldNoLongerThanSigkillLeaves() throws Exception {
         Loopback doorman = new Loopback(folder, c -> ((JSONObject)
@@ -501,7 +522,7 @@
         doorman.close();
     }
 
-    /** A client that reads slowly gets its answers whole for as long as SIGKILL can't come. */
+    /** A client that reads slowly receives complete responses until SIGKILL may end the process. */
     @Test
     void aSlowReaderGetsItsAnswersUntilSigkillMayCome() throws Exception {
         Loopback doorman = new Loopback(folder, c -> c.getJSONObject("limits").put("memory_mb", 2_000));
@@ -523,15 +544,18 @@
             in.skipBytes(4).skipBytes(in.readInt()).skipBytes(4 + 3 + 3);
             byte[] got = new byte[in.readInt()];
             in.readBytes(got);
-            assertArrayEquals(bytes, got, "answer " + i);
+            assertArrayEquals(bytes, got, "response " + i);
         }
         assertNull(client.frame());
         doorman.close();
     }
 
-    // ---- what must not run twice ----------------------------------------------------------------------------
+    // ---- requests that must not run twice --------------------------------------------------------------
 
-    /** A box that reads so much of an unsafe request and resets: it is failed, and never sent again, whatever its class is called. */
+    /**
+     * A box may reset the connection after reading any part of a request that must not run twice. The request is then
+     * failed and never sent again.
+     */
     @Test
     void anUnsafeRequestNeverGoesOutTwice() throws Exception {
         try (Loopback doorman = new Loopback(folder, c -> {});
@@ -548,7 +572,10 @@
         }
     }
 
-    /** Guards keyed requests: depots drop repeats by the key that the client gave, so each attempt carries it, and no other does. */
+    /**
+     * Depots detect repeated requests by the client's idempotency key, so each attempt of such a request carries it,
+     * and a request without a key has none.
+     */
     @Test
     void aKeyedRequestCarriesItsKeyWithEachAttempt() throws Exception {
         try (Loopback doorman = start();
@@ -591,7 +618,7 @@
         }
     }
 
-    /** A request keeps the effect of the class that it was taken under, also where a reload changes it meanwhile. */
+    /** A pending request keeps its class's rule on repeats even if a reload changes the rule. */
     @Test
     void anOpenRequestKeepsItsEffectThroughAReload() throws Exception {
         try (Loopback doorman = start();
@@ -603,7 +630,7 @@
             doorman.reload(c -> {
                 JSONArray grades = c.getJSONObject("settings").getJSONArray("grades");
                 grades.getJSONObject(1).put("repeat", "repeatable");
-                // It moves the channel too, which shows when it has been read.
+                // The reload also moves the command channel, which shows when it has been applied.
                 c.put("channel", c.getString("channel").replace("127.0.0.1", "127.0.0.2"));
             });
             assertNull(channel.line(), "the channel has moved");
@@ -612,13 +639,13 @@
             client.write(dispatch(2, "order", id(2)));
             doorman.box.next().wire().reset();
             Request again = doorman.box.next();
-            assertEquals(id(2), again.id(), "taken under the new effect it is tried again");
+            assertEquals(id(2), again.id(), "a request accepted under the new rule is retried");
             again.answer("DONE", DONE, new byte[10]);
             assertEquals(SERVED, answer(client, 2));
         }
     }
 
-    // ---- the command channel ---------------------------------------------------------------------------------
+    // ---- the command channel ---------------------------------------------------------------------------
 
     private static String state(Loopback doorman, int cursor, String state) {
         return new JSONObject()
@@ -637,7 +664,10 @@
                 + "\n";
     }
 
-    /** Mute from its first second, mute after a reconnect, and mute after half a line: each time it is given up and asked anew. */
+    /**
+     * A command channel that sends nothing from the start, after a reconnect or after part of a line is closed and
+     * connected again.
+     */
     @Test
     void aChannelThatSaysNothingIsGivenUp() throws Exception {
         try (Loopback doorman = start()) {
@@ -650,7 +680,7 @@
                 assertAlive(probe, 1);
                 probe.close();
                 doorman.pass(2_000);
-                assertNull(mute.line(), "given up after: " + last);
+                assertNull(mute.line(), "closed after: " + last);
                 doorman.pass(300);
             }
             Wire well = doorman.channel.accept();
@@ -668,7 +698,7 @@
         }
     }
 
-    /** What waits for a connection to a box that is told to drain meanwhile goes elsewhere. */
+    /** A request that waits for a connect to a box goes elsewhere when the box starts to drain. */
     @Test
     void aDrainOvertakesWhatWaitsForAConnect() throws Exception {
         try (Loopback doorman = new Loopback(folder, c -> {}, 1);
@@ -690,11 +720,11 @@
         }
     }
 
-    // ---- spoilt answers ------------------------------------------------------------------------------------------
+    // ---- invalid responses -----------------------------------------------------------------------------
 
     /**
-     * A second answer, one after the cancel, one without bytes, one cut off by the connection's end and one without end
-     * harm neither their request nor another.
+     * Invalid responses of a box affect neither their own request nor others: a second response, one after a cancel,
+     * one without a body, one that is cut off by a close, and one that is too long.
      */
     @Test
     void aSpoiltAnswerHarmsNobody() throws Exception {
@@ -712,7 +742,7 @@
             assertEquals(id(2), again.id());
             again.answer("KEEP", DONE, null);
             Request third = doorman.box.next();
-            assertEquals(id(2), third.id(), "no copy may be called current that the client does not hold");
+            assertEquals(id(2), third.id(), "the client holds no copy that could be confirmed as current");
             third.answer("DONE", DONE, new byte[12]);
             assertEquals(SERVED, answer(client, 2));
             client.write(dispatch(3, id(3)));
--- a/doorman/src/test/java/barleyspur/front/thrift/FrontConnectionTest.java
+++ b/doorman/src/test/java/barleyspur/front/thrift/FrontConnectionTest.java
@@ -29,7 +29,7 @@
 import org.junit.jupiter.api.Test;
 import org.slf4j.LoggerFactory;
 
-/** One client connection before a core whose director does as each test says. */
+/** A client connection in front of a doorman whose routing decisions are scripted by each test. */
 class FrontConnectionTest implements Clock {
 
     static final Director.Settings SETTINGS = SettingsReader.read(
@@ -87,7 +87,7 @@
         return () -> timers.remove(due);
     }
 
-    /** Lets the time of all timers come that are set now. */
+    /** Advances the clock and runs all timers that are currently set. */
     private void pass(double ms) {
         now += ms;
         List<Runnable> due = new ArrayList<>(timers);
@@ -104,27 +104,27 @@
         channel.writeInbound(ThriftCalls.dispatch(seqid, ThriftCalls.fields(className, id), new byte[4]));
     }
 
-    /** Type and sequence number of the next message to the client, and whether {@code text} is in it. */
+    /** Asserts the type and sequence number of the next message to the client, and that it contains {@code text}. */
     private void assertAnswer(int type, int seqid, String text) {
         ByteBuf whole = Unpooled.buffer();
         for (ByteBuf part = channel.readOutbound(); part != null; part = channel.readOutbound()) {
             whole.writeBytes(part);
             part.release();
         }
-        assertEquals(whole.readableBytes() - Integer.BYTES, whole.readInt(), "one whole frame");
+        assertEquals(whole.readableBytes() - Integer.BYTES, whole.readInt(), "exactly one complete frame");
         assertEquals(Thrift.VERSION | type, whole.readInt());
         whole.skipBytes(whole.readInt());
         assertEquals(seqid, whole.readInt());
         assertTrue(whole.toString(StandardCharsets.ISO_8859_1).contains(text), text);
     }
 
-    /** Guards a client that writes in pieces of any size, down to one byte: its request is taken once, when whole. */
+    /** A request that arrives byte by byte is accepted once, when it is complete. */
     @Test
     void aRequestThatComesOneByteAtATimeIsTakenWhenWhole() {
         Map<String, String> fields = ThriftCalls.fields("small", "9b1f03aa5c7e2d41");
         ByteBuf whole = ThriftCalls.dispatch(1, fields, new byte[4]);
         while (whole.isReadable()) {
-            assertEquals(List.of(), events, "nothing before the last byte");
+            assertEquals(List.of(), events, "no request before the last byte");
             channel.writeInbound(whole.readRetainedSlice(1));
         }
         whole.release();
@@ -137,7 +137,7 @@
         channel.runPendingTasks();
     }
 
-    /** Guards: while nothing goes out to a client it is read all the same, so that a cancel or its end is seen at once. */
+    /** A client to which nothing can be written is still read, so that a cancel or close is noticed at once. */
     @Test
     void aSlowReaderIsHeardWhenItCancels() {
         dispatch(1, "small");
@@ -159,14 +159,14 @@
         writable(true);
         writable(false);
         pass(CLASSES.longestDeadlineMs() - 1);
-        assertTrue(channel.isOpen(), "it caught up in between");
+        assertTrue(channel.isOpen(), "writes succeeded in between");
         pass(1);
-        assertFalse(channel.isOpen(), "nothing went out for as long as any client waits");
+        assertFalse(channel.isOpen(), "nothing was written for the longest deadline");
     }
 
     /**
-     * Guards memory against a client that reads slowly: what is not yet out to it counts as open, so it can ask for no
-     * more than may be open; who goes on asking all the same is let go.
+     * Unwritten responses count towards the limit on pending requests, so that a slow reader can't use up the memory. A
+     * client that keeps sending requests regardless is disconnected.
      */
     @Test
     void aSlowReaderCanAskForNoMoreThanMayBeOpen() {
@@ -179,15 +179,15 @@
             events.remove(events.size() - 1);
         }
         dispatch(3, "small");
-        assertEquals(MOST_OPEN, events.size(), "two answers are not out: no third is taken");
+        assertEquals(MOST_OPEN, events.size(), "two responses are unwritten, so no third request is accepted");
         assertTrue(channel.isOpen());
         dispatch(4, "small");
         pass(FrontConnection.LINGER_MS);
-        assertFalse(channel.isOpen(), "four answers are not out");
+        assertFalse(channel.isOpen(), "four responses are unwritten");
         held.release();
     }
 
-    /** Keeps all that is written, as a socket does whose peer does not read. */
+    /** Holds back all written messages, like a socket whose peer does not read. */
     private static final class FlushHeld extends ChannelOutboundHandlerAdapter {
         private final List<Object> kept = new ArrayList<>();
 
@@ -201,7 +201,7 @@
         }
     }
 
-    /** Guards: what a client has cancelled, or closed on, in the turn in which it asked is never begun. */
+    /** A request is never started if its cancel or close is read in the same iteration of the event loop. */
     @Test
     void aRequestThatComesWithItsCancelIsNotBegun() {
         Map<String, String> fields = ThriftCalls.fields("small", "9b1f03aa5c7e2d41");
@@ -215,10 +215,10 @@
             }
         });
         channel.writeInbound(ThriftCalls.dispatch(3, fields, new byte[4]));
-        assertEquals(List.of(), events, "its client was gone before it could be taken");
+        assertEquals(List.of(), events, "the client disconnected before the request could be accepted");
     }
 
-    /** Guards requests before a fault: what was whole gets its answer, though it can't be taken any more. */
+    /** A complete request that is followed by invalid input gets a response, although it is not accepted any more. */
     @Test
     void aRequestBeforeAFaultIsAnswered() {
         Map<String, String> fields = ThriftCalls.fields("small", "9b1f03aa5c7e2d41");
@@ -236,7 +236,7 @@
     void aRefusalSaysWhenToComeBack() {
         dispatch(1, "small");
         doorman.listed(true, List.of());
-        assertNull(channel.readOutbound(), "held until the director answers");
+        assertNull(channel.readOutbound(), "held until the routing decision");
         Director.Request request = (Director.Request) events.get(0);
         assertEquals(3, request.part());
         assertEquals(17, request.group());
@@ -271,21 +271,21 @@
         assertEquals(new Director.Gone(((Director.Request) events.get(0)).id()), events.get(1));
     }
 
-    /** Two answers under one number could not be told apart: all are told so, once, before the connection ends. */
+    /** A client can't distinguish two responses with the same sequence number, so the connection is rejected. */
     @Test
     void aNumberThatIsInUseEndsTheConnection() {
         dispatch(1, "small");
         dispatch(1, "small", "9b1f03aa5c7e2d42");
         assertEquals(new Director.Gone(((Director.Request) events.get(0)).id()), events.get(1));
-        assertTrue(channel.isOpen(), "an error that is followed by a reset may be lost");
+        assertTrue(channel.isOpen(), "the error could be lost if a reset followed");
         assertTrue(Unpooled.wrappedBuffer(channel.<ByteBuf>readOutbound()).readableBytes() > 0);
         channel.writeInbound(Unpooled.wrappedBuffer(new byte[300_000]));
-        assertFalse(channel.config().isAutoRead(), "endless messages are not read for ever");
+        assertFalse(channel.config().isAutoRead(), "reading stops at the limit of discarded bytes");
         pass(FrontConnection.LINGER_MS);
         assertFalse(channel.isOpen());
     }
 
-    /** Of two requests under one id a depot would answer one with the other's bytes, or each needs a connection. */
+    /** A depot could respond to one of two requests with the same id with the other's body. */
     @Test
     void theIdOfAnEarlierRequestIsTurnedDown() {
         dispatch(1, "small", "9b1f03aa5c7e2d41");
@@ -311,7 +311,7 @@
         channel.writeInbound(Unpooled.wrappedBuffer(new byte[] {0, 0, 0}));
         pass(PartialRequestWatch.SILENCE_MS);
         pass(FrontConnection.LINGER_MS);
-        assertFalse(channel.isOpen(), "half a request");
+        assertFalse(channel.isOpen(), "incomplete request");
     }
 
     @Test
@@ -324,7 +324,7 @@
         assertFalse(channel.isOpen());
     }
 
-    /** Guards newcomers: those that are of no use go first, those with something open never. */
+    /** The least active connections are evicted first, and connections with pending requests never. */
     @Test
     void theLeastUsefulMakeRoom() {
         ConnectionRegistry<String> guests = new ConnectionRegistry<>();
@@ -332,13 +332,13 @@
         guests.busy("busy");
         guests.idle("idle", 100);
         guests.left("left");
-        guests.came("newcomer", ConnectionRegistry.NEW_MS);
-        guests.leaving("told");
+        guests.came("recent", ConnectionRegistry.NEW_MS);
+        guests.leaving("closing");
         assertEquals("silent", guests.evictIdle(ConnectionRegistry.NEW_MS));
         assertEquals("idle", guests.evictIdle(ConnectionRegistry.NEW_MS));
-        assertEquals("newcomer", guests.evictIdle(ConnectionRegistry.NEW_MS));
+        assertEquals("recent", guests.evictIdle(ConnectionRegistry.NEW_MS));
         assertNull(guests.evictIdle(ConnectionRegistry.NEW_MS));
-        for (String next : List.of("told", "silent", "idle", "newcomer")) {
+        for (String next : List.of("closing", "silent", "idle", "recent")) {
             assertEquals(next, guests.closingLongest());
             guests.left(next);
         }
@@ -346,10 +346,13 @@
         registry.evictIdle(0).evict();
         dispatch(1, "small");
         channel.runPendingTasks();
-        assertTrue(channel.isOpen(), "what asked in the same moment stays");
+        assertTrue(channel.isOpen(), "a request in the same event loop iteration prevents the eviction");
     }
 
-    /** Guards descriptors: a connection that a bad request has kept from eviction is not counted as closing, and can go later. */
+    /**
+     * A connection that wasn't evicted because of a request that proved to be invalid doesn't count as closing and can
+     * be evicted later; otherwise it would keep its file descriptor.
+     */
     @Test
     void whatABadRequestKeptCanBeEvictedLater() {
         registry.evictIdle(0).evict();
@@ -362,7 +365,7 @@
         assertFalse(channel.isOpen());
     }
 
-    /** Guards the drain's rule: quiesced, a connection goes once its last answer is out, and not before. */
+    /** When quiesced, a connection is closed after its last response has been written, and not before. */
     @Test
     void quiescedAConnectionIsClosedOnceItsAnswersAreOut() {
         dispatch(1, "small");
@@ -371,7 +374,7 @@
         out.accept(new Director.Refuse(((Director.Request) events.get(0)).id(), 0));
         doorman.purgedGroup(1, 0);
         channel.runPendingTasks();
-        assertTrue(channel.isOpen(), "request 2 is open");
+        assertTrue(channel.isOpen(), "request 2 is pending");
         assertAnswer(Thrift.REPLY, 1, "");
         out.accept(new Director.Refuse(((Director.Request) events.get(1)).id(), 0));
         doorman.purgedGroup(1, 0);
@@ -379,8 +382,8 @@
         assertAnswer(Thrift.REPLY, 2, "");
         dispatch(3, "small");
         assertEquals(
-                2, events.stream().filter(Director.Request.class::isInstance).count(), "nothing is taken any more");
+                2, events.stream().filter(Director.Request.class::isInstance).count(), "no third request is accepted");
         pass(FrontConnection.LINGER_MS);
-        assertFalse(channel.isOpen(), "nothing is open any more");
+        assertFalse(channel.isOpen(), "no request is pending any more");
     }
 }
--- a/doorman/src/test/java/barleyspur/front/thrift/ResponseWriterTest.java
+++ b/doorman/src/test/java/barleyspur/front/thrift/ResponseWriterTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 import org.slf4j.LoggerFactory;
 
-/** What becomes of an answer that can't be written. */
+/** Encoding of responses and handling of failed writes. */
 class ResponseWriterTest implements Clock, ResponseWriter.Listener {
 
     private final List<String> told = new ArrayList<>();
@@ -67,7 +67,7 @@
         told.add(cause.getMessage());
     }
 
-    /** An answer goes out as one message: its parts can't part. */
+    /** A response is written as a single message, so that no part of it can fail separately. */
     @Test
     void anAnswerIsOneMessage() {
         responses.served(7, "id", Unpooled.copiedBuffer(new byte[300]), Map.of());
@@ -79,7 +79,7 @@
         message.release();
     }
 
-    /** Bytes that are gone make a failed answer, not a frame that never becomes whole. */
+    /** A body that has already been released results in a failed response, not in an incomplete frame. */
     @Test
     void anAnswerWhoseBytesAreGoneFails() {
         ByteBuf gone = Unpooled.copiedBuffer(new byte[300]);
@@ -93,7 +93,7 @@
         assertEquals(0, responses.unwritten());
     }
 
-    /** A client whose answer could not be written is not left to wait on an open connection. */
+    /** A failed write is reported, so that the client isn't left waiting on an open connection. */
     @Test
     void anAnswerThatCantBeWrittenIsTold() {
         failing = true;
--- a/doorman/src/test/java/barleyspur/front/thrift/SharedPortTest.java
+++ b/doorman/src/test/java/barleyspur/front/thrift/SharedPortTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** An upgrade's two fronts on one port, on loopback: the shell's part of the hand-off. */
+/** Two servers that share one port on the loopback interface, as during the hand-off of an upgrade. */
 class SharedPortTest {
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -47,28 +47,28 @@
     }
 
     /**
-     * Guards the upgrade's start: with the port shared the new process binds beside the old one, without it the bind
-     * fails as it did on the untouched program; once the old one stops listening, the new one takes every client.
+     * If the port is shared, the new process of an upgrade can bind it while the old one listens, and receives all
+     * clients once the old one stops listening. If the port isn't shared, the bind fails.
      */
     @Test
     void twoFrontsListenOnOnePortAndTheSecondTakesOver() throws Exception {
         InetSocketAddress address = freePort();
         ThriftFront old = front(true);
         assertTrue(old.listen(address).await().isSuccess());
-        assertFalse(front(false).listen(address).await().isSuccess(), "a front that does not share can't bind");
+        assertFalse(front(false).listen(address).await().isSuccess(), "only a server that shares the port can bind it");
         ThriftFront next = front(true);
-        assertTrue(next.listen(address).await().isSuccess(), "the successor binds beside it");
+        assertTrue(next.listen(address).await().isSuccess(), "the successor can bind the same port");
         group.submit(old::stopListening).sync().getNow().sync();
         for (int i = 0; i < 20; i++) {
             try (Socket client = new Socket(address.getAddress(), address.getPort())) {
-                assertTrue(client.isConnected(), "connection " + i + " is taken by the successor");
+                assertTrue(client.isConnected(), "connection " + i + " is accepted by the successor");
             }
         }
         group.submit(next::stopListening).sync().getNow().sync();
-        assertTrue(refusedSoon(address), "with neither listening, nobody takes a client");
+        assertTrue(refusedSoon(address), "connections are refused when neither server listens");
     }
 
-    /** The kernel's socket is given back when the loop next selects, which is after the future of the close. */
+    /** Waits for a refusal: the kernel socket is released at the next select, after the close future has completed. */
     private static boolean refusedSoon(InetSocketAddress address) throws InterruptedException {
         for (int i = 0; i < 5_000; i++) {
             if (refused(address)) {
--- a/doorman/src/test/java/barleyspur/front/thrift/ThriftCalls.java
+++ b/doorman/src/test/java/barleyspur/front/thrift/ThriftCalls.java
@@ -6,12 +6,12 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Framed calls as clients write them, for tests. */
+/** Encodes framed calls of clients for tests. */
 final class ThriftCalls {
 
     private ThriftCalls() {}
 
-    /** A framed {@code dispatch}, with a field that this version does not know. */
+    /** Returns a framed {@code dispatch} that includes an unknown field, which the server has to skip. */
     static ByteBuf dispatch(int seqid, Map<String, String> fields, byte[] body) {
         ByteBuf out = Unpooled.buffer();
         out.writeInt(0).writeInt(Thrift.VERSION | Thrift.CALL);
@@ -35,7 +35,7 @@
         return out.setInt(0, out.readableBytes() - Integer.BYTES);
     }
 
-    /** A framed {@code cancelRequest} of the call with the other number. */
+    /** Returns a framed {@code cancelRequest} for the call with sequence number {@code cancelled}. */
     static ByteBuf cancelRequest(int seqid, int cancelled) {
         ByteBuf out = Unpooled.buffer();
         out.writeInt(0).writeInt(Thrift.VERSION | Thrift.ONEWAY);
@@ -48,7 +48,7 @@
         return out.setInt(0, out.readableBytes() - Integer.BYTES);
     }
 
-    /** The fields of a request for one part, with 1,500 ms left; to be changed at will. */
+    /** Returns a mutable map with the fields of a request for one part and 1,500 ms remaining. */
     static Map<String, String> fields(String className, String id) {
         return new HashMap<>(
                 Map.of("c", className, "i", id, "d", "1500", "o", "7f3a9c21e0b4d655", "seg", "3", "bucket", "17"));
--- a/doorman/src/test/java/barleyspur/front/thrift/ThriftPropertiesTest.java
+++ b/doorman/src/test/java/barleyspur/front/thrift/ThriftPropertiesTest.java
@@ -23,7 +23,7 @@
 import net.jqwik.api.constraints.Size;
 import net.jqwik.api.constraints.StringLength;
 
-/** The front's parser against valid calls in pieces and against garbage. */
+/** Property tests of the Thrift decoder with split, damaged and random input. */
 class ThriftPropertiesTest {
 
     private static final int MAX_FRAME = 4_096;
@@ -53,7 +53,7 @@
             assertArrayEquals(body, ByteBufUtil.getBytes(call.body()));
             frame.release();
         }
-        frames.forEach(f -> assertEquals(0, ((ByteBuf) f).refCnt(), "nothing holds on to the bytes"));
+        frames.forEach(f -> assertEquals(0, ((ByteBuf) f).refCnt(), "the frame is released completely"));
     }
 
     @Property(seed = "12")
@@ -92,9 +92,9 @@
         }
     }
 
-    /** Figures out of all measure would hold a request for ever, or spoil what is learned from sizes. */
+    /** Extreme values would keep a request pending without end, or distort the statistics on sizes. */
     @Property(seed = "16")
-    void figuresOutOfRangeAreNamed(@ForAll("beyond") String value) {
+    void figuresOutOfRangeAreNamed(@ForAll("outOfRange") String value) {
         for (String name : List.of("d", "seg", "bucket", "m")) {
             Map<String, String> fields = new HashMap<>(Map.of(
                     "c",
@@ -121,7 +121,7 @@
     }
 
     @Provide
-    Arbitrary<String> beyond() {
+    Arbitrary<String> outOfRange() {
         return Arbitraries.oneOf(
                 Arbitraries.of("NaN", "-1", "1e30", "Infinity"),
                 Arbitraries.longs().greaterOrEqual(1 << 21).map(String::valueOf));
--- a/doorman/src/test/java/barleyspur/front/thrift/UnreadAnswersTest.java
+++ b/doorman/src/test/java/barleyspur/front/thrift/UnreadAnswersTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Slow clients must hold up the reading of depots before they use up the memory. */
+/** Slow clients must stop the reading from depots before the queued responses use up the memory. */
 class UnreadAnswersTest {
 
     @Test
