--- a/doorman/src/main/java/barleyspur/Node.java
+++ b/doorman/src/main/java/barleyspur/Node.java
@@ -1,7 +1,7 @@
 package barleyspur;
 
 import barleyspur.admin.AdminServer;
-import barleyspur.admin.LifecycleCalls;
+import barleyspur.admin.LifecycleRoutes;
 import barleyspur.admin.Routes;
 import barleyspur.budget.net.BudgetPort;
 import barleyspur.budget.net.GuardedDepots;
@@ -17,7 +17,7 @@
 import barleyspur.doorman.LoopClock;
 import barleyspur.doorman.SocketPolls;
 import barleyspur.fleet.net.FleetPort;
-import barleyspur.front.thrift.ThriftFront;
+import barleyspur.front.thrift.ThriftServer;
 import barleyspur.lifecycle.Lifecycle;
 import barleyspur.log.LogEvent;
 import barleyspur.reload.RequestClassRegistry;
@@ -93,7 +93,7 @@
     private final CountDownLatch ended = new CountDownLatch(1);
     private final Doorman doorman;
     private final CommandChannel channel;
-    private final ThriftFront front;
+    private final ThriftServer front;
     private final CommandReader commands;
     private final Clock clock;
     private final Lifecycle lifecycle = new Lifecycle();
@@ -163,7 +163,7 @@
         channel = new CommandChannel(
                 Connector.tcp(group, CommandChannel.CONNECT_TIMEOUT_MS), configuration.channel(), clock, commands);
         classes = RequestClassRegistry.of(configuration.names().classes(), settings.classes());
-        front = new ThriftFront(
+        front = new ThriftServer(
                 group,
                 doorman,
                 clock,
@@ -179,7 +179,7 @@
         } else {
             // Only a platform that gives a second address upgrades a doorman beside itself.
             Routes.Builder routes =
-                    new LifecycleCalls(lifecycle, clock, this::lifecycleChanged).addTo(Routes.builder());
+                    new LifecycleRoutes(lifecycle, clock, this::lifecycleChanged).addTo(Routes.builder());
             if (fleet != null) {
                 fleet.addTo(routes);
             }
@@ -288,7 +288,7 @@
         if (!retune.same() || attempts != configuration.settings().maxAttempts()) {
             classes = retune.table();
             doorman.retune(configuration.settings().retuned(classes.classes(), attempts));
-            front.retune(classes);
+            front.updateClasses(classes);
             LogEvent.log(
                     LOG.atInfo(),
                     "reload: classes retuned",
--- a/doorman/src/main/java/barleyspur/Rehearsal.java
+++ b/doorman/src/main/java/barleyspur/Rehearsal.java
@@ -7,7 +7,7 @@
 import barleyspur.doorman.Clock;
 import barleyspur.doorman.Doorman;
 import barleyspur.doorman.NodeListing;
-import barleyspur.front.thrift.ThriftFront;
+import barleyspur.front.thrift.ThriftServer;
 import barleyspur.lifecycle.Lifecycle;
 import barleyspur.reload.RequestClassRegistry;
 import io.netty.buffer.ByteBuf;
@@ -82,7 +82,7 @@
         doorman.listed(true, listings(settings));
         Lifecycle lifecycle = new Lifecycle();
         lifecycle.serving(now);
-        ThriftFront front = new ThriftFront(
+        ThriftServer front = new ThriftServer(
                 group,
                 doorman,
                 this,
@@ -94,7 +94,7 @@
                 false);
         List<EmbeddedChannel> clients = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
-            clients.add(new EmbeddedChannel(front.acceptor()));
+            clients.add(new EmbeddedChannel(front.channelInitializer()));
         }
         for (int i = 0; i < requests; i++) {
             clients.get(i % CLIENTS).writeInbound(dispatch(i));
--- a/doorman/src/main/java/barleyspur/admin/AdminConnection.java
+++ b/doorman/src/main/java/barleyspur/admin/AdminConnection.java
@@ -1,7 +1,7 @@
 package barleyspur.admin;
 
-import barleyspur.admin.http.HttpAnswer;
-import barleyspur.admin.http.HttpFault;
+import barleyspur.admin.http.HttpResponse;
+import barleyspur.admin.http.HttpRequestException;
 import barleyspur.admin.http.HttpRequest;
 import barleyspur.doorman.Clock;
 import barleyspur.log.LogEvent;
@@ -15,23 +15,23 @@
 
 /**
  * Handles one connection to the administration address: one request, one response, then the close. A client that hasn't
- * sent a complete request within {@link #CALL_MS} receives status 408.
+ * sent a complete request within {@link #REQUEST_TIMEOUT_MS} receives status 408.
  */
 final class AdminConnection extends SimpleChannelInboundHandler<HttpRequest> {
 
     private static final Logger LOG = LoggerFactory.getLogger("admin");
     /** How long a client has to send a complete request, because connections without one use up the limit. */
-    static final double CALL_MS = 2_000;
+    static final double REQUEST_TIMEOUT_MS = 2_000;
     /** How long the client has to read the response and close its side before the channel is closed. */
-    static final double LAST_READ_MS = 1_000;
+    static final double LINGER_MS = 1_000;
 
     private final AdminServer server;
     private final Routes routes;
     private final Clock clock;
     private Channel channel;
-    private LingeringClose closing;
-    private Clock.Timer late;
-    private boolean answered;
+    private LingeringClose lingeringClose;
+    private Clock.Timer requestTimeout;
+    private boolean responded;
 
     AdminConnection(AdminServer server, Routes routes, Clock clock) {
         this.server = server;
@@ -42,67 +42,67 @@
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
         channel = ctx.channel();
-        closing = new LingeringClose(channel, clock);
-        late = clock.after(
-                CALL_MS, () -> answer(HttpAnswer.problem(408, "no complete request within " + (long) CALL_MS + " ms")));
+        lingeringClose = new LingeringClose(channel, clock);
+        requestTimeout = clock.after(
+                REQUEST_TIMEOUT_MS, () -> respond(HttpResponse.error(408, "no complete request within " + (long) REQUEST_TIMEOUT_MS + " ms")));
         ctx.fireChannelActive();
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, HttpRequest request) {
-        HttpAnswer answer;
+        HttpResponse response;
         try {
-            answer = routes.answer(request);
+            response = routes.handle(request);
         } catch (RuntimeException e) {
             LogEvent.log(LOG.atError().setCause(e), "call failed", "method", request.method(), "path", request.path());
-            answer = HttpAnswer.problem(500, "the request failed: " + e);
+            response = HttpResponse.error(500, "the request failed: " + e);
         } finally {
             request.body().release();
         }
         LogEvent.log(
-                LOG.atDebug(), "call", "method", request.method(), "path", request.path(), "status", answer.status());
-        answer(answer);
+                LOG.atDebug(), "call", "method", request.method(), "path", request.path(), "status", response.status());
+        respond(response);
     }
 
     /**
      * Writes the response and shuts down the sending side; the channel closes once the client has closed its side, or
-     * after {@link #LAST_READ_MS}. An immediate close with unread input would reset the connection, and the client
+     * after {@link #LINGER_MS}. An immediate close with unread input would reset the connection, and the client
      * could lose the response.
      */
-    void answer(HttpAnswer answer) {
-        if (answered || channel == null) {
+    void respond(HttpResponse response) {
+        if (responded || channel == null) {
             return;
         }
-        answered = true;
-        late.cancel();
-        server.called(channel);
-        channel.write(answer.encode(channel.alloc()));
-        closing.begin(LAST_READ_MS);
+        responded = true;
+        requestTimeout.cancel();
+        server.requestEnded(channel);
+        channel.write(response.encode(channel.alloc()));
+        lingeringClose.begin(LINGER_MS);
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        if (late != null) {
-            late.cancel();
-            closing.closed();
+        if (requestTimeout != null) {
+            requestTimeout.cancel();
+            lingeringClose.closed();
         }
-        server.called(ctx.channel());
+        server.requestEnded(ctx.channel());
         ctx.fireChannelInactive();
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        if (cause instanceof HttpFault fault) {
+        if (cause instanceof HttpRequestException invalid) {
             LogEvent.log(
                     LOG.atWarn(),
                     "call refused",
                     "caller",
                     ctx.channel().remoteAddress(),
                     "status",
-                    fault.status(),
+                    invalid.status(),
                     "cause",
-                    fault.getMessage());
-            answer(HttpAnswer.problem(fault.status(), fault.getMessage()));
+                    invalid.getMessage());
+            respond(HttpResponse.error(invalid.status(), invalid.getMessage()));
         } else if (cause instanceof IOException) {
             ctx.close();
         } else {
--- a/doorman/src/main/java/barleyspur/admin/AdminServer.java
+++ b/doorman/src/main/java/barleyspur/admin/AdminServer.java
@@ -16,18 +16,18 @@
 
 /**
  * The HTTP/1.1 server of the administration address, with one request per connection. It runs on the doorman's event
- * loop, which owns the state that the requests read and change. At most {@link #MOST_CALLERS} connections are open; a
+ * loop, which owns the state that the requests read and change. At most {@link #MAX_CONNECTIONS} connections are open; a
  * new one beyond that replaces the oldest one without a complete request, so that silent connections can't lock out
  * operators.
  */
 public final class AdminServer {
 
     /** Limits the file descriptors that the administration address can use. */
-    static final int MOST_CALLERS = 64;
+    static final int MAX_CONNECTIONS = 64;
     /** Maximum size of the request line and the header fields, of which a few are expected. */
-    static final int MAX_HEAD = 8 * 1024;
+    static final int MAX_HEAD_BYTES = 8 * 1024;
     /** Maximum size of a body; leaves room for API calls that send settings. */
-    static final int MAX_BODY = 64 * 1024;
+    static final int MAX_BODY_BYTES = 64 * 1024;
 
     private static final int BACKLOG = 64;
 
@@ -35,9 +35,9 @@
     private final Clock clock;
     private final Routes routes;
     /** Connections without a complete request so far, the oldest first. */
-    private final Set<Channel> waiting = new LinkedHashSet<>();
+    private final Set<Channel> awaitingRequest = new LinkedHashSet<>();
 
-    private int open;
+    private int openConnections;
 
     /** Creates a server of these routes that doesn't listen yet. */
     public AdminServer(EventLoopGroup group, Clock clock, Routes routes) {
@@ -54,12 +54,12 @@
                 .option(ChannelOption.SO_BACKLOG, BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                .childHandler(acceptor())
+                .childHandler(channelInitializer())
                 .bind(address);
     }
 
     /** Returns the initializer for accepted channels. */
-    ChannelInitializer<Channel> acceptor() {
+    ChannelInitializer<Channel> channelInitializer() {
         return new ChannelInitializer<>() {
             @Override
             protected void initChannel(Channel channel) {
@@ -69,25 +69,25 @@
     }
 
     private void accept(Channel channel) {
-        if (open >= MOST_CALLERS) {
-            Iterator<Channel> oldest = waiting.iterator();
+        if (openConnections >= MAX_CONNECTIONS) {
+            Iterator<Channel> oldest = awaitingRequest.iterator();
             if (!oldest.hasNext()) {
                 channel.close();
                 return;
             }
-            Channel leaves = oldest.next();
+            Channel evicted = oldest.next();
             oldest.remove();
-            leaves.close();
+            evicted.close();
         }
-        open++;
-        waiting.add(channel);
-        channel.closeFuture().addListener(closed -> open--);
+        openConnections++;
+        awaitingRequest.add(channel);
+        channel.closeFuture().addListener(closed -> openConnections--);
         channel.pipeline()
-                .addLast(new HttpRequestDecoder(MAX_HEAD, MAX_BODY), new AdminConnection(this, routes, clock));
+                .addLast(new HttpRequestDecoder(MAX_HEAD_BYTES, MAX_BODY_BYTES), new AdminConnection(this, routes, clock));
     }
 
     /** Called when the channel's request is complete or the channel is closed. */
-    void called(Channel channel) {
-        waiting.remove(channel);
+    void requestEnded(Channel channel) {
+        awaitingRequest.remove(channel);
     }
 }
--- a/doorman/src/main/java/barleyspur/admin/LifecycleCalls.java
+++ b/doorman/src/main/java/barleyspur/admin/LifecycleRoutes.java
@@ -1,6 +1,6 @@
 package barleyspur.admin;
 
-import barleyspur.admin.http.HttpAnswer;
+import barleyspur.admin.http.HttpResponse;
 import barleyspur.doorman.Clock;
 import barleyspur.lifecycle.Lifecycle;
 import barleyspur.log.LogEvent;
@@ -12,7 +12,7 @@
  * clients and 503 otherwise; {@code PUT /admin/quiesce} starts a drain of the clients and {@code PUT /admin/resume}
  * ends it. Each response contains the phase, as in {@code {"ready":false,"phase":"quiesced"}}.
  */
-public final class LifecycleCalls {
+public final class LifecycleRoutes {
 
     private static final Logger LOG = LoggerFactory.getLogger("admin");
     private static final int OK = 200;
@@ -21,43 +21,43 @@
 
     private final Lifecycle lifecycle;
     private final Clock clock;
-    private final Runnable quiesced;
+    private final Runnable onQuiesce;
 
     /** Creates the routes; {@code quiesced} runs when a quiesce has started and closes the idle client connections. */
-    public LifecycleCalls(Lifecycle lifecycle, Clock clock, Runnable quiesced) {
+    public LifecycleRoutes(Lifecycle lifecycle, Clock clock, Runnable onQuiesce) {
         this.lifecycle = lifecycle;
         this.clock = clock;
-        this.quiesced = quiesced;
+        this.onQuiesce = onQuiesce;
     }
 
     /** Adds these routes to {@code routes}. */
     public Routes.Builder addTo(Routes.Builder routes) {
-        return routes.add("GET", "/admin/health", call -> state(lifecycle.ready() ? OK : UNAVAILABLE))
-                .add("PUT", "/admin/quiesce", call -> quiesce())
-                .add("PUT", "/admin/resume", call -> resume());
+        return routes.add("GET", "/admin/health", request -> phaseResponse(lifecycle.ready() ? OK : UNAVAILABLE))
+                .add("PUT", "/admin/quiesce", request -> quiesce())
+                .add("PUT", "/admin/resume", request -> resume());
     }
 
-    private HttpAnswer quiesce() {
+    private HttpResponse quiesce() {
         if (lifecycle.quiesce(clock.nowMs())) {
             LogEvent.log(LOG.atInfo(), "quiesced: clients are sent away");
-            quiesced.run();
+            onQuiesce.run();
         }
-        return state(lifecycle.phase() == Lifecycle.Phase.QUIESCED ? OK : CONFLICT);
+        return phaseResponse(lifecycle.phase() == Lifecycle.Phase.QUIESCED ? OK : CONFLICT);
     }
 
-    private HttpAnswer resume() {
-        boolean was = lifecycle.phase() == Lifecycle.Phase.QUIESCED;
+    private HttpResponse resume() {
+        boolean wasQuiesced = lifecycle.phase() == Lifecycle.Phase.QUIESCED;
         if (!lifecycle.resume(clock.nowMs())) {
-            return state(CONFLICT);
+            return phaseResponse(CONFLICT);
         }
-        if (was) {
+        if (wasQuiesced) {
             LogEvent.log(LOG.atInfo(), "resumed: clients are taken again");
         }
-        return state(OK);
+        return phaseResponse(OK);
     }
 
-    private HttpAnswer state(int status) {
-        return HttpAnswer.json(
+    private HttpResponse phaseResponse(int status) {
+        return HttpResponse.json(
                 status,
                 "{\"ready\":" + lifecycle.ready() + ",\"phase\":\""
                         + lifecycle.phase().word() + "\"}");
--- a/doorman/src/main/java/barleyspur/admin/Routes.java
+++ b/doorman/src/main/java/barleyspur/admin/Routes.java
@@ -1,6 +1,6 @@
 package barleyspur.admin;
 
-import barleyspur.admin.http.HttpAnswer;
+import barleyspur.admin.http.HttpResponse;
 import barleyspur.admin.http.HttpRequest;
 import java.util.ArrayList;
 import java.util.List;
@@ -16,7 +16,7 @@
     @FunctionalInterface
     public interface Handler {
         /** Returns the response to a request. */
-        HttpAnswer answer(HttpRequest request);
+        HttpResponse handle(HttpRequest request);
     }
 
     private record Route(String method, String path, Handler handler) {}
@@ -33,8 +33,8 @@
 
         /** Adds the handler for a method and path; a second one for the same pair is rejected. */
         public Builder add(String method, String path, Handler handler) {
-            for (Route r : routes) {
-                if (r.method.equals(method) && r.path.equals(path)) {
+            for (Route route : routes) {
+                if (route.method.equals(method) && route.path.equals(path)) {
                     throw new IllegalArgumentException("route " + method + " " + path + " is already defined");
                 }
             }
@@ -54,21 +54,21 @@
     }
 
     /** Returns the response to a request. */
-    public HttpAnswer answer(HttpRequest request) {
+    public HttpResponse handle(HttpRequest request) {
         String path = request.path();
         TreeSet<String> allowed = new TreeSet<>();
-        for (Route r : routes) {
-            if (r.path.equals(path)) {
-                if (r.method.equals(request.method())) {
-                    return r.handler.answer(request);
+        for (Route route : routes) {
+            if (route.path.equals(path)) {
+                if (route.method.equals(request.method())) {
+                    return route.handler.handle(request);
                 }
-                allowed.add(r.method);
+                allowed.add(route.method);
             }
         }
         if (allowed.isEmpty()) {
-            return HttpAnswer.problem(404, "no such path: " + path);
+            return HttpResponse.error(404, "no such path: " + path);
         }
-        return HttpAnswer.problem(405, path + " allows only " + String.join(", ", allowed))
-                .with("Allow", String.join(", ", allowed));
+        return HttpResponse.error(405, path + " allows only " + String.join(", ", allowed))
+                .withHeader("Allow", String.join(", ", allowed));
     }
 }
--- a/doorman/src/main/java/barleyspur/admin/http/HttpRequestDecoder.java
+++ b/doorman/src/main/java/barleyspur/admin/http/HttpRequestDecoder.java
@@ -13,21 +13,21 @@
  * Decodes one HTTP/1.1 request from a stream (RFC 9112): the request line (section 3), header fields (section 5), and a
  * body of {@code Content-Length} bytes (section 6.2). A connection carries one request, so everything after a complete
  * request is discarded. Lines may end in CRLF or in a bare LF (section 2.2). A head of more than {@code maxHead} bytes
- * results in status 431, a body of more than {@code maxBody} bytes in 413. An invalid request throws {@link HttpFault};
+ * results in status 431, a body of more than {@code maxBody} bytes in 413. An invalid request throws {@link HttpRequestException};
  * nothing more is decoded afterwards.
  */
 public final class HttpRequestDecoder extends ByteToMessageDecoder {
 
-    private static final int HTTP_BAD = 400;
-    private static final int HTTP_TOO_LARGE = 413;
-    private static final int HTTP_HEAD_TOO_LARGE = 431;
-    private static final int HTTP_NOT_IMPLEMENTED = 501;
-    private static final int HTTP_VERSION = 505;
+    private static final int BAD_REQUEST = 400;
+    private static final int CONTENT_TOO_LARGE = 413;
+    private static final int HEADER_FIELDS_TOO_LARGE = 431;
+    private static final int NOT_IMPLEMENTED = 501;
+    private static final int VERSION_NOT_SUPPORTED = 505;
     /** The characters that a token may contain besides letters and digits (RFC 9110 section 5.6.2). */
-    private static final String TCHAR = "!#$%&'*+-.^_`|~";
+    private static final String TOKEN_CHARACTERS = "!#$%&'*+-.^_`|~";
 
-    private final int maxHead;
-    private final int maxBody;
+    private final int maxHeadBytes;
+    private final int maxBodyBytes;
     /** How many of the readable bytes have already been searched for the end of the head. */
     private int searched;
 
@@ -38,13 +38,13 @@
     private boolean done;
 
     /** Creates a decoder with the maximum sizes of head and body in bytes. */
-    public HttpRequestDecoder(int maxHead, int maxBody) {
-        this.maxHead = maxHead;
-        this.maxBody = maxBody;
+    public HttpRequestDecoder(int maxHeadBytes, int maxBodyBytes) {
+        this.maxHeadBytes = maxHeadBytes;
+        this.maxBodyBytes = maxBodyBytes;
     }
 
     /** Whether a complete request has been received, or an invalid one was rejected. */
-    public boolean whole() {
+    public boolean done() {
         return done;
     }
 
@@ -54,7 +54,7 @@
             in.skipBytes(in.readableBytes());
             return;
         }
-        if (bodyLength < 0 && !head(in)) {
+        if (bodyLength < 0 && !parseHead(in)) {
             return;
         }
         if (in.readableBytes() >= bodyLength) {
@@ -65,17 +65,17 @@
     }
 
     /** Parses the head and returns true if it is complete. */
-    private boolean head(ByteBuf in) {
+    private boolean parseHead(ByteBuf in) {
         int start = in.readerIndex();
         int end = endOfHead(in, start);
         if (end < 0) {
-            if (in.readableBytes() > maxHead) {
-                throw fault(in, HTTP_HEAD_TOO_LARGE, "the head is longer than " + maxHead + " bytes");
+            if (in.readableBytes() > maxHeadBytes) {
+                throw invalid(in, HEADER_FIELDS_TOO_LARGE, "the head is longer than " + maxHeadBytes + " bytes");
             }
             return false;
         }
-        if (end - start > maxHead) {
-            throw fault(in, HTTP_HEAD_TOO_LARGE, "the head is longer than " + maxHead + " bytes");
+        if (end - start > maxHeadBytes) {
+            throw invalid(in, HEADER_FIELDS_TOO_LARGE, "the head is longer than " + maxHeadBytes + " bytes");
         }
         String text = in.toString(start, end - start, StandardCharsets.ISO_8859_1);
         in.readerIndex(end);
@@ -86,16 +86,16 @@
             first++;
         }
         if (first == lines.length) {
-            throw fault(in, HTTP_BAD, "the request line is missing");
+            throw invalid(in, BAD_REQUEST, "the request line is missing");
         }
-        requestLine(in, lines[first]);
+        parseRequestLine(in, lines[first]);
         headers = new LinkedHashMap<>();
         for (int i = first + 1; i < lines.length; i++) {
             if (!lines[i].isEmpty()) {
-                field(in, lines[i]);
+                parseField(in, lines[i]);
             }
         }
-        bodyLength = bodyLength(in);
+        bodyLength = parseBodyLength(in);
         return true;
     }
 
@@ -104,97 +104,97 @@
      * before the request line don't count. A line feed at the end of the input is examined again with the next input.
      */
     private int endOfHead(ByteBuf in, int start) {
-        int last = in.writerIndex();
+        int limit = in.writerIndex();
         int from = start;
-        while (from < last && (in.getByte(from) == '\r' || in.getByte(from) == '\n')) {
+        while (from < limit && (in.getByte(from) == '\r' || in.getByte(from) == '\n')) {
             from++;
         }
-        for (int i = Math.max(from, start + searched); i < last; i++) {
+        for (int i = Math.max(from, start + searched); i < limit; i++) {
             if (in.getByte(i) != '\n') {
                 continue;
             }
-            if (i + 1 < last && in.getByte(i + 1) == '\n') {
+            if (i + 1 < limit && in.getByte(i + 1) == '\n') {
                 return i + 2;
             }
-            if (i + 2 < last && in.getByte(i + 1) == '\r' && in.getByte(i + 2) == '\n') {
+            if (i + 2 < limit && in.getByte(i + 1) == '\r' && in.getByte(i + 2) == '\n') {
                 return i + 3;
             }
-            if (i + 2 >= last) {
+            if (i + 2 >= limit) {
                 searched = i - start;
                 return -1;
             }
         }
-        searched = last - start;
+        searched = limit - start;
         return -1;
     }
 
-    private void requestLine(ByteBuf in, String line) {
+    private void parseRequestLine(ByteBuf in, String line) {
         String[] parts = line.split(" ", -1);
-        if (parts.length != 3 || !token(parts[0]) || parts[1].isEmpty()) {
-            throw fault(in, HTTP_BAD, "the request line is not method, target and version separated by single spaces");
+        if (parts.length != 3 || !isToken(parts[0]) || parts[1].isEmpty()) {
+            throw invalid(in, BAD_REQUEST, "the request line is not method, target and version separated by single spaces");
         }
         if (!parts[2].matches("HTTP/[0-9]\\.[0-9]")) {
-            throw fault(in, HTTP_BAD, "the request line has no valid HTTP version");
+            throw invalid(in, BAD_REQUEST, "the request line has no valid HTTP version");
         }
         if (!parts[2].startsWith("HTTP/1.")) {
-            throw fault(in, HTTP_VERSION, "version " + parts[2] + " is not supported");
+            throw invalid(in, VERSION_NOT_SUPPORTED, "version " + parts[2] + " is not supported");
         }
         for (int i = 0; i < parts[1].length(); i++) {
             char c = parts[1].charAt(i);
             if (c <= ' ' || c >= 0x7f) {
-                throw fault(in, HTTP_BAD, "the target contains a character that is not visible ASCII");
+                throw invalid(in, BAD_REQUEST, "the target contains a character that is not visible ASCII");
             }
         }
         if (parts[1].charAt(0) != '/') {
-            throw fault(in, HTTP_BAD, "the target is not in origin form");
+            throw invalid(in, BAD_REQUEST, "the target is not in origin form");
         }
         method = parts[0];
         target = parts[1];
     }
 
     /** Parses a header field (RFC 9112 section 5). */
-    private void field(ByteBuf in, String line) {
+    private void parseField(ByteBuf in, String line) {
         if (line.charAt(0) == ' ' || line.charAt(0) == '\t') {
-            throw fault(in, HTTP_BAD, "folded header lines are not supported");
+            throw invalid(in, BAD_REQUEST, "folded header lines are not supported");
         }
         int colon = line.indexOf(':');
-        if (colon <= 0 || !token(line.substring(0, colon))) {
-            throw fault(in, HTTP_BAD, "a header line does not start with a name and a colon");
+        if (colon <= 0 || !isToken(line.substring(0, colon))) {
+            throw invalid(in, BAD_REQUEST, "a header line does not start with a name and a colon");
         }
         String name = line.substring(0, colon).toLowerCase(Locale.ROOT);
         String value = line.substring(colon + 1).strip();
         headers.merge(name, value, (a, b) -> a + ", " + b);
     }
 
-    private int bodyLength(ByteBuf in) {
+    private int parseBodyLength(ByteBuf in) {
         if (headers.containsKey("transfer-encoding")) {
-            throw fault(in, HTTP_NOT_IMPLEMENTED, "transfer codings are not supported; send Content-Length");
+            throw invalid(in, NOT_IMPLEMENTED, "transfer codings are not supported; send Content-Length");
         }
         String length = headers.get("content-length");
         if (length == null) {
             return 0;
         }
         // RFC 9110 section 8.6: a list that repeats one value counts as that value.
-        String[] figures = length.split("\\s*,\\s*");
-        for (String f : figures) {
-            if (!f.equals(figures[0]) || !f.matches("[0-9]{1,10}")) {
-                throw fault(in, HTTP_BAD, "Content-Length is not a single valid number");
+        String[] values = length.split("\\s*,\\s*");
+        for (String f : values) {
+            if (!f.equals(values[0]) || !f.matches("[0-9]{1,10}")) {
+                throw invalid(in, BAD_REQUEST, "Content-Length is not a single valid number");
             }
         }
-        long bytes = Long.parseLong(figures[0]);
-        if (bytes > maxBody) {
-            throw fault(in, HTTP_TOO_LARGE, "the body is longer than " + maxBody + " bytes");
+        long bytes = Long.parseLong(values[0]);
+        if (bytes > maxBodyBytes) {
+            throw invalid(in, CONTENT_TOO_LARGE, "the body is longer than " + maxBodyBytes + " bytes");
         }
         return (int) bytes;
     }
 
-    private static boolean token(String text) {
+    private static boolean isToken(String text) {
         if (text.isEmpty()) {
             return false;
         }
         for (int i = 0; i < text.length(); i++) {
             char c = text.charAt(i);
-            if (!(c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || TCHAR.indexOf(c) >= 0)) {
+            if (!(c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || TOKEN_CHARACTERS.indexOf(c) >= 0)) {
                 return false;
             }
         }
@@ -202,9 +202,9 @@
     }
 
     /** Creates the exception and discards the input: otherwise the end of the connection would cause a second one. */
-    private HttpFault fault(ByteBuf in, int status, String message) {
+    private HttpRequestException invalid(ByteBuf in, int status, String message) {
         done = true;
         in.skipBytes(in.readableBytes());
-        return new HttpFault(status, message);
+        return new HttpRequestException(status, message);
     }
 }
--- a/doorman/src/main/java/barleyspur/admin/http/HttpFault.java
+++ b/doorman/src/main/java/barleyspur/admin/http/HttpRequestException.java
@@ -7,14 +7,14 @@
  * for input that isn't valid HTTP, 413 for a body that is too long, 431 for a head that is too long, 501 for a transfer
  * coding, 505 for another HTTP version.
  */
-public final class HttpFault extends DecoderException {
+public final class HttpRequestException extends DecoderException {
 
     private static final long serialVersionUID = 1L;
 
     private final int status;
 
     /** Creates an exception for a response with this status. */
-    public HttpFault(int status, String message) {
+    public HttpRequestException(int status, String message) {
         super(message);
         this.status = status;
     }
--- a/doorman/src/main/java/barleyspur/admin/http/HttpAnswer.java
+++ b/doorman/src/main/java/barleyspur/admin/http/HttpResponse.java
@@ -12,9 +12,9 @@
  *
  * @param headers header fields in addition to those that every response has
  */
-public record HttpAnswer(int status, Map<String, String> headers, String contentType, String body) {
+public record HttpResponse(int status, Map<String, String> headers, String contentType, String body) {
 
-    private static final Map<Integer, String> REASONS = Map.ofEntries(
+    private static final Map<Integer, String> REASON_PHRASES = Map.ofEntries(
             Map.entry(200, "OK"),
             Map.entry(400, "Bad Request"),
             Map.entry(404, "Not Found"),
@@ -29,20 +29,20 @@
             Map.entry(505, "HTTP Version Not Supported"));
 
     /** Returns a response whose body is one JSON object. */
-    public static HttpAnswer json(int status, String body) {
-        return new HttpAnswer(status, Map.of(), "application/json", body + "\n");
+    public static HttpResponse json(int status, String body) {
+        return new HttpResponse(status, Map.of(), "application/json", body + "\n");
     }
 
     /** Returns an error response with the message as plain text. */
-    public static HttpAnswer problem(int status, String message) {
-        return new HttpAnswer(status, Map.of(), "text/plain; charset=utf-8", message + "\n");
+    public static HttpResponse error(int status, String message) {
+        return new HttpResponse(status, Map.of(), "text/plain; charset=utf-8", message + "\n");
     }
 
     /** Returns a copy with an additional header field. */
-    public HttpAnswer with(String name, String value) {
-        Map<String, String> more = new LinkedHashMap<>(headers);
-        more.put(name, value);
-        return new HttpAnswer(status, Map.copyOf(more), contentType, body);
+    public HttpResponse withHeader(String name, String value) {
+        Map<String, String> extended = new LinkedHashMap<>(headers);
+        extended.put(name, value);
+        return new HttpResponse(status, Map.copyOf(extended), contentType, body);
     }
 
     /** Returns the encoded response. */
@@ -52,7 +52,7 @@
                 .append("HTTP/1.1 ")
                 .append(status)
                 .append(' ')
-                .append(REASONS.getOrDefault(status, "Status"))
+                .append(REASON_PHRASES.getOrDefault(status, "Status"))
                 .append("\r\n");
         headers.forEach(
                 (name, value) -> head.append(name).append(": ").append(value).append("\r\n"));
@@ -61,8 +61,8 @@
                 .append("\r\nContent-Length: ")
                 .append(content.length)
                 .append("\r\nConnection: close\r\n\r\n");
-        byte[] start = head.toString().getBytes(StandardCharsets.ISO_8859_1);
-        ByteBuf out = alloc.buffer(start.length + content.length);
-        return out.writeBytes(start).writeBytes(content);
+        byte[] headBytes = head.toString().getBytes(StandardCharsets.ISO_8859_1);
+        ByteBuf out = alloc.buffer(headBytes.length + content.length);
+        return out.writeBytes(headBytes).writeBytes(content);
     }
 }
--- a/doorman/src/main/java/barleyspur/budget/net/BudgetPort.java
+++ b/doorman/src/main/java/barleyspur/budget/net/BudgetPort.java
@@ -1,7 +1,7 @@
 package barleyspur.budget.net;
 
 import barleyspur.admin.Routes;
-import barleyspur.admin.http.HttpAnswer;
+import barleyspur.admin.http.HttpResponse;
 import barleyspur.budget.Action;
 import barleyspur.budget.Budgets;
 import barleyspur.budget.Share;
@@ -68,7 +68,7 @@
         routes.add(
                 "GET",
                 "/admin/budget",
-                call -> HttpAnswer.json(
+                call -> HttpResponse.json(
                         OK,
                         BudgetCalls.json(name, budgets == null ? null : budgets.ledger(clock.nowMs()))
                                 .toString()));
--- a/doorman/src/main/java/barleyspur/cli/SecondAddress.java
+++ b/doorman/src/main/java/barleyspur/cli/AdminClient.java
@@ -13,27 +13,27 @@
 import org.json.JSONObject;
 
 /** Reads from the administration address of a running doorman, for commands that show its state. */
-final class SecondAddress {
+final class AdminClient {
 
-    private static final Duration PATIENCE = Duration.ofSeconds(3);
+    private static final Duration TIMEOUT = Duration.ofSeconds(3);
 
-    private SecondAddress() {}
+    private AdminClient() {}
 
     /** Returns the option that names the administration address. */
     static Option option() {
-        return Command.value(
+        return Command.option(
                 "admin",
                 "ADDRESS",
                 "the doorman's administration address, such as 127.0.0.1:9101; default: the variable RELAY_MGMT");
     }
 
     /** Returns the URI of a path at the address that the option or the variable RELAY_MGMT names. */
-    static URI uri(CommandLine line, String path) throws Command.Unusable {
+    static URI uri(CommandLine line, String path) throws Command.InvalidInputException {
         String address = line.getOptionValue("admin", System.getenv().getOrDefault("RELAY_MGMT", ""));
         try {
             Configuration.address("--admin", address);
         } catch (IllegalArgumentException e) {
-            throw Command.Unusable.line(
+            throw Command.InvalidInputException.commandLine(
                     "neither --admin nor the variable RELAY_MGMT is an address with a port: '" + address + "'");
         }
         return URI.create("http://" + address + path);
@@ -42,22 +42,22 @@
     /**
      * Returns the JSON object at {@code uri}.
      *
-     * @param missing the error message for status 404, to follow the doorman's address
+     * @param notFoundMessage the error message for status 404, to follow the doorman's address
      */
-    static JSONObject get(URI uri, String missing) throws IOException {
+    static JSONObject get(URI uri, String notFoundMessage) throws IOException {
         try {
-            HttpResponse<String> answer = HttpClient.newBuilder()
-                    .connectTimeout(PATIENCE)
+            HttpResponse<String> response = HttpClient.newBuilder()
+                    .connectTimeout(TIMEOUT)
                     .build()
-                    .send(HttpRequest.newBuilder(uri).timeout(PATIENCE).build(), HttpResponse.BodyHandlers.ofString());
-            if (answer.statusCode() == 404) {
-                throw new IOException("the doorman at " + uri.getAuthority() + " " + missing);
+                    .send(HttpRequest.newBuilder(uri).timeout(TIMEOUT).build(), HttpResponse.BodyHandlers.ofString());
+            if (response.statusCode() == 404) {
+                throw new IOException("the doorman at " + uri.getAuthority() + " " + notFoundMessage);
             }
-            if (answer.statusCode() != 200) {
-                throw new IOException(uri + " returned status " + answer.statusCode() + ": "
-                        + answer.body().strip());
+            if (response.statusCode() != 200) {
+                throw new IOException(uri + " returned status " + response.statusCode() + ": "
+                        + response.body().strip());
             }
-            return new JSONObject(answer.body());
+            return new JSONObject(response.body());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException("interrupted", e);
--- a/doorman/src/main/java/barleyspur/cli/BudgetCommand.java
+++ b/doorman/src/main/java/barleyspur/cli/BudgetCommand.java
@@ -11,137 +11,137 @@
 /** The command {@code budget status|why NAME}, which shows a running doorman's shares of the fleet's budgets. */
 final class BudgetCommand {
 
-    private static final String NONE = "has no budgets: its settings contain no block budgets";
+    private static final String NO_BUDGETS = "has no budgets: its settings contain no block budgets";
 
     private BudgetCommand() {}
 
-    static Command budget() {
+    static Command command() {
         return new Command(
                 "budget",
                 "status|why NAME",
                 "Show a running doorman's shares of the fleet's budgets and, if it divides the budgets, "
                         + "which doorman holds how much, until when, and what is withheld and why.",
-                new Options().addOption(SecondAddress.option()).addOption(Command.flag("json", "print JSON")),
+                new Options().addOption(AdminClient.option()).addOption(Command.flag("json", "print JSON")),
                 BudgetCommand::run);
     }
 
-    private static int run(CommandLine line) throws Command.Unusable, IOException {
-        List<String> words = line.getArgList();
-        String what = words.isEmpty() ? "status" : words.get(0);
-        boolean why = what.equals("why");
-        if (!List.of("status", "why").contains(what) || words.size() > (why ? 2 : 1)) {
-            throw Command.Unusable.line("expected status or why NAME, not " + String.join(" ", words));
+    private static int run(CommandLine line) throws Command.InvalidInputException, IOException {
+        List<String> arguments = line.getArgList();
+        String subcommand = arguments.isEmpty() ? "status" : arguments.get(0);
+        boolean forBudget = subcommand.equals("why");
+        if (!List.of("status", "why").contains(subcommand) || arguments.size() > (forBudget ? 2 : 1)) {
+            throw Command.InvalidInputException.commandLine("expected status or why NAME, not " + String.join(" ", arguments));
         }
-        if (why && words.size() < 2) {
-            throw Command.Unusable.line("why needs the name of a budget, such as cold or cold:s-00c41f7a");
+        if (forBudget && arguments.size() < 2) {
+            throw Command.InvalidInputException.commandLine("why needs the name of a budget, such as cold or cold:s-00c41f7a");
         }
-        URI uri = SecondAddress.uri(line, "/admin/budget");
-        JSONObject ledger = SecondAddress.get(uri, NONE);
-        if (!ledger.getBoolean("ready")) {
-            System.err.println("barleyspur: " + ledger.getString("self") + " has no address in its fleet yet");
+        URI uri = AdminClient.uri(line, "/admin/budget");
+        JSONObject state = AdminClient.get(uri, NO_BUDGETS);
+        if (!state.getBoolean("ready")) {
+            System.err.println("barleyspur: " + state.getString("self") + " has no address in its fleet yet");
             return Command.FAILED;
         }
-        return why ? why(ledger, words.get(1), line.hasOption("json")) : status(ledger, line.hasOption("json"));
+        return forBudget ? showBudget(state, arguments.get(1), line.hasOption("json")) : showStatus(state, line.hasOption("json"));
     }
 
     /** Prints all budgets; fails if the doorman needs shares and the doorman that divides them does not respond. */
-    private static int status(JSONObject ledger, boolean json) {
-        boolean lost = ledger.getBoolean("lost");
+    private static int showStatus(JSONObject state, boolean json) {
+        boolean noDivider = state.getBoolean("lost");
         if (json) {
-            System.out.println(ledger.toString(2));
-            return lost ? Command.FAILED : Command.OK;
+            System.out.println(state.toString(2));
+            return noDivider ? Command.FAILED : Command.OK;
         }
         System.out.printf(
                 "%s %s%s%n",
-                ledger.getString("self"),
-                ledger.getBoolean("divides")
-                        ? "divides, for another " + ledger.getLong("term_left_ms") + " ms unless the voters renew it"
-                        : lost
+                state.getString("self"),
+                state.getBoolean("divides")
+                        ? "divides, for another " + state.getLong("term_left_ms") + " ms unless the voters renew it"
+                        : noDivider
                                 ? "HEARS NO DIVIDER"
-                                : ledger.getJSONArray("own").isEmpty()
+                                : state.getJSONArray("own").isEmpty()
                                         ? "has asked for nothing"
-                                                + (ledger.getString("divider").isEmpty()
+                                                + (state.getString("divider").isEmpty()
                                                         ? ""
-                                                        : "; the divider is at " + ledger.getString("divider"))
-                                        : "asks the divider at " + ledger.getString("divider"),
-                ledger.getBoolean("silent") ? "; it has just started, and neither votes nor uses floors yet" : "");
-        for (Object o : ledger.getJSONArray("own")) {
-            System.out.println("  " + own((JSONObject) o));
+                                                        : "; the divider is at " + state.getString("divider"))
+                                        : "asks the divider at " + state.getString("divider"),
+                state.getBoolean("silent") ? "; it has just started, and neither votes nor uses floors yet" : "");
+        for (Object entry : state.getJSONArray("own")) {
+            System.out.println("  " + describeOwn((JSONObject) entry));
         }
-        for (Object o : ledger.getJSONArray("divided")) {
-            row((JSONObject) o, false);
+        for (Object entry : state.getJSONArray("divided")) {
+            printDivided((JSONObject) entry, false);
         }
-        return lost ? Command.FAILED : Command.OK;
+        return noDivider ? Command.FAILED : Command.OK;
     }
 
-    private static String own(JSONObject o) {
+    private static String describeOwn(JSONObject share) {
         return String.format(
                 "%-24s %-6s holds %d%s of %d for %.1f s, %s %d, demand %.1f%s",
-                o.getString("budget"),
-                o.getString("kind"),
-                o.getLong("amount"),
-                o.getLong("floor") > 0 ? " and a floor of " + o.getLong("floor") : "",
-                o.getLong("whole"),
-                o.getLong("left_ms") / 1e3,
-                o.getString("kind").equals("amount") ? "spent" : "using",
-                o.getLong("using"),
-                o.getDouble("demand"),
-                o.getLong("overslept") + o.getLong("overheld") == 0
+                share.getString("budget"),
+                share.getString("kind"),
+                share.getLong("amount"),
+                share.getLong("floor") > 0 ? " and a floor of " + share.getLong("floor") : "",
+                share.getLong("whole"),
+                share.getLong("left_ms") / 1e3,
+                share.getString("kind").equals("amount") ? "spent" : "using",
+                share.getLong("using"),
+                share.getDouble("demand"),
+                share.getLong("overslept") + share.getLong("overheld") == 0
                         ? ""
-                        : "; BEYOND BOUNDS: " + o.getLong("overslept") + " sends after a pause, "
-                                + o.getLong("overheld") + " places held too long");
+                        : "; BEYOND BOUNDS: " + share.getLong("overslept") + " sends after a pause, "
+                                + share.getLong("overheld") + " places held too long");
     }
 
-    private static void row(JSONObject row, boolean all) {
-        JSONArray holdings = row.getJSONArray("holdings");
+    private static void printDivided(JSONObject budget, boolean includeUnused) {
+        JSONArray holdings = budget.getJSONArray("holdings");
         System.out.printf(
                 "divides %s: %d of %d out among %d%s%n",
-                row.getString("budget"),
-                row.getLong("out"),
-                row.getLong("limit"),
+                budget.getString("budget"),
+                budget.getLong("out"),
+                budget.getLong("limit"),
                 holdings.length(),
-                row.getString("why").isEmpty() ? "" : "; " + row.getString("why"));
-        for (Object o : holdings) {
-            JSONObject h = (JSONObject) o;
-            if (all || h.getLong("committed") > 0) {
+                budget.getString("why").isEmpty() ? "" : "; " + budget.getString("why"));
+        for (Object entry : holdings) {
+            JSONObject holding = (JSONObject) entry;
+            if (includeUnused || holding.getLong("committed") > 0) {
                 System.out.printf(
                         "    %-12s may use %d for %.1f s, is to have %d, wants %d, uses %d, heard %.1f s ago%s%n",
-                        h.getString("doorman"),
-                        h.getLong("committed"),
-                        h.getLong("left_ms") / 1e3,
-                        h.getLong("target"),
-                        h.getLong("wants"),
-                        h.getLong("using"),
-                        h.getLong("heard_ms") / 1e3,
-                        h.getBoolean("gone") ? ", has left" : "");
+                        holding.getString("doorman"),
+                        holding.getLong("committed"),
+                        holding.getLong("left_ms") / 1e3,
+                        holding.getLong("target"),
+                        holding.getLong("wants"),
+                        holding.getLong("using"),
+                        holding.getLong("heard_ms") / 1e3,
+                        holding.getBoolean("gone") ? ", has left" : "");
             }
         }
     }
 
-    private static int why(JSONObject ledger, String name, boolean json) {
-        boolean known = false;
-        for (Object o : ledger.getJSONArray("own")) {
-            JSONObject own = (JSONObject) o;
-            if (own.getString("budget").equals(name)) {
-                System.out.println(json ? own.toString(2) : own(own));
-                known = true;
+    private static int showBudget(JSONObject state, String name, boolean json) {
+        boolean found = false;
+        for (Object entry : state.getJSONArray("own")) {
+            JSONObject share = (JSONObject) entry;
+            if (share.getString("budget").equals(name)) {
+                System.out.println(json ? share.toString(2) : describeOwn(share));
+                found = true;
             }
         }
-        for (Object o : ledger.getJSONArray("divided")) {
-            JSONObject row = (JSONObject) o;
-            if (row.getString("budget").equals(name)) {
+        for (Object entry : state.getJSONArray("divided")) {
+            JSONObject budget = (JSONObject) entry;
+            if (budget.getString("budget").equals(name)) {
                 if (json) {
-                    System.out.println(row.toString(2));
+                    System.out.println(budget.toString(2));
                 } else {
-                    row(row, true);
+                    printDivided(budget, true);
                 }
-                known = true;
+                found = true;
             }
         }
-        if (!known) {
-            System.err.println("barleyspur: " + ledger.getString("self") + " neither uses nor divides a budget " + name
-                    + (ledger.getBoolean("divides") ? "" : "; the divider is at " + ledger.getString("divider")));
+        if (!found) {
+            System.err.println("barleyspur: " + state.getString("self") + " neither uses nor divides a budget " + name
+                    + (state.getBoolean("divides") ? "" : "; the divider is at " + state.getString("divider")));
         }
-        return known ? Command.OK : Command.FAILED;
+        return found ? Command.OK : Command.FAILED;
     }
 }
--- a/doorman/src/main/java/barleyspur/cli/Cli.java
+++ b/doorman/src/main/java/barleyspur/cli/Cli.java
@@ -59,7 +59,7 @@
                                 "",
                                 "Run a doorman until SIGTERM.",
                                 new Options()
-                                        .addOption(Command.value(
+                                        .addOption(Command.option(
                                                 "settings",
                                                 "FILE",
                                                 "an HCL file with barleyspur's own settings; without it, all features "
@@ -71,17 +71,17 @@
                                 "",
                                 "Validate the configuration that RELAY_CONFIG names.",
                                 new Options()
-                                        .addOption(Command.value(
+                                        .addOption(Command.option(
                                                 "expect", "FILE", "also check it against these routing expectations"))
-                                        .addOption(Command.value(
+                                        .addOption(Command.option(
                                                 "settings",
                                                 "FILE",
                                                 "also validate these settings of barleyspur's own")),
                                 Cli::check);
                     case "expect" -> ExpectCommand.expect();
                     case "explain" -> ExpectCommand.explain();
-                    case "fleet" -> FleetCommand.fleet();
-                    case "budget" -> BudgetCommand.budget();
+                    case "fleet" -> FleetCommand.command();
+                    case "budget" -> BudgetCommand.command();
                     case "rehearse" ->
                         Command.of(name, "Start and stop a doorman on the loopback interface.", line -> rehearse());
                     case "simhost" ->
@@ -91,7 +91,7 @@
                                 line -> Adapter.run(
                                         new FileInputStream(FileDescriptor.in),
                                         new FileOutputStream(FileDescriptor.out)));
-                    case "version" -> Command.of(name, "Print the version.", line -> version());
+                    case "version" -> Command.of(name, "Print the version.", line -> printVersion());
                     default -> null;
                 };
         if (command == null) {
@@ -107,44 +107,44 @@
         }
     }
 
-    private static int version() {
+    private static int printVersion() {
         String version = Cli.class.getPackage().getImplementationVersion();
         System.out.println("barleyspur " + (version == null ? "(not packaged)" : version));
         return Command.OK;
     }
 
-    private static OwnSettings settings(CommandLine line) throws Command.Unusable {
+    private static OwnSettings loadSettings(CommandLine line) throws Command.InvalidInputException {
         try {
             return line.hasOption("settings")
                     ? OwnSettings.load(Path.of(line.getOptionValue("settings")))
                     : OwnSettings.none();
         } catch (Hcl.Invalid e) {
-            throw Command.Unusable.input("settings: " + e.getMessage());
+            throw Command.InvalidInputException.input("settings: " + e.getMessage());
         }
     }
 
-    private static void match(OwnSettings settings, Configuration configuration) throws Command.Unusable {
+    private static void checkSettings(OwnSettings settings, Configuration configuration) throws Command.InvalidInputException {
         try {
             settings.check(configuration);
         } catch (Hcl.Invalid e) {
-            throw Command.Unusable.input("settings: " + e.getMessage());
+            throw Command.InvalidInputException.input("settings: " + e.getMessage());
         }
     }
 
-    private static int check(CommandLine line) throws Command.Unusable {
-        Configuration configuration = configuration();
-        match(settings(line), configuration);
+    private static int check(CommandLine line) throws Command.InvalidInputException {
+        Configuration configuration = loadConfiguration();
+        checkSettings(loadSettings(line), configuration);
         if (line.hasOption("expect")) {
-            List<String> broken;
+            List<String> violations;
             try {
-                broken = ExpectationCheck.broken(
+                violations = ExpectationCheck.broken(
                         Path.of(System.getenv("RELAY_CONFIG")),
                         new OwnSettings.Expectations(List.of(Path.of(line.getOptionValue("expect"))), 200, 1));
             } catch (Configuration.Invalid | Hcl.Invalid e) {
-                throw Command.Unusable.input(e.getMessage());
+                throw Command.InvalidInputException.input(e.getMessage());
             }
-            if (!broken.isEmpty()) {
-                broken.forEach(b -> System.err.println("barleyspur: " + b));
+            if (!violations.isEmpty()) {
+                violations.forEach(b -> System.err.println("barleyspur: " + b));
                 System.err.println("barleyspur: barleyspur expect " + line.getOptionValue("expect") + " shows details");
                 return Command.FAILED;
             }
@@ -153,15 +153,15 @@
         return Command.OK;
     }
 
-    private static Configuration configuration() throws Command.Unusable {
+    private static Configuration loadConfiguration() throws Command.InvalidInputException {
         try {
             return Configuration.load(System.getenv());
         } catch (Configuration.Invalid e) {
-            throw Command.Unusable.input("configuration: " + e.getMessage());
+            throw Command.InvalidInputException.input("configuration: " + e.getMessage());
         }
     }
 
-    private static int rehearse() throws Command.Unusable, IOException {
+    private static int rehearse() throws Command.InvalidInputException, IOException {
         try {
             Node node = new Node(Configuration.example(), OwnSettings.none());
             node.start();
@@ -169,7 +169,7 @@
             node.awaitEnd();
             return Command.OK;
         } catch (Configuration.Invalid e) {
-            throw Command.Unusable.input("configuration: " + e.getMessage());
+            throw Command.InvalidInputException.input("configuration: " + e.getMessage());
         } catch (ExecutionException e) {
             throw new IOException(e.getMessage(), e);
         } catch (InterruptedException e) {
@@ -179,39 +179,39 @@
     }
 
     /** Loads the configuration for a reload; rejects it if it violates the routing expectations of the settings. */
-    private static Configuration reread(OwnSettings settings) throws Configuration.Invalid {
-        Configuration next = Configuration.load(System.getenv());
+    private static Configuration reloadConfiguration(OwnSettings settings) throws Configuration.Invalid {
+        Configuration reloaded = Configuration.load(System.getenv());
         if (settings.expectations() != null) {
             ExpectationCheck.require(Path.of(System.getenv("RELAY_CONFIG")), settings.expectations());
         }
-        return next;
+        return reloaded;
     }
 
     /** Loads barleyspur's own settings for a reload; a file with any error is rejected as a whole. */
-    private static OwnSettings rereadOwn(CommandLine line, OwnSettings before) throws Configuration.Invalid {
+    private static OwnSettings reloadSettings(CommandLine line, OwnSettings current) throws Configuration.Invalid {
         if (!line.hasOption("settings")) {
-            return before;
+            return current;
         }
         try {
-            OwnSettings next = OwnSettings.load(Path.of(line.getOptionValue("settings")));
-            next.check(Configuration.load(System.getenv()));
-            return next;
+            OwnSettings reloaded = OwnSettings.load(Path.of(line.getOptionValue("settings")));
+            reloaded.check(Configuration.load(System.getenv()));
+            return reloaded;
         } catch (Hcl.Invalid e) {
             throw new Configuration.Invalid("settings: " + e.getMessage());
         }
     }
 
-    private static int serve(CommandLine line) throws Command.Unusable, IOException {
+    private static int serve(CommandLine line) throws Command.InvalidInputException, IOException {
         ReloadSignal reloadSignal = new ReloadSignal();
         if (!reloadSignal.install()) {
             LOG.warn("SIGHUP is ignored by who started this process: the configuration is never read anew");
         }
-        OwnSettings settings = settings(line);
-        Configuration configuration = configuration();
-        match(settings, configuration);
+        OwnSettings settings = loadSettings(line);
+        Configuration configuration = loadConfiguration();
+        checkSettings(settings, configuration);
         try {
             Node node = new Node(configuration, settings);
-            reloadSignal.reloadBy(() -> node.reload(() -> reread(settings), () -> rereadOwn(line, settings)));
+            reloadSignal.setTask(() -> node.reload(() -> reloadConfiguration(settings), () -> reloadSettings(line, settings)));
             // After SIGTERM the JVM waits for its shutdown hooks, so the hook waits for the drain. It is added before
             // the start, so that clients are never served without it.
             Runtime.getRuntime()
--- a/doorman/src/main/java/barleyspur/cli/Command.java
+++ b/doorman/src/main/java/barleyspur/cli/Command.java
@@ -14,7 +14,7 @@
  *
  * @param arguments the arguments besides the options, as shown in the help; empty if none are accepted
  */
-record Command(String name, String arguments, String about, Options options, Action action) {
+record Command(String name, String arguments, String description, Options options, Action action) {
 
     /** Exit code of success. */
     static final int OK = 0;
@@ -26,50 +26,50 @@
     static final int USAGE = 2;
 
     /** Thrown for an invalid command line or input. */
-    static final class Unusable extends Exception {
+    static final class InvalidInputException extends Exception {
         private static final long serialVersionUID = 1L;
         private final boolean commandLine;
 
-        private Unusable(String message, boolean commandLine) {
+        private InvalidInputException(String message, boolean commandLine) {
             super(message);
             this.commandLine = commandLine;
         }
 
         /** An error in the command line, after which the help is mentioned. */
-        static Unusable line(String message) {
-            return new Unusable(message, true);
+        static InvalidInputException commandLine(String message) {
+            return new InvalidInputException(message, true);
         }
 
         /** An error in a file or other input. */
-        static Unusable input(String message) {
-            return new Unusable(message, false);
+        static InvalidInputException input(String message) {
+            return new InvalidInputException(message, false);
         }
     }
 
     /** The implementation of a command. */
     interface Action {
         /** Runs the command and returns the exit code, or {@link Cli#RUNNING}. */
-        int run(CommandLine line) throws Unusable, IOException;
+        int run(CommandLine line) throws InvalidInputException, IOException;
     }
 
     /** Returns a command without arguments and options. */
-    static Command of(String name, String about, Action action) {
-        return new Command(name, "", about, new Options(), action);
+    static Command of(String name, String description, Action action) {
+        return new Command(name, "", description, new Options(), action);
     }
 
     /** Returns an option with a value. */
-    static Option value(String name, String value, String about) {
+    static Option option(String name, String argument, String description) {
         return Option.builder()
                 .longOpt(name)
                 .hasArg()
-                .argName(value)
-                .desc(about)
+                .argName(argument)
+                .desc(description)
                 .get();
     }
 
     /** Returns an option without a value. */
-    static Option flag(String name, String about) {
-        return Option.builder().longOpt(name).desc(about).get();
+    static Option flag(String name, String description) {
+        return Option.builder().longOpt(name).desc(description).get();
     }
 
     /** Parses the arguments, runs the command and returns the exit code, or {@link Cli#RUNNING}. */
@@ -79,21 +79,21 @@
         try {
             CommandLine line = new DefaultParser().parse(options, arguments.toArray(String[]::new));
             if (line.hasOption("help")) {
-                help();
+                printHelp();
                 return OK;
             }
             if (this.arguments.isEmpty() && !line.getArgList().isEmpty()) {
-                throw Unusable.line("unexpected argument " + line.getArgList().get(0));
+                throw InvalidInputException.commandLine("unexpected argument " + line.getArgList().get(0));
             }
             return action.run(line);
         } catch (ParseException e) {
-            return unusable(e.getMessage(), true);
-        } catch (Unusable e) {
-            return unusable(e.getMessage(), e.commandLine);
+            return reportInvalid(e.getMessage(), true);
+        } catch (InvalidInputException e) {
+            return reportInvalid(e.getMessage(), e.commandLine);
         }
     }
 
-    private int unusable(String message, boolean commandLine) {
+    private int reportInvalid(String message, boolean commandLine) {
         System.err.println("barleyspur: " + message);
         if (commandLine) {
             System.err.println("barleyspur: see barleyspur " + name + " --help");
@@ -101,13 +101,13 @@
         return USAGE;
     }
 
-    private void help() throws IOException {
+    private void printHelp() throws IOException {
         HelpFormatter.builder()
                 .setShowSince(false)
                 .get()
                 .printHelp(
                         "barleyspur " + name + " [OPTIONS]" + (arguments.isEmpty() ? "" : " " + arguments),
-                        about,
+                        description,
                         options,
                         "",
                         false);
@@ -116,21 +116,21 @@
     /**
      * Returns the integer value of an option.
      *
-     * @param otherwise the value if the option is missing
+     * @param defaultValue the value if the option is missing
      */
-    static long number(CommandLine line, String option, long otherwise, long least, long most) throws Unusable {
+    static long integer(CommandLine line, String option, long defaultValue, long min, long max) throws InvalidInputException {
         String text = line.getOptionValue(option);
         if (text == null) {
-            return otherwise;
+            return defaultValue;
         }
         try {
             long number = Long.parseLong(text);
-            if (number >= least && number <= most) {
+            if (number >= min && number <= max) {
                 return number;
             }
         } catch (NumberFormatException e) {
             // Reported below, with the name of the option.
         }
-        throw Unusable.line("--" + option + " is not a whole number from " + least + " to " + most + ": " + text);
+        throw InvalidInputException.commandLine("--" + option + " is not a whole number from " + min + " to " + max + ": " + text);
     }
 }
--- a/doorman/src/main/java/barleyspur/cli/ExpectCommand.java
+++ b/doorman/src/main/java/barleyspur/cli/ExpectCommand.java
@@ -25,27 +25,27 @@
 /** The commands {@code expect}, which checks routing expectations, and {@code explain}, which replays a violation. */
 final class ExpectCommand {
 
-    private static final long BUDGET_S = 10;
-    private static final double PROGRESS_S = 2;
+    private static final long DEFAULT_BUDGET_S = 10;
+    private static final double PROGRESS_INTERVAL_S = 2;
     /** Number of steps of a counterexample that {@code expect} prints; {@code explain} prints all. */
-    private static final int MOST_STEPS = 40;
+    private static final int MAX_STEPS = 40;
 
     private ExpectCommand() {}
 
     static Command expect() {
         Options options = new Options()
-                .addOption(Command.value(
+                .addOption(Command.option(
                         "config", "FILE", "the configuration to check; default: the file that RELAY_CONFIG names"))
-                .addOption(Command.value("fleet", "FILE", "an HCL file whose fleets replace the configuration's own"))
-                .addOption(Command.value("seed", "N", "the seed of all random choices; default: 1"))
-                .addOption(Command.value("budget", "SECONDS", "how long to run scenarios; default: " + BUDGET_S))
-                .addOption(Command.value(
+                .addOption(Command.option("fleet", "FILE", "an HCL file whose fleets replace the configuration's own"))
+                .addOption(Command.option("seed", "N", "the seed of all random choices; default: 1"))
+                .addOption(Command.option("budget", "SECONDS", "how long to run scenarios; default: " + DEFAULT_BUDGET_S))
+                .addOption(Command.option(
                         "cases", "N", "run this many scenarios instead, which are the same on any machine"))
-                .addOption(Command.value(
+                .addOption(Command.option(
                         "depth", "N", "run all orders of up to this many events; default: as in the files, or 1"))
-                .addOption(Command.value("only", "NAME", "check this expectation only"))
-                .addOption(Command.value("json", "FILE", "write a report to this file"))
-                .addOption(Command.value(
+                .addOption(Command.option("only", "NAME", "check this expectation only"))
+                .addOption(Command.option("json", "FILE", "write a report to this file"))
+                .addOption(Command.option(
                         "traces", "FOLDER", "write counterexamples to this folder; default: the current one"))
                 .addOption(Command.flag("strict", "treat an expectation that no simulated request matched as refuted"))
                 .addOption(Option.builder()
@@ -71,72 +71,72 @@
                 "Replay a counterexample that expect has written, and print each step. "
                         + "Exit code 0: the expectation holds now; 1: it fails; 2: the trace is invalid.",
                 options,
-                ExpectCommand::retell);
+                ExpectCommand::replay);
     }
 
-    private static Path config(CommandLine line) throws Command.Unusable {
+    private static Path configurationPath(CommandLine line) throws Command.InvalidInputException {
         String config = line.getOptionValue("config", System.getenv("RELAY_CONFIG"));
         if (config == null || config.isBlank()) {
-            throw Command.Unusable.line("neither --config nor the variable RELAY_CONFIG names a configuration");
+            throw Command.InvalidInputException.commandLine("neither --config nor the variable RELAY_CONFIG names a configuration");
         }
         return Path.of(config);
     }
 
-    private static BooleanSupplier more(CommandLine line) throws Command.Unusable {
+    private static BooleanSupplier runLimit(CommandLine line) throws Command.InvalidInputException {
         if (line.hasOption("cases")) {
-            long[] left = {Command.number(line, "cases", 0, 1, 100_000_000)};
-            return () -> left[0]-- > 0;
+            long[] remaining = {Command.integer(line, "cases", 0, 1, 100_000_000)};
+            return () -> remaining[0]-- > 0;
         }
-        long end = System.nanoTime() + Command.number(line, "budget", BUDGET_S, 0, 86_400) * 1_000_000_000;
-        return () -> System.nanoTime() < end;
+        long endNanos = System.nanoTime() + Command.integer(line, "budget", DEFAULT_BUDGET_S, 0, 86_400) * 1_000_000_000;
+        return () -> System.nanoTime() < endNanos;
     }
 
-    private static int check(CommandLine line) throws Command.Unusable, IOException {
+    private static int check(CommandLine line) throws Command.InvalidInputException, IOException {
         List<String> files = new ArrayList<>(line.getArgList());
         if (files.isEmpty()) {
-            throw Command.Unusable.line("no expectation file given");
+            throw Command.InvalidInputException.commandLine("no expectation file given");
         }
         try {
             if (line.hasOption("diff")) {
                 return diff(line, files);
             }
-            Site site = ExpectationCheck.site(config(line));
+            Site site = ExpectationCheck.site(configurationPath(line));
             if (line.hasOption("fleet")) {
                 files.add(line.getOptionValue("fleet"));
             }
             ExpectationCheck check = ExpectationCheck.of(site, files, line.hasOption("fleet"));
             String only = line.getOptionValue("only", "");
             if (!only.isEmpty() && !check.names().contains(only)) {
-                throw Command.Unusable.line("--only: no expectation is named " + only + Hcl.near(only, check.names()));
+                throw Command.InvalidInputException.commandLine("--only: no expectation is named " + only + Hcl.near(only, check.names()));
             }
             if (check.names().isEmpty()) {
-                throw Command.Unusable.input(files.get(0) + ":1: contains no block expectation");
+                throw Command.InvalidInputException.input(files.get(0) + ":1: contains no block expectation");
             }
             return check(line, check, only);
         } catch (Configuration.Invalid | Hcl.Invalid e) {
-            throw Command.Unusable.input(e.getMessage());
+            throw Command.InvalidInputException.input(e.getMessage());
         }
     }
 
     private static int check(CommandLine line, ExpectationCheck check, String only)
-            throws Command.Unusable, IOException {
-        long start = System.nanoTime();
-        Checker.Book book = check.book(only, (int) Command.number(line, "depth", 0, 1, 6));
-        Checker.Result result = Checker.of(book, progress(start))
-                .run(Command.number(line, "seed", 1, 0, Long.MAX_VALUE / 64), more(line));
-        double seconds = (System.nanoTime() - start) / 1e9;
+            throws Command.InvalidInputException, IOException {
+        long startNanos = System.nanoTime();
+        Checker.Book book = check.book(only, (int) Command.integer(line, "depth", 0, 1, 6));
+        Checker.Result result = Checker.of(book, progress(startNanos))
+                .run(Command.integer(line, "seed", 1, 0, Long.MAX_VALUE / 64), runLimit(line));
+        double seconds = (System.nanoTime() - startNanos) / 1e9;
         Path folder = Path.of(line.getOptionValue("traces", "."));
         JSONArray report = new JSONArray();
-        for (Checker.Finding f : result.findings()) {
-            report.put(print(f, check, folder));
+        for (Checker.Finding finding : result.findings()) {
+            report.put(printFinding(finding, check, folder));
         }
-        for (Checker.Conflict c : result.conflicts()) {
+        for (Checker.Conflict conflict : result.conflicts()) {
             System.out.printf(
                     "warning: \"%s\" (%s) and \"%s\" (%s) contradict each other or one is always violated: "
                             + "of %d situations to which both apply, none satisfied both%n",
-                    c.one().name(), c.one().place(), c.other().name(), c.other().place(), c.moments());
+                    conflict.one().name(), conflict.one().place(), conflict.other().name(), conflict.other().place(), conflict.moments());
         }
-        result.covered().forEach(c -> System.out.println("covered: " + c));
+        result.covered().forEach(conflict -> System.out.println("covered: " + conflict));
         System.out.printf(
                 Locale.ROOT,
                 "played: %d scenarios, %d requests, %d events decided, in %.1f s%n",
@@ -157,14 +157,14 @@
         return result.good(line.hasOption("strict")) ? Command.OK : Command.FAILED;
     }
 
-    private static Checker.Progress progress(long start) {
+    private static Checker.Progress progress(long startNanos) {
         return new Checker.Progress() {
             private double last;
 
             @Override
             public void played(long scenarios, long decisions, int refuted) {
-                double now = (System.nanoTime() - start) / 1e9;
-                if (now - last >= PROGRESS_S) {
+                double now = (System.nanoTime() - startNanos) / 1e9;
+                if (now - last >= PROGRESS_INTERVAL_S) {
                     last = now;
                     System.err.printf(
                             Locale.ROOT,
@@ -183,22 +183,22 @@
         };
     }
 
-    private static JSONObject print(Checker.Finding f, ExpectationCheck check, Path folder) throws IOException {
+    private static JSONObject printFinding(Checker.Finding finding, ExpectationCheck check, Path folder) throws IOException {
         System.out.printf(
                 "%-8s \"%s\" (%s): held in %d of %d%n",
-                f.verdict().word(), f.expectation().name(), f.expectation().place(), f.held(), f.judged());
+                finding.verdict().word(), finding.expectation().name(), finding.expectation().place(), finding.held(), finding.judged());
         JSONObject json = new JSONObject()
-                .put("name", f.expectation().name())
-                .put("place", f.expectation().place())
-                .put("verdict", f.verdict().word())
-                .put("judged", f.judged())
-                .put("held", f.held());
-        Checker.Counterexample c = f.counterexample();
-        if (f.verdict() == Checker.Verdict.VACUOUS) {
+                .put("name", finding.expectation().name())
+                .put("place", finding.expectation().place())
+                .put("verdict", finding.verdict().word())
+                .put("judged", finding.judged())
+                .put("held", finding.held());
+        Checker.Counterexample counterexample = finding.counterexample();
+        if (finding.verdict() == Checker.Verdict.VACUOUS) {
             System.out.println(
                     "  no simulated request matched it: does it name a class, state or event that does not occur?");
         }
-        if (f.expectation().form() instanceof Expectation.Figures figures) {
+        if (finding.expectation().form() instanceof Expectation.Figures figures) {
             figures.broken()
                     .forEach(b -> System.out.printf(
                             Locale.ROOT,
@@ -207,96 +207,96 @@
                             b.text(),
                             b.value()));
         }
-        if (c == null) {
+        if (counterexample == null) {
             return json;
         }
         System.out.printf(
                 "  found in scenario %d with %d events, %d requests and %d boxes; now %d, %d and %d, after %d plays%n",
-                f.refutedAtScenario(),
-                c.foundEvents(),
-                c.foundRequests(),
-                c.foundBoxes(),
-                c.scenario().faults().size(),
-                c.scenario().asks().size(),
-                c.scenario().site().boxes().size(),
-                c.plays());
-        System.out.println("  " + Story.fleet(c.scenario().site()));
-        List<Story.Step> steps = Story.of(c.scenario(), f.expectation());
+                finding.refutedAtScenario(),
+                counterexample.foundEvents(),
+                counterexample.foundRequests(),
+                counterexample.foundBoxes(),
+                counterexample.scenario().faults().size(),
+                counterexample.scenario().asks().size(),
+                counterexample.scenario().site().boxes().size(),
+                counterexample.plays());
+        System.out.println("  " + Story.fleet(counterexample.scenario().site()));
+        List<Story.Step> steps = Story.of(counterexample.scenario(), finding.expectation());
         int end = steps.size();
         while (end > 0 && !steps.get(end - 1).broken()) {
             end--;
         }
-        int from = Math.max(0, end - MOST_STEPS);
+        int from = Math.max(0, end - MAX_STEPS);
         if (from > 0) {
             System.out.println("  the first " + from + " steps are left out here");
         }
         for (Story.Step step : steps.subList(from, end)) {
             System.out.printf(Locale.ROOT, "  %9.1f ms  %s%n", step.atMs(), step.text());
         }
-        Path file = folder.resolve(f.expectation().name().replaceAll("[^A-Za-z0-9_-]+", "-") + ".trace.json");
+        Path file = folder.resolve(finding.expectation().name().replaceAll("[^A-Za-z0-9_-]+", "-") + ".trace.json");
         Files.createDirectories(folder);
-        Files.writeString(file, check.trace(c));
+        Files.writeString(file, check.trace(counterexample));
         System.out.println("  replay it: barleyspur explain " + file);
         return json.put("trace", file.toString())
-                .put("scenario", f.refutedAtScenario())
-                .put("events", c.scenario().faults().size())
-                .put("requests", c.scenario().asks().size())
-                .put("boxes", c.scenario().site().boxes().size());
+                .put("scenario", finding.refutedAtScenario())
+                .put("events", counterexample.scenario().faults().size())
+                .put("requests", counterexample.scenario().asks().size())
+                .put("boxes", counterexample.scenario().site().boxes().size());
     }
 
     private static int diff(CommandLine line, List<String> files)
-            throws Command.Unusable, Hcl.Invalid, Configuration.Invalid {
+            throws Command.InvalidInputException, Hcl.Invalid, Configuration.Invalid {
         String[] configs = line.getOptionValues("diff");
         Site before = ExpectationCheck.site(Path.of(configs[0]));
         Site after = ExpectationCheck.site(Path.of(configs[1]));
         ExpectationCheck check = ExpectationCheck.of(before, files, false);
         if (!before.classes().equals(after.classes()) || !before.zones().equals(after.zones())) {
-            throw Command.Unusable.input(configs[1] + ": key settings."
+            throw Command.InvalidInputException.input(configs[1] + ": key settings."
                     + (before.classes().equals(after.classes())
                             ? "areas has other stations"
                             : "grades has other classes")
                     + " than " + configs[0]
                     + ": requests can't be compared");
         }
-        Comparison.Result r = Comparison.of(
+        Comparison.Result comparison = Comparison.of(
                 before,
                 after,
                 check.loads(),
                 check.cases(),
-                Command.number(line, "seed", 1, 0, Long.MAX_VALUE / 64),
+                Command.integer(line, "seed", 1, 0, Long.MAX_VALUE / 64),
                 check.book("", 0).depth(),
-                more(line));
-        for (Comparison.Difference d : r.first()) {
+                runLimit(line));
+        for (Comparison.Difference difference : comparison.first()) {
             System.out.printf(
                     Locale.ROOT,
                     "request %d at %.0f ms (%s, object %x, part %d): other %s%n  before: %s%n  after:  %s%n",
-                    d.ask().number(),
-                    d.ask().atMs(),
-                    d.category(),
-                    d.ask().object(),
-                    d.ask().part(),
-                    d.what(),
-                    d.before(),
-                    d.after());
+                    difference.ask().number(),
+                    difference.ask().atMs(),
+                    difference.category(),
+                    difference.ask().object(),
+                    difference.ask().part(),
+                    difference.what(),
+                    difference.before(),
+                    difference.after());
         }
         System.out.printf(
                 "%d of %d requests go another way in %d scenarios: %s%n",
-                r.changed(), r.requests(), r.scenarios(), r.kinds());
-        return r.changed() == 0 ? Command.OK : Command.FAILED;
+                comparison.changed(), comparison.requests(), comparison.scenarios(), comparison.kinds());
+        return comparison.changed() == 0 ? Command.OK : Command.FAILED;
     }
 
-    private static int retell(CommandLine line) throws Command.Unusable, IOException {
+    private static int replay(CommandLine line) throws Command.InvalidInputException, IOException {
         if (line.getArgList().size() != 1) {
-            throw Command.Unusable.line("expected exactly one trace file");
+            throw Command.InvalidInputException.commandLine("expected exactly one trace file");
         }
         String file = line.getArgList().get(0);
         Traces.Trace trace;
         try {
             trace = Traces.read(file, Files.readString(Path.of(file)));
         } catch (IOException e) {
-            throw Command.Unusable.input(file + " can't be read: " + e.getMessage());
+            throw Command.InvalidInputException.input(file + " can't be read: " + e.getMessage());
         } catch (Hcl.Invalid e) {
-            throw Command.Unusable.input(e.getMessage());
+            throw Command.InvalidInputException.input(e.getMessage());
         }
         System.out.println(Story.fleet(trace.scenario().site()));
         boolean broken = false;
--- a/doorman/src/main/java/barleyspur/cli/ReloadSignal.java
+++ b/doorman/src/main/java/barleyspur/cli/ReloadSignal.java
@@ -9,30 +9,30 @@
     private static final String NAME = "HUP";
 
     /** The task that a signal runs; null until there is a node to reload. */
-    private Runnable reload;
+    private Runnable task;
 
     private boolean pending;
 
     /** Installs the handler; returns false if the parent process has set the signal to be ignored. */
     boolean install() {
-        return Signals.on(NAME, this::raise);
+        return Signals.handle(NAME, this::onSignal);
     }
 
     /** Called when the signal arrives. */
-    synchronized void raise() {
-        if (reload == null) {
+    synchronized void onSignal() {
+        if (task == null) {
             pending = true;
         } else {
-            reload.run();
+            task.run();
         }
     }
 
     /** Sets the task that each signal runs, and runs it now if a signal has already arrived. */
-    synchronized void reloadBy(Runnable task) {
-        reload = task;
+    synchronized void setTask(Runnable reload) {
+        task = reload;
         if (pending) {
             pending = false;
-            task.run();
+            reload.run();
         }
     }
 }
--- a/doorman/src/main/java/barleyspur/cli/Signals.java
+++ b/doorman/src/main/java/barleyspur/cli/Signals.java
@@ -14,20 +14,20 @@
      * Runs {@code task} on a JVM thread each time the signal arrives. Returns false if the parent process has set the
      * signal to be ignored: the JVM keeps that, so the signal never arrives.
      */
-    static boolean on(String name, Runnable task) {
+    static boolean handle(String name, Runnable task) {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object run = Proxy.newProxyInstance(
+            Object handlerProxy = Proxy.newProxyInstance(
                     Signals.class.getClassLoader(), new Class<?>[] {handler}, (proxy, method, arguments) -> {
                         if (method.getName().equals("handle")) {
                             task.run();
                         }
                         return null;
                     });
-            Object before = signal.getMethod("handle", signal, handler)
-                    .invoke(null, signal.getConstructor(String.class).newInstance(name), run);
-            return before != handler.getField("SIG_IGN").get(null);
+            Object previous = signal.getMethod("handle", signal, handler)
+                    .invoke(null, signal.getConstructor(String.class).newInstance(name), handlerProxy);
+            return previous != handler.getField("SIG_IGN").get(null);
         } catch (ReflectiveOperationException e) {
             throw new IllegalStateException("this JVM can't handle SIG" + name, e);
         }
--- a/doorman/src/main/java/barleyspur/fleet/net/FleetCalls.java
+++ b/doorman/src/main/java/barleyspur/fleet/net/FleetCalls.java
@@ -1,7 +1,7 @@
 package barleyspur.fleet.net;
 
 import barleyspur.admin.Routes;
-import barleyspur.admin.http.HttpAnswer;
+import barleyspur.admin.http.HttpResponse;
 import barleyspur.doorman.Clock;
 import barleyspur.fleet.Membership;
 import barleyspur.fleet.Saying;
@@ -29,11 +29,11 @@
     }
 
     void addTo(Routes.Builder routes) {
-        routes.add("GET", "/admin/fleet", call -> HttpAnswer.json(OK, view().toString()));
+        routes.add("GET", "/admin/fleet", call -> HttpResponse.json(OK, view().toString()));
         routes.add(
                 "GET",
                 "/admin/metrics",
-                call -> new HttpAnswer(OK, Map.of(), "text/plain; version=0.0.4", metrics.text()));
+                call -> new HttpResponse(OK, Map.of(), "text/plain; version=0.0.4", metrics.text()));
     }
 
     private JSONObject view() {
--- a/doorman/src/main/java/barleyspur/front/thrift/FrontConnection.java
+++ b/doorman/src/main/java/barleyspur/front/thrift/ClientConnection.java
@@ -36,8 +36,8 @@
  * <p>The server closes a connection through {@link LingeringClose}, unless the client is gone or doesn't read; then
  * the channel is closed immediately.
  */
-final class FrontConnection extends SimpleChannelInboundHandler<ByteBuf>
-        implements ResponseWriter.Listener, PartialRequestWatch.Listener {
+final class ClientConnection extends SimpleChannelInboundHandler<ByteBuf>
+        implements ResponseWriter.Listener, RequestReadTimeout.Listener {
 
     /** Reasons for which a connection ends. */
     private enum EndCause {
@@ -62,44 +62,44 @@
     /** How long the client has to read the last responses and close its side before the channel is closed. */
     static final double LINGER_MS = 500;
     /** Unwritten responses, as a multiple of the limit on pending requests, at which the client is disconnected. */
-    private static final int MOST_UNREAD = 2;
+    private static final int MAX_UNWRITTEN_FACTOR = 2;
     /** Retry delay sent with requests that are refused during a drain or hand-off; the connection then closes. */
-    static final long AWAY_MS = 50;
+    static final long DRAIN_RETRY_AFTER_MS = 50;
     /** Number of invalid calls after which a connection without pending requests is closed. */
-    private static final int MOST_BAD = 8;
+    private static final int MAX_INVALID_CALLS = 8;
 
     /** The state that all connections of one server share. */
-    record Shared(
+    record ServerContext(
             Doorman doorman,
             Clock clock,
             Supplier<RequestClassRegistry> classes,
-            int mostOpen,
-            UnreadAnswers unread,
-            ConnectionRegistry<FrontConnection> registry,
+            int maxPending,
+            ResponseBackpressure backpressure,
+            ConnectionRegistry<ClientConnection> registry,
             CappedLog log,
             Lifecycle lifecycle) {}
 
     /** A request that has been read, and the earliest time at which it may have reached this machine. */
-    private record Arrival(ThriftCall.Dispatch call, double atMs) {}
+    private record ReceivedDispatch(ThriftCall.Dispatch call, double arrivedMs) {}
 
-    private final Shared front;
+    private final ServerContext server;
     private final Doorman doorman;
     private final CappedLog log;
     private final ThriftFrameDecoder decoder;
-    private final Map<Integer, PendingResponse> open = new HashMap<>();
+    private final Map<Integer, PendingResponse> pending = new HashMap<>();
     /** Requests read in this iteration of the event loop, in order; each holds a reference to its body. */
-    private final ArrayDeque<Arrival> arrived = new ArrayDeque<>();
+    private final ArrayDeque<ReceivedDispatch> received = new ArrayDeque<>();
 
     private Channel channel;
-    private LingeringClose closing;
+    private LingeringClose lingeringClose;
     private ResponseWriter responses;
-    private PartialRequestWatch partial;
-    private boolean useful;
-    private int bad;
+    private RequestReadTimeout readTimeout;
+    private boolean used;
+    private int invalidCalls;
     private EndCause endCause = EndCause.CLIENT_CLOSED;
 
-    FrontConnection(Shared front, ThriftFrameDecoder decoder) {
-        this.front = front;
+    ClientConnection(ServerContext front, ThriftFrameDecoder decoder) {
+        this.server = front;
         this.doorman = front.doorman();
         this.log = front.log();
         this.decoder = decoder;
@@ -108,143 +108,143 @@
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
         channel = ctx.channel();
-        closing = new LingeringClose(channel, front.clock());
+        lingeringClose = new LingeringClose(channel, server.clock());
         responses = new ResponseWriter(
                 channel,
-                front.clock(),
-                front.unread(),
+                server.clock(),
+                server.backpressure(),
                 log,
-                () -> front.classes().get().longestDeadlineMs(),
+                () -> server.classes().get().longestDeadlineMs(),
                 this);
-        partial = new PartialRequestWatch(
-                front.clock(), decoder, () -> front.classes().get().longestDeadlineMs(), open::isEmpty, this);
-        front.registry().came(this, front.clock().nowMs());
-        partial.awaitFirst();
+        readTimeout = new RequestReadTimeout(
+                server.clock(), decoder, () -> server.classes().get().longestDeadlineMs(), pending::isEmpty, this);
+        server.registry().addNew(this, server.clock().nowMs());
+        readTimeout.startFirstRequestTimer();
     }
 
     @Override
-    protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) throws ThriftCall.Malformed {
-        if (closing.begun()) {
+    protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) throws ThriftCall.MalformedCallException {
+        if (lingeringClose.begun()) {
             return;
         }
-        ThriftCall call = ThriftCall.read(frame);
+        ThriftCall call = ThriftCall.parse(frame);
         if (call instanceof ThriftCall.Dispatch c) {
             c.body().retain();
-            arrived.add(new Arrival(c, front.clock().pendingSinceMs()));
+            received.add(new ReceivedDispatch(c, server.clock().pendingSinceMs()));
         } else if (call instanceof ThriftCall.CancelRequest c) {
             cancel(c.cancelled());
         } else if (call instanceof ThriftCall.Alive c) {
-            used();
-            responses.alive(c.seqid(), front.lifecycle().ready());
-        } else if (call instanceof ThriftCall.Unknown c) {
+            markUsed();
+            responses.writeAlive(c.seqid(), server.lifecycle().ready());
+        } else if (call instanceof ThriftCall.UnknownMethod c) {
             log.warn("unknown method", "client", channel.remoteAddress(), "method", c.method());
-            bad(c.method(), c.seqid(), Thrift.UNKNOWN_METHOD, "unknown method");
+            rejectCall(c.method(), c.seqid(), ThriftProtocol.UNKNOWN_METHOD, "unknown method");
         }
     }
 
     /** Drops a request without a response, whether it is already pending or has only been read so far. */
     private void cancel(int seqid) {
-        for (Iterator<Arrival> it = arrived.iterator(); it.hasNext(); ) {
-            ThriftCall.Dispatch call = it.next().call();
+        for (Iterator<ReceivedDispatch> iterator = received.iterator(); iterator.hasNext(); ) {
+            ThriftCall.Dispatch call = iterator.next().call();
             if (call.seqid() == seqid) {
-                it.remove();
+                iterator.remove();
                 call.body().release();
-                used();
+                markUsed();
             }
         }
-        PendingResponse cancelled = open.remove(seqid);
+        PendingResponse cancelled = pending.remove(seqid);
         if (cancelled != null) {
             cancelled.cancel("cancelled");
-            idleIfDone();
+            markIdleIfNothingPending();
         }
     }
 
     /** Processes the requests after everything else that this iteration reads: by then a close has been noticed. */
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        channel.eventLoop().execute(this::takeArrived);
+        channel.eventLoop().execute(this::processReceived);
         ctx.fireChannelReadComplete();
     }
 
-    private void takeArrived() {
-        for (Arrival arrival = arrived.poll(); arrival != null; arrival = arrived.poll()) {
+    private void processReceived() {
+        for (ReceivedDispatch arrival = received.poll(); arrival != null; arrival = received.poll()) {
             ThriftCall.Dispatch call = arrival.call();
             try {
-                if (!closing.begun() && channel.isActive()) {
-                    dispatch(call, arrival.atMs());
+                if (!lingeringClose.begun() && channel.isActive()) {
+                    dispatch(call, arrival.arrivedMs());
                 }
-            } catch (ThriftCall.Malformed e) {
-                malformed(e);
+            } catch (ThriftCall.MalformedCallException e) {
+                closeMalformed(e);
             } finally {
                 call.body().release();
             }
         }
-        if (closing.begun()) {
-            closing.discarded(decoder.discarded());
-        } else if (responses.unwritten() >= MOST_UNREAD * front.mostOpen()) {
+        if (lingeringClose.begun()) {
+            lingeringClose.discarded(decoder.discardedBytes());
+        } else if (responses.unwritten() >= MAX_UNWRITTEN_FACTOR * server.maxPending()) {
             log.warn("connection closed: it asks for more and reads no answers", "client", channel.remoteAddress());
-            reject(Thrift.PROTOCOL_ERROR, "responses are not read");
+            closeWithError(ThriftProtocol.PROTOCOL_ERROR, "responses are not read");
         } else {
-            watchArriving();
+            updateReadTimeout();
         }
     }
 
     /** Updates the read time-out and the eviction order after input that may have ended within a request. */
-    private void watchArriving() {
-        boolean wasArriving = partial.arriving();
-        partial.look(channel.isActive(), useful);
-        if (!open.isEmpty()) {
+    private void updateReadTimeout() {
+        boolean wasReceiving = readTimeout.receiving();
+        readTimeout.update(channel.isActive(), used);
+        if (!pending.isEmpty()) {
             return;
         }
-        if (partial.arriving()) {
-            front.registry().arriving(this);
-        } else if (wasArriving && useful) {
-            front.registry().idle(this, front.clock().nowMs());
-        } else if (wasArriving) {
-            front.registry().came(this, front.clock().nowMs());
-            partial.awaitFirst();
+        if (readTimeout.receiving()) {
+            server.registry().markReceiving(this);
+        } else if (wasReceiving && used) {
+            server.registry().markIdle(this, server.clock().nowMs());
+        } else if (wasReceiving) {
+            server.registry().addNew(this, server.clock().nowMs());
+            readTimeout.startFirstRequestTimer();
         }
     }
 
     @Override
-    public void noRequestCame() {
-        if (!useful) {
+    public void firstRequestTimedOut() {
+        if (!used) {
             log.warn(
                     "connection closed: no request came",
                     "client",
                     channel.remoteAddress(),
                     "ms",
-                    PartialRequestWatch.SILENCE_MS);
-            reject(Thrift.PROTOCOL_ERROR, "no request received in time");
+                    RequestReadTimeout.INACTIVITY_TIMEOUT_MS);
+            closeWithError(ThriftProtocol.PROTOCOL_ERROR, "no request received in time");
         }
     }
 
     @Override
-    public void requestStoppedShort() {
+    public void partialRequestTimedOut() {
         log.warn("connection closed: half a request", "client", channel.remoteAddress());
-        reject(Thrift.PROTOCOL_ERROR, "incomplete request");
+        closeWithError(ThriftProtocol.PROTOCOL_ERROR, "incomplete request");
     }
 
-    private void used() {
-        useful = true;
-        idleIfDone();
+    private void markUsed() {
+        used = true;
+        markIdleIfNothingPending();
     }
 
-    private void idleIfDone() {
-        if (open.isEmpty() && !closing.begun() && useful) {
-            if (decoder.midFrame()) {
-                front.registry().arriving(this);
+    private void markIdleIfNothingPending() {
+        if (pending.isEmpty() && !lingeringClose.begun() && used) {
+            if (decoder.hasPartialFrame()) {
+                server.registry().markReceiving(this);
             } else {
-                front.registry().idle(this, front.clock().nowMs());
+                server.registry().markIdle(this, server.clock().nowMs());
             }
-            closeSoonIfQuiet();
+            scheduleCloseIfIdle();
         }
     }
 
     /** Checks after all input of this iteration, and after the response that made the connection idle. */
-    private void closeSoonIfQuiet() {
-        if (front.lifecycle().closeWhenIdle()) {
-            channel.eventLoop().execute(this::closeIfQuiet);
+    private void scheduleCloseIfIdle() {
+        if (server.lifecycle().closeWhenIdle()) {
+            channel.eventLoop().execute(this::closeIfIdle);
         }
     }
 
@@ -253,31 +253,31 @@
      * request, no unwritten response and no partly received frame. A connection that has never been used is left to the
      * read time-out, because its first request may be under way, until the lifecycle expects no further requests.
      */
-    void closeIfQuiet() {
-        boolean quiet = open.isEmpty() && arrived.isEmpty() && responses.unwritten() == 0 && !decoder.midFrame();
-        if (quiet
-                && front.lifecycle().closeWhenIdle()
-                && (useful || front.lifecycle().closeStrangers())) {
+    void closeIfIdle() {
+        boolean idle = pending.isEmpty() && received.isEmpty() && responses.unwritten() == 0 && !decoder.hasPartialFrame();
+        if (idle
+                && server.lifecycle().closeWhenIdle()
+                && (used || server.lifecycle().closeStrangers())) {
             close(EndCause.IDLE);
         }
     }
 
     /** Starts to close the connection; further input is discarded. */
     private void close(EndCause cause) {
-        if (!closing.begun() && channel.isActive()) {
+        if (!lingeringClose.begun() && channel.isActive()) {
             endCause = cause;
-            front.registry().leaving(this);
-            partial.stop();
-            decoder.discard();
-            closing.begin(LINGER_MS);
+            server.registry().markClosing(this);
+            readTimeout.stop();
+            decoder.startDiscarding();
+            lingeringClose.begin(LINGER_MS);
         }
     }
 
     /** Responds to an invalid call. Closes the connection after several, so that endless ones can't load the loop. */
-    private void bad(String method, int seqid, int kind, String message) {
-        responses.exception(method, seqid, kind, message);
-        if (++bad >= MOST_BAD && open.isEmpty()) {
-            reject(kind, message);
+    private void rejectCall(String method, int seqid, int kind, String message) {
+        responses.writeException(method, seqid, kind, message);
+        if (++invalidCalls >= MAX_INVALID_CALLS && pending.isEmpty()) {
+            closeWithError(kind, message);
         }
     }
 
@@ -286,54 +286,54 @@
      * client can read the responses: closing a socket with unread input resets the connection, which discards data that
      * the client hasn't read yet.
      */
-    private void reject(int kind, String message) {
-        if (closing.begun()) {
+    private void closeWithError(int kind, String message) {
+        if (lingeringClose.begun()) {
             return;
         }
-        List<PendingResponse> left = new ArrayList<>(open.values());
-        open.clear();
-        left.forEach(response -> {
+        List<PendingResponse> unfinished = new ArrayList<>(pending.values());
+        pending.clear();
+        unfinished.forEach(response -> {
             response.cancel("connection rejected");
-            response.writeFailed();
+            response.writeFailure();
         });
-        for (Arrival arrival = arrived.poll(); arrival != null; arrival = arrived.poll()) {
+        for (ReceivedDispatch arrival = received.poll(); arrival != null; arrival = received.poll()) {
             ThriftCall.Dispatch call = arrival.call();
-            responses.failed(call.seqid(), call.fields().getOrDefault("i", ""));
+            responses.writeFailed(call.seqid(), call.fields().getOrDefault("i", ""));
             call.body().release();
         }
-        responses.exception("", 0, kind, message);
+        responses.writeException("", 0, kind, message);
         close(EndCause.REJECTED);
     }
 
-    private void dispatch(ThriftCall.Dispatch call, double arrivedMs) throws ThriftCall.Malformed {
-        if (open.containsKey(call.seqid())) {
-            throw new ThriftCall.Malformed("sequence number " + call.seqid() + " is in use");
+    private void dispatch(ThriftCall.Dispatch call, double arrivedMs) throws ThriftCall.MalformedCallException {
+        if (pending.containsKey(call.seqid())) {
+            throw new ThriftCall.MalformedCallException("sequence number " + call.seqid() + " is in use");
         }
         Request request;
         try {
-            request = read(call);
+            request = toRequest(call);
         } catch (IllegalArgumentException e) {
             log.warn("bad request", "client", channel.remoteAddress(), "cause", e.getMessage());
-            bad(DISPATCH, call.seqid(), Thrift.PROTOCOL_ERROR, e.getMessage());
+            rejectCall(DISPATCH, call.seqid(), ThriftProtocol.PROTOCOL_ERROR, e.getMessage());
             return;
         }
-        useful = true;
-        if (!front.lifecycle().takes(front.clock().nowMs(), request.remainingMs())) {
+        used = true;
+        if (!server.lifecycle().takes(server.clock().nowMs(), request.remainingMs())) {
             // The connection can be closed only when no request is pending; the client retries at another doorman.
-            responses.refused(call.seqid(), request.id(), Map.of("w", Long.toString(AWAY_MS)));
-            idleIfDone();
-        } else if (hasTooManyOpen()) {
-            responses.refused(call.seqid(), request.id(), Map.of());
-            idleIfDone();
+            responses.writeRefused(call.seqid(), request.id(), Map.of("w", Long.toString(DRAIN_RETRY_AFTER_MS)));
+            markIdleIfNothingPending();
+        } else if (hasTooManyPending()) {
+            responses.writeRefused(call.seqid(), request.id(), Map.of());
+            markIdleIfNothingPending();
         } else {
-            take(call, request, arrivedMs);
+            accept(call, request, arrivedMs);
         }
     }
 
     /** Returns the request of a call; throws IllegalArgumentException if its fields are invalid. */
-    private Request read(ThriftCall.Dispatch call) {
+    private Request toRequest(ThriftCall.Dispatch call) {
         Request request =
-                RequestFields.read(call.fields(), call.body(), front.classes().get());
+                RequestFields.parse(call.fields(), call.body(), server.classes().get());
         if (doorman.hasTaken(request.id())) {
             // A depot can't tell two requests with the same id apart.
             throw new IllegalArgumentException("field i is the id of an earlier request");
@@ -345,9 +345,9 @@
      * Whether the client has reached the limit on pending requests. Responses that aren't written yet count, because to
      * the client their requests are still pending; a client that respects the limit is never refused here.
      */
-    private boolean hasTooManyOpen() {
-        boolean unreadFull = front.unread().full();
-        if (open.size() + responses.unwritten() < front.mostOpen() && !unreadFull) {
+    private boolean hasTooManyPending() {
+        boolean unreadFull = server.backpressure().isOverLimit();
+        if (pending.size() + responses.unwritten() < server.maxPending() && !unreadFull) {
             return false;
         }
         log.warn(
@@ -355,51 +355,51 @@
                 "client",
                 channel.remoteAddress(),
                 "open",
-                open.size(),
+                pending.size(),
                 "unread",
                 unreadFull);
         return true;
     }
 
-    private void take(ThriftCall.Dispatch call, Request request, double arrivedMs) {
+    private void accept(ThriftCall.Dispatch call, Request request, double arrivedMs) {
         int seqid = call.seqid();
         PendingResponse response = new PendingResponse(seqid, request.id(), responses, () -> {
-            open.remove(seqid);
-            idleIfDone();
+            pending.remove(seqid);
+            markIdleIfNothingPending();
         });
-        open.put(seqid, response);
-        front.registry().busy(this);
+        pending.put(seqid, response);
+        server.registry().markBusy(this);
         // The body is a slice of the frame and is needed until the request ends, longer than the frame itself.
         call.body().retain();
-        response.taken(doorman.take(request, arrivedMs, response));
+        response.setRequest(doorman.take(request, arrivedMs, response));
     }
 
     @Override
     public void allWritten() {
-        if (open.isEmpty()) {
-            closeSoonIfQuiet();
+        if (pending.isEmpty()) {
+            scheduleCloseIfIdle();
         }
     }
 
     @Override
-    public void stuck() {
+    public void stalled() {
         log.warn("connection closed: it does not read its answers", "client", channel.remoteAddress());
-        endNow(EndCause.STUCK);
+        closeImmediately(EndCause.STUCK);
     }
 
     @Override
-    public void lost(Throwable cause) {
+    public void writeFailed(Throwable cause) {
         log.warn(
                 "connection closed: a response could not be written",
                 "client",
                 channel.remoteAddress(),
                 "cause",
                 cause);
-        endNow(EndCause.ANSWER_LOST);
+        closeImmediately(EndCause.ANSWER_LOST);
     }
 
     /** Closes the channel immediately: no response could reach the client any more. */
-    private void endNow(EndCause cause) {
+    private void closeImmediately(EndCause cause) {
         endCause = cause;
         channel.close();
     }
@@ -407,19 +407,19 @@
     /** Closes the connection in favour of a new one, unless a request has just been read on it. */
     void evict() {
         channel.eventLoop().execute(() -> {
-            if (open.isEmpty() && arrived.isEmpty()) {
+            if (pending.isEmpty() && received.isEmpty()) {
                 close(EndCause.EVICTED);
-            } else if (open.isEmpty()) {
+            } else if (pending.isEmpty()) {
                 // The request may prove to be invalid, so the connection has to stay a candidate for eviction.
-                front.registry().idle(this, front.clock().nowMs());
+                server.registry().markIdle(this, server.clock().nowMs());
             }
         });
     }
 
     /** Closes the channel if it is lingering, because its file descriptor is needed. */
-    void endClosing() {
+    void closeWithoutLinger() {
         channel.eventLoop().execute(() -> {
-            if (closing.begun()) {
+            if (lingeringClose.begun()) {
                 channel.close();
             }
         });
@@ -431,27 +431,27 @@
      */
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-        responses.writabilityChanged(!channel.isWritable() && channel.isActive() && !closing.begun());
+        responses.writabilityChanged(!channel.isWritable() && channel.isActive() && !lingeringClose.begun());
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        closing.closed();
-        front.registry().left(this);
-        partial.stop();
-        responses.stop();
+        lingeringClose.closed();
+        server.registry().remove(this);
+        readTimeout.stop();
+        responses.stopStallTimer();
         RequestTrace.connectionEnded(
-                channel.remoteAddress(), endCause, open.size() + arrived.size(), responses.unwritten());
-        arrived.forEach(arrival -> arrival.call().body().release());
-        arrived.clear();
-        List<PendingResponse> left = new ArrayList<>(open.values());
-        open.clear();
-        left.forEach(response -> response.cancel("connection ended"));
+                channel.remoteAddress(), endCause, pending.size() + received.size(), responses.unwritten());
+        received.forEach(arrival -> arrival.call().body().release());
+        received.clear();
+        List<PendingResponse> unfinished = new ArrayList<>(pending.values());
+        pending.clear();
+        unfinished.forEach(response -> response.cancel("connection ended"));
     }
 
-    private void malformed(Exception cause) {
+    private void closeMalformed(Exception cause) {
         log.warn("connection closed", "client", channel.remoteAddress(), "cause", cause.getMessage());
-        reject(Thrift.PROTOCOL_ERROR, "not a valid call in the strict binary protocol");
+        closeWithError(ThriftProtocol.PROTOCOL_ERROR, "not a valid call in the strict binary protocol");
     }
 
     @Override
@@ -464,12 +464,12 @@
                     ctx.channel().remoteAddress(),
                     "cause",
                     cause.getMessage());
-            endNow(EndCause.BROKEN);
-        } else if (cause instanceof ThriftCall.Malformed || cause instanceof DecoderException) {
-            malformed((Exception) cause);
+            closeImmediately(EndCause.BROKEN);
+        } else if (cause instanceof ThriftCall.MalformedCallException || cause instanceof DecoderException) {
+            closeMalformed((Exception) cause);
         } else {
             log.warn("connection closed", "client", ctx.channel().remoteAddress(), "cause", cause);
-            endNow(EndCause.BROKEN);
+            closeImmediately(EndCause.BROKEN);
         }
     }
 }
--- a/doorman/src/main/java/barleyspur/front/thrift/ConnectionRegistry.java
+++ b/doorman/src/main/java/barleyspur/front/thrift/ConnectionRegistry.java
@@ -17,79 +17,79 @@
 final class ConnectionRegistry<C> {
 
     /** A connection younger than this is evicted only after the idle ones: its first request may be under way. */
-    static final double NEW_MS = 250;
+    static final double NEW_CONNECTION_GRACE_MS = 250;
 
     /** Connections that are closing, in the order in which they began to. */
-    private final Set<C> leaving = new LinkedHashSet<>();
+    private final Set<C> closing = new LinkedHashSet<>();
     /** Connections without any request so far, with the time of their accept. */
-    private final Map<C, Double> strangers = new LinkedHashMap<>();
+    private final Map<C, Double> neverUsed = new LinkedHashMap<>();
     /** Connections that have been used and have no pending request, with the time since when. */
     private final Map<C, Double> idle = new LinkedHashMap<>();
     /** Connections without a pending request on which part of a frame has been received, the earliest first. */
-    private final Set<C> arriving = new LinkedHashSet<>();
+    private final Set<C> receiving = new LinkedHashSet<>();
 
     /** Registers a connection that has not sent a request yet. */
-    void came(C connection, double now) {
-        left(connection);
-        strangers.put(connection, now);
+    void addNew(C connection, double nowMs) {
+        remove(connection);
+        neverUsed.put(connection, nowMs);
     }
 
     /** Records that the connection has a pending request, so that it can't be evicted. */
-    void busy(C connection) {
-        left(connection);
+    void markBusy(C connection) {
+        remove(connection);
     }
 
     /** Records that part of a request has been received; evicting the connection would lose that request. */
-    void arriving(C connection) {
-        if (!arriving.contains(connection)) {
-            left(connection);
-            arriving.add(connection);
+    void markReceiving(C connection) {
+        if (!receiving.contains(connection)) {
+            remove(connection);
+            receiving.add(connection);
         }
     }
 
     /** Records that the connection has no pending request any more. */
-    void idle(C connection, double now) {
-        left(connection);
-        idle.put(connection, now);
+    void markIdle(C connection, double nowMs) {
+        remove(connection);
+        idle.put(connection, nowMs);
     }
 
     /** Records that the connection is being closed. */
-    void leaving(C connection) {
-        if (!leaving.contains(connection)) {
-            left(connection);
-            leaving.add(connection);
+    void markClosing(C connection) {
+        if (!closing.contains(connection)) {
+            remove(connection);
+            closing.add(connection);
         }
     }
 
     /** Removes the connection. */
-    void left(C connection) {
-        strangers.remove(connection);
+    void remove(C connection) {
+        neverUsed.remove(connection);
         idle.remove(connection);
-        arriving.remove(connection);
-        leaving.remove(connection);
+        receiving.remove(connection);
+        closing.remove(connection);
     }
 
     /** Returns the number of connections that are being closed. */
-    int leaving() {
-        return leaving.size();
+    int markClosing() {
+        return closing.size();
     }
 
     /** Returns the connection that has been closing for the longest time, or null if none is. */
-    C closingLongest() {
-        return leaving.isEmpty() ? null : leaving.iterator().next();
+    C longestClosing() {
+        return closing.isEmpty() ? null : closing.iterator().next();
     }
 
     /** Chooses the connection to evict and marks it as closing; returns null if all connections are in use. */
-    C evictIdle(double now) {
-        boolean known =
-                !strangers.isEmpty() && now - strangers.values().iterator().next() >= NEW_MS;
-        Set<C> useless = (known || idle.isEmpty() ? strangers : idle).keySet();
-        Iterator<C> from = (useless.isEmpty() ? arriving : useless).iterator();
-        if (!from.hasNext()) {
+    C evictLeastActive(double nowMs) {
+        boolean oldestPastGrace =
+                !neverUsed.isEmpty() && nowMs - neverUsed.values().iterator().next() >= NEW_CONNECTION_GRACE_MS;
+        Set<C> candidates = (oldestPastGrace || idle.isEmpty() ? neverUsed : idle).keySet();
+        Iterator<C> iterator = (candidates.isEmpty() ? receiving : candidates).iterator();
+        if (!iterator.hasNext()) {
             return null;
         }
-        C first = from.next();
-        leaving(first);
-        return first;
+        C evicted = iterator.next();
+        markClosing(evicted);
+        return evicted;
     }
 }
--- a/doorman/src/main/java/barleyspur/front/thrift/PendingResponse.java
+++ b/doorman/src/main/java/barleyspur/front/thrift/PendingResponse.java
@@ -14,56 +14,56 @@
     private final String requestId;
     private final ResponseWriter responses;
     /** Removes this response from the pending ones of its connection. */
-    private final Runnable letGo;
+    private final Runnable removeFromPending;
 
     private Doorman.Cancellable request;
 
-    PendingResponse(int seqid, String requestId, ResponseWriter responses, Runnable letGo) {
+    PendingResponse(int seqid, String requestId, ResponseWriter responses, Runnable removeFromPending) {
         this.seqid = seqid;
         this.requestId = requestId;
         this.responses = responses;
-        this.letGo = letGo;
+        this.removeFromPending = removeFromPending;
     }
 
     /** Sets the handle by which the accepted request can be cancelled. */
-    void taken(Doorman.Cancellable taken) {
-        request = taken;
+    void setRequest(Doorman.Cancellable accepted) {
+        request = accepted;
     }
 
     /** Cancels the request, because the client has disconnected, is being disconnected, or has cancelled it. */
-    void cancel(String why) {
-        RequestTrace.left(requestId, why);
+    void cancel(String reason) {
+        RequestTrace.left(requestId, reason);
         request.cancel();
     }
 
     /** Writes a failure without waiting for the doorman's own result. */
-    void writeFailed() {
-        responses.failed(seqid, requestId);
+    void writeFailure() {
+        responses.writeFailed(seqid, requestId);
     }
 
     @Override
     public void served(ByteBuf body, String tag) {
-        letGo.run();
-        responses.served(seqid, requestId, body, tag == null ? Map.of() : Map.of("etag", tag));
+        removeFromPending.run();
+        responses.writeServed(seqid, requestId, body, tag == null ? Map.of() : Map.of("etag", tag));
     }
 
     @Override
     public void unchanged(String tag) {
-        letGo.run();
+        removeFromPending.run();
         Map<String, String> fields = tag == null ? Map.of("notmod", "1") : Map.of("notmod", "1", "etag", tag);
-        responses.served(seqid, requestId, Unpooled.EMPTY_BUFFER, fields);
+        responses.writeServed(seqid, requestId, Unpooled.EMPTY_BUFFER, fields);
     }
 
     @Override
     public void refused(double pauseMs) {
-        letGo.run();
-        Map<String, String> advice = pauseMs > 0 ? Map.of("w", Long.toString(Math.round(pauseMs))) : Map.of();
-        responses.refused(seqid, requestId, advice);
+        removeFromPending.run();
+        Map<String, String> retryFields = pauseMs > 0 ? Map.of("w", Long.toString(Math.round(pauseMs))) : Map.of();
+        responses.writeRefused(seqid, requestId, retryFields);
     }
 
     @Override
     public void failed() {
-        letGo.run();
-        writeFailed();
+        removeFromPending.run();
+        writeFailure();
     }
 }
--- a/doorman/src/main/java/barleyspur/front/thrift/RequestFields.java
+++ b/doorman/src/main/java/barleyspur/front/thrift/RequestFields.java
@@ -13,14 +13,14 @@
     /** ASCII digits only: Java's number parsers also accept signs and other scripts' digits, depots might not. */
     private static final Pattern ID = Pattern.compile("[0-9a-fA-F]{16}");
 
-    private static final Pattern WHOLE = Pattern.compile("[0-9]{1,9}");
+    private static final Pattern INTEGER = Pattern.compile("[0-9]{1,9}");
     /** Values that are copied into a depot's field list; they must not contain its separators. */
-    private static final Pattern BARE = Pattern.compile("[!-~&&[^,=\"]]{1,256}");
+    private static final Pattern TOKEN = Pattern.compile("[!-~&&[^,=\"]]{1,256}");
 
-    private static final int MOST_PART = 1 << 20;
-    private static final int MOST_GROUP = 255;
+    private static final int MAX_PART = 1 << 20;
+    private static final int MAX_GROUP = 255;
     /** Far above the size of any object: a single extreme value would distort the statistics on sizes. */
-    private static final double MOST_KB = 1 << 20;
+    private static final double MAX_SIZE_KB = 1 << 20;
 
     private final Map<String, String> fields;
 
@@ -29,48 +29,48 @@
     }
 
     /** Returns the request; its body still belongs to the frame. */
-    static Request read(Map<String, String> fields, ByteBuf body, RequestClassRegistry classes) {
-        return new RequestFields(fields).request(body, classes);
+    static Request parse(Map<String, String> fields, ByteBuf body, RequestClassRegistry classes) {
+        return new RequestFields(fields).toRequest(body, classes);
     }
 
-    private Request request(ByteBuf body, RequestClassRegistry classes) {
-        String className = word("c");
+    private Request toRequest(ByteBuf body, RequestClassRegistry classes) {
+        String className = required("c");
         int category = classes.number(className);
         if (category < 0) {
             throw new IllegalArgumentException("field c: unknown class");
         }
-        String id = word("i");
+        String id = required("i");
         hex("i", id);
-        String key = word("o");
+        String key = required("o");
         String size = fields.get("m");
-        int mostMs = (int) Math.ceil(classes.classes().get(category).deadlineMs());
+        int maxMs = (int) Math.ceil(classes.classes().get(category).deadlineMs());
         return new Request(
                 id,
                 category,
                 className,
                 key,
                 hex("o", key),
-                word("seg"),
-                whole("seg", MOST_PART),
-                whole("bucket", MOST_GROUP),
-                whole("d", mostMs),
-                size == null ? 0 : decimal("m", size),
-                bare("etag"),
-                bare("k"),
+                required("seg"),
+                integer("seg", MAX_PART),
+                integer("bucket", MAX_GROUP),
+                integer("d", maxMs),
+                size == null ? 0 : sizeKb("m", size),
+                optionalToken("etag"),
+                optionalToken("k"),
                 body);
     }
 
     /** Returns the value of an optional field, or null if it is missing. */
-    private String bare(String name) {
+    private String optionalToken(String name) {
         String value = fields.get(name);
-        if (value != null && !BARE.matcher(value).matches()) {
+        if (value != null && !TOKEN.matcher(value).matches()) {
             throw new IllegalArgumentException(
                     "field " + name + " is not 1 to 256 visible ASCII characters without , = or quote");
         }
         return value;
     }
 
-    private String word(String name) {
+    private String required(String name) {
         String value = fields.get(name);
         if (value == null) {
             throw new IllegalArgumentException("field " + name + " is missing");
@@ -85,18 +85,18 @@
         return Long.parseUnsignedLong(value, HEX);
     }
 
-    private int whole(String name, int most) {
-        String value = word(name);
-        if (!WHOLE.matcher(value).matches() || Integer.parseInt(value) > most) {
-            throw new IllegalArgumentException("field " + name + " is not an integer from 0 to " + most);
+    private int integer(String name, int max) {
+        String value = required(name);
+        if (!INTEGER.matcher(value).matches() || Integer.parseInt(value) > max) {
+            throw new IllegalArgumentException("field " + name + " is not an integer from 0 to " + max);
         }
         return Integer.parseInt(value);
     }
 
-    private static double decimal(String name, String value) {
+    private static double sizeKb(String name, String value) {
         try {
             double number = Double.parseDouble(value);
-            if (number >= 0 && number <= MOST_KB) {
+            if (number >= 0 && number <= MAX_SIZE_KB) {
                 return number;
             }
         } catch (NumberFormatException e) {
--- a/doorman/src/main/java/barleyspur/front/thrift/PartialRequestWatch.java
+++ b/doorman/src/main/java/barleyspur/front/thrift/RequestReadTimeout.java
@@ -8,85 +8,85 @@
  * Times out a client connection whose first request doesn't arrive, or on which a request has been received only in
  * part. A request that continues to arrive may take as long as the longest deadline of any request class.
  */
-final class PartialRequestWatch {
+final class RequestReadTimeout {
 
     /** How long a client may send nothing before its first request, or in the middle of a request. */
-    static final int SILENCE_MS = 2_000;
+    static final int INACTIVITY_TIMEOUT_MS = 2_000;
 
     /** Receives the time-outs. */
     interface Listener {
         /** Called when a new connection has sent no request in time. */
-        void noRequestCame();
+        void firstRequestTimedOut();
 
         /** Called when the rest of a request hasn't arrived in time and no request is pending on the connection. */
-        void requestStoppedShort();
+        void partialRequestTimedOut();
     }
 
     private final Clock clock;
     private final ThriftFrameDecoder decoder;
     private final DoubleSupplier longestDeadlineMs;
-    private final BooleanSupplier nothingOpen;
+    private final BooleanSupplier nothingPending;
     private final Listener listener;
 
     private Clock.Timer timer;
-    private boolean arriving;
+    private boolean receiving;
     /** When the first bytes of the incomplete request were noticed. */
-    private double arrivingSinceMs;
+    private double receivingSinceMs;
     /** How many complete frames had been received before it. */
     private long framesBefore;
 
-    PartialRequestWatch(
+    RequestReadTimeout(
             Clock clock,
             ThriftFrameDecoder decoder,
             DoubleSupplier longestDeadlineMs,
-            BooleanSupplier nothingOpen,
+            BooleanSupplier nothingPending,
             Listener listener) {
         this.clock = clock;
         this.decoder = decoder;
         this.longestDeadlineMs = longestDeadlineMs;
-        this.nothingOpen = nothingOpen;
+        this.nothingPending = nothingPending;
         this.listener = listener;
     }
 
     /** Starts the time-out for the first request. */
-    void awaitFirst() {
-        timer = clock.after(SILENCE_MS, listener::noRequestCame);
+    void startFirstRequestTimer() {
+        timer = clock.after(INACTIVITY_TIMEOUT_MS, listener::firstRequestTimedOut);
     }
 
     /** Whether part of a request had been received at the last update. */
-    boolean arriving() {
-        return arriving;
+    boolean receiving() {
+        return receiving;
     }
 
     /**
      * Restarts or cancels the time-out after input has been read.
      *
-     * @param asked whether the client has sent a valid call before
+     * @param used whether the client has sent a valid call before
      */
-    void look(boolean connected, boolean asked) {
-        boolean midFrame = connected && decoder.midFrame();
-        if (asked || midFrame) {
+    void update(boolean connected, boolean used) {
+        boolean partialFrame = connected && decoder.hasPartialFrame();
+        if (used || partialFrame) {
             timer.cancel();
         }
-        if (!midFrame) {
-            arriving = false;
+        if (!partialFrame) {
+            receiving = false;
             return;
         }
-        double now = clock.nowMs();
-        if (!arriving || decoder.frames() != framesBefore) {
-            arriving = true;
-            arrivingSinceMs = now;
-            framesBefore = decoder.frames();
+        double nowMs = clock.nowMs();
+        if (!receiving || decoder.frameCount() != framesBefore) {
+            receiving = true;
+            receivingSinceMs = nowMs;
+            framesBefore = decoder.frameCount();
         }
-        awaitRest(Math.min(SILENCE_MS, arrivingSinceMs + longestDeadlineMs.getAsDouble() - now));
+        startPartialRequestTimer(Math.min(INACTIVITY_TIMEOUT_MS, receivingSinceMs + longestDeadlineMs.getAsDouble() - nowMs));
     }
 
-    private void awaitRest(double ms) {
-        timer = clock.after(ms, () -> {
-            if (nothingOpen.getAsBoolean()) {
-                listener.requestStoppedShort();
+    private void startPartialRequestTimer(double delayMs) {
+        timer = clock.after(delayMs, () -> {
+            if (nothingPending.getAsBoolean()) {
+                listener.partialRequestTimedOut();
             } else {
-                awaitRest(SILENCE_MS);
+                startPartialRequestTimer(INACTIVITY_TIMEOUT_MS);
             }
         });
     }
--- a/doorman/src/main/java/barleyspur/front/thrift/UnreadAnswers.java
+++ b/doorman/src/main/java/barleyspur/front/thrift/ResponseBackpressure.java
@@ -10,36 +10,36 @@
  * may resume. Without this limit slow clients could use up the direct memory; reads from depots would then fail, and
  * the failures would be attributed to the depots.
  */
-final class UnreadAnswers {
+final class ResponseBackpressure {
 
     private static final Logger LOG = LoggerFactory.getLogger("front");
 
-    private final long most;
-    private final Consumer<Boolean> onFull;
+    private final long maxBytes;
+    private final Consumer<Boolean> onOverLimit;
     private long bytes;
-    private boolean full;
+    private boolean overLimit;
 
-    UnreadAnswers(long most, Consumer<Boolean> onFull) {
-        this.most = most;
-        this.onFull = onFull;
+    ResponseBackpressure(long maxBytes, Consumer<Boolean> onOverLimit) {
+        this.maxBytes = maxBytes;
+        this.onOverLimit = onOverLimit;
     }
 
     /** Adds the bytes of a response, or subtracts them once they are written or dropped. */
     void add(long change) {
         bytes += change;
-        if (!full && bytes > most) {
-            full = true;
+        if (!overLimit && bytes > maxBytes) {
+            overLimit = true;
             LogEvent.log(LOG.atWarn(), "answers are unread: depots are not read", "bytes", bytes);
-            onFull.accept(true);
-        } else if (full && bytes <= most / 2) {
-            full = false;
+            onOverLimit.accept(true);
+        } else if (overLimit && bytes <= maxBytes / 2) {
+            overLimit = false;
             LogEvent.log(LOG.atInfo(), "answers are unread: depots are read again", "bytes", bytes);
-            onFull.accept(false);
+            onOverLimit.accept(false);
         }
     }
 
     /** Whether reading from depots is stopped: above the limit, and then until half of it is reached. */
-    boolean full() {
-        return full;
+    boolean isOverLimit() {
+        return overLimit;
     }
 }
--- a/doorman/src/main/java/barleyspur/front/thrift/ResponseWriter.java
+++ b/doorman/src/main/java/barleyspur/front/thrift/ResponseWriter.java
@@ -25,21 +25,21 @@
         void allWritten();
 
         /** Called when nothing could be written for too long. */
-        void stuck();
+        void stalled();
 
         /** Called when a write has failed: the client misses a response, so the connection can't be kept. */
-        void lost(Throwable cause);
+        void writeFailed(Throwable cause);
     }
 
     private final Channel channel;
     private final Clock clock;
-    private final UnreadAnswers unread;
+    private final ResponseBackpressure backpressure;
     private final CappedLog log;
     private final DoubleSupplier longestWaitMs;
     private final Listener listener;
-    private Clock.Timer stuckTimer;
+    private Clock.Timer stallTimer;
     /** When the last message was written to the socket, or when the socket stopped being writable. */
-    private double stuckSince;
+    private double stalledSinceMs;
     /** Number of messages that are queued and not yet written to the socket. */
     private int unwritten;
 
@@ -47,13 +47,13 @@
     ResponseWriter(
             Channel channel,
             Clock clock,
-            UnreadAnswers unread,
+            ResponseBackpressure backpressure,
             CappedLog log,
             DoubleSupplier longestWaitMs,
             Listener listener) {
         this.channel = channel;
         this.clock = clock;
-        this.unread = unread;
+        this.backpressure = backpressure;
         this.log = log;
         this.longestWaitMs = longestWaitMs;
         this.listener = listener;
@@ -65,62 +65,62 @@
     }
 
     /** Writes a successful response with {@code body}, which is released once it has been written. */
-    void served(int seqid, String requestId, ByteBuf body, Map<String, String> fields) {
+    void writeServed(int seqid, String requestId, ByteBuf body, Map<String, String> fields) {
         int bodyBytes = body.readableBytes();
         ByteBuf message;
         try {
-            message = answer(DISPATCH, seqid, body, fields, true);
+            message = encodeResponse(DISPATCH, seqid, body, fields, true);
         } catch (RuntimeException e) {
             log.warn("a response could not be encoded", "client", channel.remoteAddress(), "cause", e);
-            failed(seqid, requestId);
+            writeFailed(seqid, requestId);
             return;
         }
         write(message, bodyBytes, requestId, "served");
     }
 
     /** Writes a refusal with fields for the client, such as a retry delay. */
-    void refused(int seqid, String requestId, Map<String, String> advice) {
-        write(Thrift.busy(channel.alloc(), DISPATCH, seqid, advice), 0, requestId, "refused");
+    void writeRefused(int seqid, String requestId, Map<String, String> fields) {
+        write(ThriftProtocol.encodeBusy(channel.alloc(), DISPATCH, seqid, fields), 0, requestId, "refused");
     }
 
     /** Writes that a request has failed. */
-    void failed(int seqid, String requestId) {
-        write(Thrift.failed(channel.alloc(), DISPATCH, seqid), 0, requestId, "failed");
+    void writeFailed(int seqid, String requestId) {
+        write(ThriftProtocol.encodeFailed(channel.alloc(), DISPATCH, seqid), 0, requestId, "failed");
     }
 
     /** Responds to {@code alive} with whether this process accepts requests. */
-    void alive(int seqid, boolean ready) {
-        write(answer(ALIVE, seqid, Unpooled.EMPTY_BUFFER, Map.of(), ready), 0, "", ALIVE);
+    void writeAlive(int seqid, boolean ready) {
+        write(encodeResponse(ALIVE, seqid, Unpooled.EMPTY_BUFFER, Map.of(), ready), 0, "", ALIVE);
     }
 
     /** Writes an application exception in response to a call. */
-    void exception(String method, int seqid, int kind, String message) {
-        write(Thrift.exception(channel.alloc(), method, seqid, kind, message), 0, "", "exception");
+    void writeException(String method, int seqid, int kind, String message) {
+        write(ThriftProtocol.encodeException(channel.alloc(), method, seqid, kind, message), 0, "", "exception");
     }
 
     /** Encodes a response without copying its body, as a single message: parts could fail to be written separately. */
-    private ByteBuf answer(String method, int seqid, ByteBuf body, Map<String, String> fields, boolean good) {
-        ByteBuf tail = Thrift.answerTail(channel.alloc(), fields, good);
-        ByteBuf head = Thrift.answerHead(channel.alloc(), method, seqid, body.readableBytes(), tail.readableBytes());
+    private ByteBuf encodeResponse(String method, int seqid, ByteBuf body, Map<String, String> fields, boolean success) {
+        ByteBuf tail = ThriftProtocol.encodeResponseEnd(channel.alloc(), fields, success);
+        ByteBuf head = ThriftProtocol.encodeResponseStart(channel.alloc(), method, seqid, body.readableBytes(), tail.readableBytes());
         return Unpooled.wrappedBuffer(head, body, tail);
     }
 
-    private void write(ByteBuf message, int bodyBytes, String requestId, String how) {
+    private void write(ByteBuf message, int bodyBytes, String requestId, String outcome) {
         int bytes = message.readableBytes();
-        unread.add(bodyBytes);
+        backpressure.add(bodyBytes);
         unwritten++;
-        channel.writeAndFlush(message).addListener(out -> {
-            unread.add(-bodyBytes);
-            RequestTrace.written(requestId, how, bytes, out.cause());
-            written(out.cause());
+        channel.writeAndFlush(message).addListener(future -> {
+            backpressure.add(-bodyBytes);
+            RequestTrace.written(requestId, outcome, bytes, future.cause());
+            written(future.cause());
         });
     }
 
     private void written(Throwable failure) {
-        stuckSince = clock.nowMs();
+        stalledSinceMs = clock.nowMs();
         unwritten--;
         if (failure != null && channel.isActive()) {
-            listener.lost(failure);
+            listener.writeFailed(failure);
         } else if (unwritten == 0) {
             listener.allWritten();
         }
@@ -128,29 +128,29 @@
 
     /** Starts the stall time-out if {@code watch}, else stops it; called when the socket's writability changes. */
     void writabilityChanged(boolean watch) {
-        stop();
+        stopStallTimer();
         if (watch) {
-            stuckSince = clock.nowMs();
-            watchStuck(longestWaitMs.getAsDouble());
+            stalledSinceMs = clock.nowMs();
+            startStallTimer(longestWaitMs.getAsDouble());
         }
     }
 
-    private void watchStuck(double ms) {
-        stuckTimer = clock.after(ms, () -> {
-            double left = stuckSince + longestWaitMs.getAsDouble() - clock.nowMs();
-            if (left > 0) {
-                watchStuck(left);
+    private void startStallTimer(double delayMs) {
+        stallTimer = clock.after(delayMs, () -> {
+            double remainingMs = stalledSinceMs + longestWaitMs.getAsDouble() - clock.nowMs();
+            if (remainingMs > 0) {
+                startStallTimer(remainingMs);
             } else {
-                listener.stuck();
+                listener.stalled();
             }
         });
     }
 
     /** Stops the stall time-out. */
-    void stop() {
-        if (stuckTimer != null) {
-            stuckTimer.cancel();
-            stuckTimer = null;
+    void stopStallTimer() {
+        if (stallTimer != null) {
+            stallTimer.cancel();
+            stallTimer = null;
         }
     }
 }
--- a/doorman/src/main/java/barleyspur/front/thrift/ThriftCall.java
+++ b/doorman/src/main/java/barleyspur/front/thrift/ThriftCall.java
@@ -21,31 +21,31 @@
     record Alive(int seqid) implements ThriftCall {}
 
     /** A call of a method that the service doesn't have. */
-    record Unknown(int seqid, String method) implements ThriftCall {}
+    record UnknownMethod(int seqid, String method) implements ThriftCall {}
 
     /** Thrown for a frame that isn't a valid call in the strict binary protocol. */
-    final class Malformed extends Exception {
+    final class MalformedCallException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        Malformed(String message) {
+        MalformedCallException(String message) {
             super(message);
         }
     }
 
     /** Parses the call in {@code frame}, which holds nothing else. */
-    static ThriftCall read(ByteBuf frame) throws Malformed {
+    static ThriftCall parse(ByteBuf frame) throws MalformedCallException {
         try {
-            return new Reader(frame).call();
+            return new Reader(frame).readCall();
         } catch (IndexOutOfBoundsException e) {
-            throw new Malformed("the frame ends before the call does");
+            throw new MalformedCallException("the frame ends before the call does");
         }
     }
 
     /** Reads the call from one frame. */
     final class Reader {
-        private static final int MOST_DEPTH = 8;
-        private static final int MOST_ENTRIES = 256;
-        private static final int MOST_NAME = 64;
+        private static final int MAX_DEPTH = 8;
+        private static final int MAX_ENTRIES = 256;
+        private static final int MAX_NAME_BYTES = 64;
 
         private final ByteBuf in;
 
@@ -53,37 +53,37 @@
             this.in = in;
         }
 
-        ThriftCall call() throws Malformed {
-            int head = in.readInt();
-            if ((head & 0xFFFF0000) != Thrift.VERSION) {
-                throw new Malformed("no version of the strict binary protocol");
+        ThriftCall readCall() throws MalformedCallException {
+            int versionAndType = in.readInt();
+            if ((versionAndType & 0xFFFF0000) != ThriftProtocol.VERSION) {
+                throw new MalformedCallException("no version of the strict binary protocol");
             }
-            int type = head & 0xFF;
-            if (type != Thrift.CALL && type != Thrift.ONEWAY) {
-                throw new Malformed("message type " + type + " is not a call");
+            int type = versionAndType & 0xFF;
+            if (type != ThriftProtocol.CALL && type != ThriftProtocol.ONEWAY) {
+                throw new MalformedCallException("message type " + type + " is not a call");
             }
-            String method = text(MOST_NAME);
+            String method = readString(MAX_NAME_BYTES);
             int seqid = in.readInt();
             return switch (method) {
-                case "dispatch" -> dispatch(seqid);
-                case "cancelRequest" -> cancelRequest(seqid);
+                case "dispatch" -> readDispatch(seqid);
+                case "cancelRequest" -> readCancelRequest(seqid);
                 case "alive" -> {
                     skipStruct(0);
                     yield new Alive(seqid);
                 }
-                default -> new Unknown(seqid, method);
+                default -> new UnknownMethod(seqid, method);
             };
         }
 
-        private ThriftCall dispatch(int seqid) throws Malformed {
+        private ThriftCall readDispatch(int seqid) throws MalformedCallException {
             Map<String, String> fields = Map.of();
             ByteBuf body = in.slice(in.readerIndex(), 0);
-            for (int type = in.readByte(); type != Thrift.STOP; type = in.readByte()) {
+            for (int type = in.readByte(); type != ThriftProtocol.STOP; type = in.readByte()) {
                 int field = in.readShort();
-                if (field == 1 && type == Thrift.MAP) {
-                    fields = fields();
-                } else if (field == 2 && type == Thrift.STRING) {
-                    body = in.readSlice(length(in.readableBytes()));
+                if (field == 1 && type == ThriftProtocol.MAP) {
+                    fields = readFields();
+                } else if (field == 2 && type == ThriftProtocol.STRING) {
+                    body = in.readSlice(readLength(in.readableBytes()));
                 } else {
                     skip(type, 0);
                 }
@@ -91,11 +91,11 @@
             return new Dispatch(seqid, fields, body);
         }
 
-        private ThriftCall cancelRequest(int seqid) throws Malformed {
+        private ThriftCall readCancelRequest(int seqid) throws MalformedCallException {
             int cancelled = 0;
-            for (int type = in.readByte(); type != Thrift.STOP; type = in.readByte()) {
+            for (int type = in.readByte(); type != ThriftProtocol.STOP; type = in.readByte()) {
                 int field = in.readShort();
-                if (field == 1 && type == Thrift.I32) {
+                if (field == 1 && type == ThriftProtocol.I32) {
                     cancelled = in.readInt();
                 } else {
                     skip(type, 0);
@@ -104,80 +104,80 @@
             return new CancelRequest(seqid, cancelled);
         }
 
-        private Map<String, String> fields() throws Malformed {
+        private Map<String, String> readFields() throws MalformedCallException {
             int keyType = in.readByte();
             int valueType = in.readByte();
             int size = in.readInt();
-            if (size < 0 || size > MOST_ENTRIES) {
-                throw new Malformed("invalid map size " + size);
+            if (size < 0 || size > MAX_ENTRIES) {
+                throw new MalformedCallException("invalid map size " + size);
             }
-            if (size > 0 && (keyType != Thrift.STRING || valueType != Thrift.STRING)) {
-                throw new Malformed("the map of fields has keys or values that are not strings");
+            if (size > 0 && (keyType != ThriftProtocol.STRING || valueType != ThriftProtocol.STRING)) {
+                throw new MalformedCallException("the map of fields has keys or values that are not strings");
             }
             Map<String, String> fields = new HashMap<>();
             for (int i = 0; i < size; i++) {
-                String name = text(in.readableBytes());
-                fields.put(name, text(in.readableBytes()));
+                String name = readString(in.readableBytes());
+                fields.put(name, readString(in.readableBytes()));
             }
             return fields;
         }
 
-        private String text(int most) throws Malformed {
-            int length = length(most);
+        private String readString(int max) throws MalformedCallException {
+            int length = readLength(max);
             String text = in.toString(in.readerIndex(), length, StandardCharsets.UTF_8);
             in.skipBytes(length);
             return text;
         }
 
-        private int length(int most) throws Malformed {
+        private int readLength(int max) throws MalformedCallException {
             int length = in.readInt();
-            if (length < 0 || length > most || length > in.readableBytes()) {
-                throw new Malformed("invalid string length " + length);
+            if (length < 0 || length > max || length > in.readableBytes()) {
+                throw new MalformedCallException("invalid string length " + length);
             }
             return length;
         }
 
-        private void skipStruct(int depth) throws Malformed {
-            for (int type = in.readByte(); type != Thrift.STOP; type = in.readByte()) {
+        private void skipStruct(int depth) throws MalformedCallException {
+            for (int type = in.readByte(); type != ThriftProtocol.STOP; type = in.readByte()) {
                 in.skipBytes(Short.BYTES);
                 skip(type, depth);
             }
         }
 
         /** Skips the value of a field that this version doesn't know. */
-        private void skip(int type, int depth) throws Malformed {
-            if (depth > MOST_DEPTH) {
-                throw new Malformed("structs or collections are nested too deeply");
+        private void skip(int type, int depth) throws MalformedCallException {
+            if (depth > MAX_DEPTH) {
+                throw new MalformedCallException("structs or collections are nested too deeply");
             }
             switch (type) {
-                case Thrift.BOOL, Thrift.BYTE -> in.skipBytes(1);
-                case Thrift.I16 -> in.skipBytes(Short.BYTES);
-                case Thrift.I32 -> in.skipBytes(Integer.BYTES);
-                case Thrift.I64, Thrift.DOUBLE -> in.skipBytes(Long.BYTES);
-                case Thrift.STRING -> in.skipBytes(length(in.readableBytes()));
-                case Thrift.STRUCT -> skipStruct(depth + 1);
-                case Thrift.MAP -> {
+                case ThriftProtocol.BOOL, ThriftProtocol.BYTE -> in.skipBytes(1);
+                case ThriftProtocol.I16 -> in.skipBytes(Short.BYTES);
+                case ThriftProtocol.I32 -> in.skipBytes(Integer.BYTES);
+                case ThriftProtocol.I64, ThriftProtocol.DOUBLE -> in.skipBytes(Long.BYTES);
+                case ThriftProtocol.STRING -> in.skipBytes(readLength(in.readableBytes()));
+                case ThriftProtocol.STRUCT -> skipStruct(depth + 1);
+                case ThriftProtocol.MAP -> {
                     int keyType = in.readByte();
                     int valueType = in.readByte();
-                    for (int left = entries(); left > 0; left--) {
+                    for (int remaining = readSize(); remaining > 0; remaining--) {
                         skip(keyType, depth + 1);
                         skip(valueType, depth + 1);
                     }
                 }
-                case Thrift.SET, Thrift.LIST -> {
+                case ThriftProtocol.SET, ThriftProtocol.LIST -> {
                     int itemType = in.readByte();
-                    for (int left = entries(); left > 0; left--) {
+                    for (int remaining = readSize(); remaining > 0; remaining--) {
                         skip(itemType, depth + 1);
                     }
                 }
-                default -> throw new Malformed("unknown field type " + type);
+                default -> throw new MalformedCallException("unknown field type " + type);
             }
         }
 
-        private int entries() throws Malformed {
+        private int readSize() throws MalformedCallException {
             int size = in.readInt();
             if (size < 0 || size > in.readableBytes()) {
-                throw new Malformed("invalid collection size " + size);
+                throw new MalformedCallException("invalid collection size " + size);
             }
             return size;
         }
--- a/doorman/src/main/java/barleyspur/front/thrift/ThriftFrameDecoder.java
+++ b/doorman/src/main/java/barleyspur/front/thrift/ThriftFrameDecoder.java
@@ -12,9 +12,9 @@
     private static final int LENGTH_BYTES = 4;
 
     private final int maxFrame;
-    private long frames;
+    private long frameCount;
     private boolean discarding;
-    private long discarded;
+    private long discardedBytes;
 
     ThriftFrameDecoder(int maxFrame) {
         this.maxFrame = maxFrame;
@@ -23,7 +23,7 @@
     @Override
     protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) {
         if (discarding) {
-            discarded += in.readableBytes();
+            discardedBytes += in.readableBytes();
             in.skipBytes(in.readableBytes());
             return;
         }
@@ -39,27 +39,27 @@
         if (in.readableBytes() >= LENGTH_BYTES + length) {
             in.skipBytes(LENGTH_BYTES);
             out.add(in.readRetainedSlice(length));
-            frames++;
+            frameCount++;
         }
     }
 
     /** Discards all input from now on. */
-    void discard() {
+    void startDiscarding() {
         discarding = true;
     }
 
     /** Returns the number of bytes that were discarded. */
-    long discarded() {
-        return discarded;
+    long discardedBytes() {
+        return discardedBytes;
     }
 
     /** Returns the number of complete frames that were received. */
-    long frames() {
-        return frames;
+    long frameCount() {
+        return frameCount;
     }
 
     /** Whether part of a frame has been received. */
-    boolean midFrame() {
+    boolean hasPartialFrame() {
         return actualReadableBytes() > 0;
     }
 }
--- a/doorman/src/main/java/barleyspur/front/thrift/ThriftFront.java
+++ b/doorman/src/main/java/barleyspur/front/thrift/ThriftServer.java
@@ -23,13 +23,13 @@
 import org.slf4j.LoggerFactory;
 
 /** The server for clients: framed Thrift over TCP. */
-public final class ThriftFront {
+public final class ThriftServer {
 
     private static final Logger LOG = LoggerFactory.getLogger("front");
     /** A write request has a body of up to 48,000 bytes; its fields need far less than the rest. */
-    private static final int MAX_FRAME = 128 * 1024;
+    private static final int MAX_FRAME_BYTES = 128 * 1024;
 
-    private static final int MOST_OPEN = 32;
+    private static final int MAX_PENDING = 32;
     /** Length of the kernel's accept queue: as many as the largest limit on file descriptors. */
     private static final int BACKLOG = 1_024;
     /**
@@ -37,20 +37,20 @@
      * that a close is noticed together with the last request before it; the limit keeps other connections from
      * starving.
      */
-    private static final int MOST_READS = 16;
+    private static final int MAX_READS = 16;
     /**
      * Divides the connection limit to give the number of closing connections that are allowed in addition; they linger
      * until their client has read the last response.
      */
-    private static final int LINGERING = 16;
+    private static final int CLOSING_DIVISOR = 16;
 
     private final EventLoopGroup group;
     private final Clock clock;
-    private final int mostConnections;
+    private final int maxConnections;
     private final ChannelGroup connections;
     private final CappedLog log;
-    private final ConnectionRegistry<FrontConnection> registry = new ConnectionRegistry<>();
-    private final FrontConnection.Shared shared;
+    private final ConnectionRegistry<ClientConnection> registry = new ConnectionRegistry<>();
+    private final ClientConnection.ServerContext context;
     private final boolean sharePort;
     private RequestClassRegistry classes;
     private Channel listener;
@@ -58,32 +58,32 @@
     /**
      * Creates a server that doesn't listen yet.
      *
-     * @param mostUnread how many bytes of response bodies may be queued for clients that read slowly
-     * @param onFull     called with true when more are queued, so that depots must not be read, and with false when
+     * @param maxUnreadBytes how many bytes of response bodies may be queued for clients that read slowly
+     * @param onOverLimit     called with true when more are queued, so that depots must not be read, and with false when
      *                   that has ended
      */
-    public ThriftFront(
+    public ThriftServer(
             EventLoopGroup group,
             Doorman doorman,
             Clock clock,
             RequestClassRegistry classes,
-            int mostConnections,
-            long mostUnread,
-            Consumer<Boolean> onFull,
+            int maxConnections,
+            long maxUnreadBytes,
+            Consumer<Boolean> onOverLimit,
             Lifecycle lifecycle,
             boolean sharePort) {
         this.group = group;
         this.clock = clock;
-        this.mostConnections = mostConnections;
+        this.maxConnections = maxConnections;
         this.log = new CappedLog(LOG, clock);
         this.connections = new DefaultChannelGroup(group.next());
         this.classes = classes;
-        this.shared = new FrontConnection.Shared(
+        this.context = new ClientConnection.ServerContext(
                 doorman,
                 clock,
                 () -> this.classes,
-                MOST_OPEN,
-                new UnreadAnswers(mostUnread, onFull),
+                MAX_PENDING,
+                new ResponseBackpressure(maxUnreadBytes, onOverLimit),
                 registry,
                 log,
                 lifecycle);
@@ -99,7 +99,7 @@
         if (sharePort) {
             bootstrap.option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true);
         }
-        ChannelFuture bound = bootstrap
+        ChannelFuture bindFuture = bootstrap
                 .group(group)
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_BACKLOG, BACKLOG)
@@ -109,17 +109,17 @@
                         ChannelOption.RECVBUF_ALLOCATOR,
                         new AdaptiveRecvByteBufAllocator()
                                 .respectMaybeMoreData(false)
-                                .maxMessagesPerRead(MOST_READS))
+                                .maxMessagesPerRead(MAX_READS))
                 // Detects clients that have disappeared without closing the connection.
                 .childOption(ChannelOption.SO_KEEPALIVE, true)
-                .childHandler(acceptor())
+                .childHandler(channelInitializer())
                 .bind(address);
-        listener = bound.channel();
-        return bound;
+        listener = bindFuture.channel();
+        return bindFuture;
     }
 
     /** Returns the initializer for accepted client channels. */
-    public ChannelInitializer<Channel> acceptor() {
+    public ChannelInitializer<Channel> channelInitializer() {
         return new ChannelInitializer<>() {
             @Override
             protected void initChannel(Channel channel) {
@@ -129,10 +129,10 @@
     }
 
     private void accept(Channel channel) {
-        if (connections.size() - registry.leaving() >= mostConnections) {
+        if (connections.size() - registry.markClosing() >= maxConnections) {
             // Too many clients would use up the file descriptors that connections to depots need.
-            FrontConnection leaves = registry.evictIdle(clock.nowMs());
-            if (leaves == null) {
+            ClientConnection evicted = registry.evictLeastActive(clock.nowMs());
+            if (evicted == null) {
                 log.warn(
                         "turned away: all connections are in use",
                         "client",
@@ -148,28 +148,28 @@
                     channel.remoteAddress(),
                     "open",
                     connections.size());
-            leaves.evict();
+            evicted.evict();
         }
-        if (registry.leaving() > mostConnections / LINGERING) {
-            registry.closingLongest().endClosing();
+        if (registry.markClosing() > maxConnections / CLOSING_DIVISOR) {
+            registry.longestClosing().closeWithoutLinger();
         }
         connections.add(channel);
-        ThriftFrameDecoder decoder = new ThriftFrameDecoder(MAX_FRAME);
-        channel.pipeline().addLast(decoder, new FrontConnection(shared, decoder));
+        ThriftFrameDecoder decoder = new ThriftFrameDecoder(MAX_FRAME_BYTES);
+        channel.pipeline().addLast(decoder, new ClientConnection(context, decoder));
     }
 
     /** Replaces the request classes for all requests from now on. */
-    public void retune(RequestClassRegistry next) {
-        classes = next;
+    public void updateClasses(RequestClassRegistry updated) {
+        classes = updated;
     }
 
     /** Closes the idle connections as the lifecycle requires, after the current iteration of the event loop. */
     public void closeIdle() {
         group.next().execute(() -> {
-            for (Channel c : connections) {
-                FrontConnection connection = c.pipeline().get(FrontConnection.class);
+            for (Channel clientChannel : connections) {
+                ClientConnection connection = clientChannel.pipeline().get(ClientConnection.class);
                 if (connection != null) {
-                    connection.closeIfQuiet();
+                    connection.closeIfIdle();
                 }
             }
         });
@@ -187,15 +187,15 @@
      * Stops listening and closes each connection when it becomes idle, all of them after {@code mostMs}; then runs
      * {@code then}. Before this call the lifecycle has to be in a state in which idle connections are closed.
      */
-    public void close(double mostMs, Runnable then) {
+    public void close(double maxMs, Runnable onClosed) {
         if (listener != null) {
             listener.close();
         }
         closeIdle();
-        Clock.Timer enough = clock.after(mostMs, connections::close);
-        connections.newCloseFuture().addListener(all -> {
-            enough.cancel();
-            then.run();
+        Clock.Timer timeout = clock.after(maxMs, connections::close);
+        connections.newCloseFuture().addListener(closed -> {
+            timeout.cancel();
+            onClosed.run();
         });
     }
 }
--- a/doorman/src/test/java/barleyspur/admin/AdminServerTest.java
+++ b/doorman/src/test/java/barleyspur/admin/AdminServerTest.java
@@ -17,7 +17,7 @@
 /** The administration server in virtual time: routes, silent connections and the lifecycle. */
 class AdminServerTest implements Clock {
 
-    private record Task(double at, Runnable run) {}
+    private record Task(double dueMs, Runnable action) {}
 
     private double now;
     private final List<Task> timers = new ArrayList<>();
@@ -26,7 +26,7 @@
     private final AdminServer server = new AdminServer(
             null,
             this,
-            new LifecycleCalls(lifecycle, this, () -> quiesced++)
+            new LifecycleRoutes(lifecycle, this, () -> quiesced++)
                     .addTo(Routes.builder())
                     .build());
 
@@ -37,46 +37,46 @@
 
     @Override
     public Timer after(double delayMs, Runnable task) {
-        Task t = new Task(now + delayMs, task);
-        timers.add(t);
-        return () -> timers.remove(t);
+        Task timer = new Task(now + delayMs, task);
+        timers.add(timer);
+        return () -> timers.remove(timer);
     }
 
-    private void pass(double ms) {
+    private void advance(double ms) {
         now += ms;
-        for (Task t : List.copyOf(timers)) {
-            if (t.at <= now && timers.remove(t)) {
-                t.run.run();
+        for (Task timer : List.copyOf(timers)) {
+            if (timer.dueMs <= now && timers.remove(timer)) {
+                timer.action.run();
             }
         }
     }
 
     private EmbeddedChannel connect() {
-        return new EmbeddedChannel(server.acceptor());
+        return new EmbeddedChannel(server.channelInitializer());
     }
 
-    private static String read(EmbeddedChannel caller) {
+    private static String read(EmbeddedChannel client) {
         StringBuilder text = new StringBuilder();
-        for (ByteBuf b = caller.readOutbound(); b != null; b = caller.readOutbound()) {
-            text.append(b.toString(StandardCharsets.UTF_8));
-            b.release();
+        for (ByteBuf buffer = client.readOutbound(); buffer != null; buffer = client.readOutbound()) {
+            text.append(buffer.toString(StandardCharsets.UTF_8));
+            buffer.release();
         }
         return text.toString();
     }
 
     private String call(String method, String path) {
-        EmbeddedChannel caller = connect();
-        caller.writeInbound(Unpooled.copiedBuffer(
+        EmbeddedChannel client = connect();
+        client.writeInbound(Unpooled.copiedBuffer(
                 method + " " + path + " HTTP/1.1\r\nHost: x\r\n\r\n", StandardCharsets.ISO_8859_1));
-        String answer = read(caller);
-        pass(AdminConnection.LAST_READ_MS);
-        assertFalse(caller.isOpen(), "one request per connection");
-        return answer;
+        String response = read(client);
+        advance(AdminConnection.LINGER_MS);
+        assertFalse(client.isOpen(), "one request per connection");
+        return response;
     }
 
     /** Health returns 503 from a quiesce until the resume, so that load balancers send no clients. */
     @Test
-    void quiesceAndResumeTurnHealth() {
+    void quiesceAndResumeChangeHealth() {
         assertTrue(call("GET", "/admin/health").startsWith("HTTP/1.1 503"), "not yet serving");
         lifecycle.serving(now);
         assertTrue(call("GET", "/admin/health").startsWith("HTTP/1.1 200"));
@@ -93,7 +93,7 @@
     }
 
     @Test
-    void unknownCallsAreTurnedDown() {
+    void unknownRoutesAreRejected() {
         assertTrue(call("GET", "/admin/nothing").startsWith("HTTP/1.1 404"));
         String wrong = call("DELETE", "/admin/health");
         assertTrue(wrong.startsWith("HTTP/1.1 405") && wrong.contains("Allow: GET"), wrong);
@@ -104,29 +104,29 @@
      * limit, health is answered at once, because one of them is evicted, and the others receive status 408 after 2 s.
      */
     @Test
-    void callersWhoSayNothingNeitherBlockNorStay() {
+    void silentConnectionsNeitherBlockNorStay() {
         lifecycle.serving(now);
         List<EmbeddedChannel> silent = new ArrayList<>();
-        for (int i = 0; i < AdminServer.MOST_CALLERS; i++) {
-            EmbeddedChannel c = connect();
-            c.writeInbound(Unpooled.copiedBuffer("GET /admin/hea", StandardCharsets.ISO_8859_1));
-            silent.add(c);
+        for (int i = 0; i < AdminServer.MAX_CONNECTIONS; i++) {
+            EmbeddedChannel connection = connect();
+            connection.writeInbound(Unpooled.copiedBuffer("GET /admin/hea", StandardCharsets.ISO_8859_1));
+            silent.add(connection);
         }
         assertTrue(call("GET", "/admin/health").startsWith("HTTP/1.1 200"));
         silent.forEach(EmbeddedChannel::runPendingTasks);
         assertFalse(silent.get(0).isOpen(), "the oldest silent connection was evicted");
         assertTrue(silent.get(1).isOpen());
-        pass(AdminConnection.CALL_MS);
+        advance(AdminConnection.REQUEST_TIMEOUT_MS);
         assertTrue(read(silent.get(1)).startsWith("HTTP/1.1 408"));
-        pass(AdminConnection.LAST_READ_MS);
+        advance(AdminConnection.LINGER_MS);
         assertFalse(silent.get(1).isOpen());
     }
 
     /** An invalid request receives a response with the status of its error. */
     @Test
-    void aFaultIsAnsweredWithItsStatus() {
-        EmbeddedChannel caller = connect();
-        caller.writeInbound(Unpooled.copiedBuffer("GET /admin/health HTTP/3.0\r\n\r\n", StandardCharsets.ISO_8859_1));
-        assertTrue(read(caller).startsWith("HTTP/1.1 505"));
+    void invalidRequestReceivesItsStatus() {
+        EmbeddedChannel client = connect();
+        client.writeInbound(Unpooled.copiedBuffer("GET /admin/health HTTP/3.0\r\n\r\n", StandardCharsets.ISO_8859_1));
+        assertTrue(read(client).startsWith("HTTP/1.1 505"));
     }
 }
--- a/doorman/src/test/java/barleyspur/admin/http/HttpPropertiesTest.java
+++ b/doorman/src/test/java/barleyspur/admin/http/HttpPropertiesTest.java
@@ -32,14 +32,14 @@
         return new EmbeddedChannel(new HttpRequestDecoder(MAX_HEAD, MAX_BODY));
     }
 
-    private static byte[] call(String method, String path, Map<String, String> fields, byte[] body, String eol) {
-        StringBuilder head = new StringBuilder(method + " " + path + " HTTP/1.1" + eol);
+    private static byte[] encode(String method, String path, Map<String, String> fields, byte[] body, String lineEnd) {
+        StringBuilder head = new StringBuilder(method + " " + path + " HTTP/1.1" + lineEnd);
         fields.forEach((k, v) ->
-                head.append("X-").append(k).append(":  ").append(v).append(" ").append(eol));
+                head.append("X-").append(k).append(":  ").append(v).append(" ").append(lineEnd));
         if (body.length > 0) {
-            head.append("Content-Length: ").append(body.length).append(eol);
+            head.append("Content-Length: ").append(body.length).append(lineEnd);
         }
-        byte[] start = head.append(eol).toString().getBytes(StandardCharsets.ISO_8859_1);
+        byte[] start = head.append(lineEnd).toString().getBytes(StandardCharsets.ISO_8859_1);
         byte[] all = new byte[start.length + body.length];
         System.arraycopy(start, 0, all, 0, start.length);
         System.arraycopy(body, 0, all, start.length, body.length);
@@ -48,7 +48,7 @@
 
     /** Input that is split anywhere results in exactly one complete request. */
     @Property(seed = "41")
-    void callsSurviveAnyCuts(
+    void requestsDecodeHoweverSplit(
             @ForAll @AlphaChars @StringLength(min = 1, max = 8) String method,
             @ForAll @AlphaChars @StringLength(max = 30) String path,
             @ForAll @Size(max = 4)
@@ -58,13 +58,13 @@
                             fields,
             @ForAll @Size(max = 300) byte[] body,
             @ForAll boolean bareLf,
-            @ForAll long cuts) {
-        byte[] bytes = call(method, "/" + path, fields, body, bareLf ? "\n" : "\r\n");
-        byte[] more = "GET /after HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1);
-        byte[] twice = new byte[bytes.length + more.length];
+            @ForAll long splitSeed) {
+        byte[] bytes = encode(method, "/" + path, fields, body, bareLf ? "\n" : "\r\n");
+        byte[] following = "GET /after HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1);
+        byte[] twice = new byte[bytes.length + following.length];
         System.arraycopy(bytes, 0, twice, 0, bytes.length);
-        System.arraycopy(more, 0, twice, bytes.length, more.length);
-        List<Object> read = Cuts.feed(decoder(), twice, cuts);
+        System.arraycopy(following, 0, twice, bytes.length, following.length);
+        List<Object> read = Cuts.feed(decoder(), twice, splitSeed);
         assertEquals(1, read.size(), "one request per connection: the rest is discarded");
         HttpRequest request = (HttpRequest) read.get(0);
         assertEquals(method, request.method());
@@ -79,13 +79,13 @@
 
     /** Random input results in a request, an exception with a status, or nothing yet, and in no other exception. */
     @Property(seed = "42")
-    void garbageIsACallAFaultOrNothing(
-            @ForAll @Size(max = 400) byte[] garbage, @ForAll boolean headed, @ForAll long cuts) {
-        byte[] head = headed ? "PUT /admin/quiesce HTTP/1.1\r\n".getBytes(StandardCharsets.ISO_8859_1) : new byte[0];
-        byte[] bytes = new byte[head.length + garbage.length];
+    void randomInputIsARequestAnErrorOrNothing(
+            @ForAll @Size(max = 400) byte[] input, @ForAll boolean withHead, @ForAll long splitSeed) {
+        byte[] head = withHead ? "PUT /admin/quiesce HTTP/1.1\r\n".getBytes(StandardCharsets.ISO_8859_1) : new byte[0];
+        byte[] bytes = new byte[head.length + input.length];
         System.arraycopy(head, 0, bytes, 0, head.length);
-        System.arraycopy(garbage, 0, bytes, head.length, garbage.length);
-        List<Object> read = Cuts.feedGarbage(decoder(), bytes, cuts);
+        System.arraycopy(input, 0, bytes, head.length, input.length);
+        List<Object> read = Cuts.feedGarbage(decoder(), bytes, splitSeed);
         if (read != null) {
             assertTrue(read.size() <= 1);
             read.forEach(r -> ((HttpRequest) r).body().release());
@@ -94,7 +94,7 @@
 
     /** A head without an end is rejected at the size limit, however the input is split. */
     @Property(seed = "43")
-    void aHeadWithoutEndIsCutOff(@ForAll long cuts, @ForAll @IntRange(min = 0, max = 2) int kind) {
+    void endlessHeadIsRejected(@ForAll long splitSeed, @ForAll @IntRange(min = 0, max = 2) int kind) {
         String filler =
                 switch (kind) {
                     case 0 -> "x";
@@ -102,12 +102,12 @@
                     default -> "\r";
                 };
         byte[] bytes = ("GET / HTTP/1.1\r\n" + filler.repeat(2 * MAX_HEAD)).getBytes(StandardCharsets.ISO_8859_1);
-        assertEquals(431, status(bytes, cuts));
+        assertEquals(431, status(bytes, splitSeed));
     }
 
-    private static int status(byte[] bytes, long cuts) {
-        HttpFault fault = assertThrows(HttpFault.class, () -> Cuts.feed(decoder(), bytes, cuts));
-        return fault.status();
+    private static int status(byte[] bytes, long splitSeed) {
+        HttpRequestException exception = assertThrows(HttpRequestException.class, () -> Cuts.feed(decoder(), bytes, splitSeed));
+        return exception.status();
     }
 
     private static int status(String text) {
@@ -115,7 +115,7 @@
     }
 
     @Example
-    void whatRfc9112TurnsDownHasItsStatus() {
+    void invalidRequestsHaveTheirStatus() {
         assertEquals(400, status("GET /a HTTP/1.1\r\n folded\r\n\r\n"), "obsolete line folding, section 5.2");
         assertEquals(400, status("GET /a HTTP/1.1\r\nHost : x\r\n\r\n"), "space before the colon, section 5.1");
         assertEquals(400, status("GET  /a HTTP/1.1\r\n\r\n"), "two spaces in the request line, section 3");
@@ -127,7 +127,7 @@
     }
 
     @Example
-    void emptyLinesBeforeTheCallAndAListOfOneLengthAreRead() {
+    void leadingEmptyLinesAndRepeatedLengthsAreAccepted() {
         List<Object> read = Cuts.feed(
                 decoder(),
                 ("\r\n\r\nPUT /admin/resume?x=1 HTTP/1.0\r\nContent-Length: 2, 2\r\n" + "\r\nok")
--- a/doorman/src/test/java/barleyspur/arch/LayersTest.java
+++ b/doorman/src/test/java/barleyspur/arch/LayersTest.java
@@ -14,13 +14,13 @@
  */
 class LayersTest {
 
-    private static final JavaClasses ALL = new ClassFileImporter()
+    private static final JavaClasses PRODUCTION_CLASSES = new ClassFileImporter()
             .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
             .importPackages("barleyspur");
 
     /** Decision code and the checker use no I/O and neither the system clock nor a system random source. */
     @Test
-    void whatDecidesIsPure() {
+    void decisionCodeIsPure() {
         noClasses()
                 .that()
                 .resideInAnyPackage(
@@ -50,24 +50,24 @@
                 .callMethod(System.class, "currentTimeMillis")
                 .orShould()
                 .callMethod(Math.class, "random")
-                .check(ALL);
+                .check(PRODUCTION_CLASSES);
     }
 
     /** The decision module depends only on the JDK. */
     @Test
-    void decisionsKnowNobody() {
+    void decisionModuleDependsOnlyOnTheJdk() {
         classes()
                 .that()
                 .resideInAPackage("barleyspur.decision")
                 .should()
                 .onlyDependOnClassesThat()
                 .resideInAnyPackage("barleyspur.decision", "java..")
-                .check(ALL);
+                .check(PRODUCTION_CLASSES);
     }
 
     /** The core depends on no client or depot protocol, so that a second client protocol can use the same core. */
     @Test
-    void theCoreKnowsNoProtocol() {
+    void coreDependsOnNoProtocol() {
         noClasses()
                 .that()
                 .resideInAPackage("barleyspur.doorman")
@@ -81,24 +81,24 @@
                         "barleyspur.expect..",
                         "barleyspur.cli..",
                         "io.netty.handler..")
-                .check(ALL);
+                .check(PRODUCTION_CLASSES);
     }
 
     /** The checker depends neither on configuration files nor on commands. */
     @Test
-    void theCheckerKnowsNoFiles() {
+    void checkerDependsOnNoFiles() {
         noClasses()
                 .that()
                 .resideInAPackage("barleyspur.expect")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage("barleyspur.config..", "barleyspur.cli..", "barleyspur.doorman..", "barleyspur")
-                .check(ALL);
+                .check(PRODUCTION_CLASSES);
     }
 
     /** Serving code doesn't depend on the checker, which only commands and an enabled expectation check use. */
     @Test
-    void serveIsFreeOfTheChecker() {
+    void servingCodeDoesNotDependOnTheChecker() {
         noClasses()
                 .that()
                 .resideInAnyPackage(
@@ -111,7 +111,7 @@
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage("barleyspur.expect..", "com.bertramlabs..")
-                .check(ALL);
+                .check(PRODUCTION_CLASSES);
         noClasses()
                 .that()
                 .haveSimpleName("Configuration")
@@ -120,31 +120,31 @@
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage("barleyspur.expect..", "com.bertramlabs..")
-                .check(ALL);
+                .check(PRODUCTION_CLASSES);
     }
 
     /** No other package depends on the commands. */
     @Test
-    void commandsAreTheTop() {
+    void nothingDependsOnTheCommands() {
         noClasses()
                 .that()
                 .resideOutsideOfPackage("barleyspur.cli")
                 .should()
                 .dependOnClassesThat()
                 .resideInAPackage("barleyspur.cli")
-                .check(ALL);
+                .check(PRODUCTION_CLASSES);
     }
 
     /** Membership decisions are independent of their transport, and routing decisions depend on neither. */
     @Test
-    void theFleetViewKnowsNobody() {
+    void fleetViewIsIndependent() {
         noClasses()
                 .that()
                 .resideInAPackage("barleyspur.fleet")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage("barleyspur.fleet.net", "barleyspur.doorman..", "barleyspur.config..")
-                .check(ALL);
+                .check(PRODUCTION_CLASSES);
         noClasses()
                 .that()
                 .resideOutsideOfPackages(
@@ -154,12 +154,12 @@
                 .should()
                 .dependOnClassesThat()
                 .resideInAPackage("barleyspur.fleet..")
-                .check(ALL);
+                .check(PRODUCTION_CLASSES);
     }
 
     /** The division of budgets is independent of the fleet view, of its transport and of routing. */
     @Test
-    void theDivisionKnowsNobody() {
+    void budgetDivisionIsIndependent() {
         noClasses()
                 .that()
                 .resideInAPackage("barleyspur.budget")
@@ -171,7 +171,7 @@
                         "barleyspur.doorman..",
                         "barleyspur.config..",
                         "barleyspur.decision..")
-                .check(ALL);
+                .check(PRODUCTION_CLASSES);
         noClasses()
                 .that()
                 .resideOutsideOfPackages("barleyspur.budget..", "barleyspur.config")
@@ -180,6 +180,6 @@
                 .should()
                 .dependOnClassesThat()
                 .resideInAPackage("barleyspur.budget..")
-                .check(ALL);
+                .check(PRODUCTION_CLASSES);
     }
 }
--- a/doorman/src/test/java/barleyspur/cli/ExpectCommandTest.java
+++ b/doorman/src/test/java/barleyspur/cli/ExpectCommandTest.java
@@ -22,9 +22,9 @@
     @TempDir
     private Path folder;
 
-    private record Ended(int code, String out, String err) {}
+    private record CommandResult(int code, String out, String err) {}
 
-    private static Ended run(String... args) {
+    private static CommandResult run(String... args) {
         PrintStream out = System.out;
         PrintStream err = System.err;
         ByteArrayOutputStream outBytes = new ByteArrayOutputStream();
@@ -33,7 +33,7 @@
             System.setOut(new PrintStream(outBytes, true, StandardCharsets.UTF_8));
             System.setErr(new PrintStream(errBytes, true, StandardCharsets.UTF_8));
             int code = Cli.run(args);
-            return new Ended(
+            return new CommandResult(
                     code, outBytes.toString(StandardCharsets.UTF_8), errBytes.toString(StandardCharsets.UTF_8));
         } finally {
             System.setOut(out);
@@ -41,7 +41,7 @@
         }
     }
 
-    private Ended expect(String config, String file) {
+    private CommandResult expect(String config, String file) {
         return run(
                 "expect",
                 "--cases",
@@ -55,10 +55,10 @@
 
     /** The example configuration satisfies its expectations. */
     @Test
-    void theStationKeepsToItsExpectations() {
-        Ended e = expect("station.json", "station.hcl");
-        assertEquals(0, e.code(), e.out() + e.err());
-        assertTrue(e.out().contains("covered: 54 orders of up to 1 of 88 events"), e.out());
+    void exampleSatisfiesItsExpectations() {
+        CommandResult result = expect("station.json", "station.hcl");
+        assertEquals(0, result.code(), result.out() + result.err());
+        assertTrue(result.out().contains("covered: 54 orders of up to 1 of 88 events"), result.out());
     }
 
     /** Each deliberately wrong configuration is refuted, and the message names the violation. */
@@ -74,20 +74,20 @@
         wrong-attempts          | station.hcl:14: settings.most_attempts = <= 8 does not hold; it is 50.0
         wrong-purge-grace       | station.hcl:13: settings.purge_grace = <= 1s does not hold; it is 8000.0
         """)
-    void aWrongConfigurationIsCaught(String config, String said) {
-        Ended e = expect(config + ".json", "station.hcl");
-        assertEquals(1, e.code(), e.out() + e.err());
-        assertTrue(e.out().contains(said), e.out());
+    void wrongConfigurationIsRefuted(String config, String message) {
+        CommandResult result = expect(config + ".json", "station.hcl");
+        assertEquals(1, result.code(), result.out() + result.err());
+        assertTrue(result.out().contains(message), result.out());
     }
 
     /** A wrong expectation is refuted, and each replay of its trace prints the same. */
     @Test
-    void aCounterexampleIsReplayed() throws IOException {
-        Ended e = expect("station.json", "wrong-expectation.hcl");
-        assertEquals(1, e.code(), e.out() + e.err());
+    void counterexampleIsReplayed() throws IOException {
+        CommandResult result = expect("station.json", "wrong-expectation.hcl");
+        assertEquals(1, result.code(), result.out() + result.err());
         String trace =
                 folder.resolve("nothing-ever-from-the-head-office.trace.json").toString();
-        Ended once = run("explain", trace);
+        CommandResult once = run("explain", trace);
         assertEquals(1, once.code(), once.out() + once.err());
         assertTrue(once.out().contains("NOT as expected by \"nothing ever from the head office\""), once.out());
         assertEquals(once, run("explain", trace));
@@ -108,10 +108,10 @@
         station.json | missing.hcl | missing.hcl
         missing.json | station.hcl | missing.json can't be read
         """)
-    void unusableInputIsNamed(String config, String file, String said) {
-        Ended e = expect(config, file);
-        assertEquals(2, e.code(), e.out() + e.err());
-        assertTrue(e.err().contains(said), e.err());
+    void invalidInputIsNamed(String config, String file, String message) {
+        CommandResult result = expect(config, file);
+        assertEquals(2, result.code(), result.out() + result.err());
+        assertTrue(result.err().contains(message), result.err());
     }
 
     /** Included files are found relative to the including file, share their definitions, and are named if missing. */
@@ -131,27 +131,27 @@
         String[] args = {"expect", "--cases", "1", "--config", EXAMPLES + "station.json", main.toString()};
         assertEquals(0, run(args).code());
         Files.writeString(main, Files.readString(main).replace("names.hcl", "nmaes.hcl"));
-        Ended missing = run(args);
+        CommandResult missing = run(args);
         assertEquals(2, missing.code());
         assertTrue(missing.err().contains("main.hcl:1: file " + folder.resolve("shared/nmaes.hcl")), missing.err());
     }
 
     /** A file that isn't a trace is rejected. */
     @Test
-    void aTraceThatIsNone() {
-        Ended e = run("explain", EXAMPLES + "station.json");
-        assertEquals(2, e.code());
-        assertTrue(e.err().contains("key barleyspur_trace is not 1"), e.err());
+    void fileThatIsNoTraceIsRejected() {
+        CommandResult result = run("explain", EXAMPLES + "station.json");
+        assertEquals(2, result.code());
+        assertTrue(result.err().contains("key barleyspur_trace is not 1"), result.err());
     }
 
     /** Comparing a configuration with itself shows no difference; others are printed request by request. */
     @Test
-    void theDifferenceOfTwoConfigurations() {
+    void differencesOfConfigurationsArePrinted() {
         String station = EXAMPLES + "station.json";
-        Ended none = run("expect", "--cases", "4", "--diff", station, station, EXAMPLES + "station.hcl");
+        CommandResult none = run("expect", "--cases", "4", "--diff", station, station, EXAMPLES + "station.hcl");
         assertEquals(0, none.code(), none.out() + none.err());
         assertTrue(none.out().contains("0 of "), none.out());
-        Ended some = run(
+        CommandResult some = run(
                 "expect",
                 "--cases",
                 "12",
@@ -162,7 +162,7 @@
         assertEquals(1, some.code(), some.out() + some.err());
         assertTrue(some.out().contains("(swap-record"), some.out());
         // A missing box makes a difference only for the requests that used it.
-        Ended fewer = run(
+        CommandResult fewer = run(
                 "expect",
                 "--cases",
                 "4",
@@ -183,7 +183,7 @@
                 .err()
                 .contains("--seed is not a whole number"));
         for (String command : new String[] {"serve", "check", "expect", "explain", "rehearse", "simhost", "version"}) {
-            Ended help = run(command, "--help");
+            CommandResult help = run(command, "--help");
             assertEquals(0, help.code());
             assertTrue(help.out().contains("barleyspur " + command), help.out());
         }
