--- a/doorman/src/test/java/barleyspur/front/thrift/FrontConnectionTest.java
+++ b/doorman/src/test/java/barleyspur/front/thrift/ClientConnectionTest.java
@@ -30,7 +30,7 @@
 import org.slf4j.LoggerFactory;
 
 /** A client connection in front of a doorman whose routing decisions are scripted by each test. */
-class FrontConnectionTest implements Clock {
+class ClientConnectionTest implements Clock {
 
     static final Director.Settings SETTINGS = SettingsReader.read(
             SettingsReader.lines(
@@ -41,20 +41,20 @@
         rules.drainGraceMs=1000\nrules.coldFrom=0.24\nrules.coldMs=17000\nrules.tipMultiple=4
         """));
     static final RequestClassRegistry CLASSES = RequestClassRegistry.of(List.of("small"), SETTINGS.classes());
-    private static final int MOST_OPEN = 2;
+    private static final int MAX_PENDING = 2;
 
     private final List<Director.Event> events = new ArrayList<>();
-    private Consumer<Director.Action> out;
+    private Consumer<Director.Action> actions;
     private final Doorman doorman = new Doorman(
             SETTINGS,
             9,
             (now, event, sink) -> {
                 events.add(event);
-                out = sink;
+                actions = sink;
             },
             this,
             new SilentDepots());
-    private final ConnectionRegistry<FrontConnection> registry = new ConnectionRegistry<>();
+    private final ConnectionRegistry<ClientConnection> registry = new ConnectionRegistry<>();
     private final Lifecycle lifecycle = new Lifecycle();
     private final List<Runnable> timers = new ArrayList<>();
     private double now;
@@ -63,16 +63,16 @@
     private EmbeddedChannel connect() {
         lifecycle.serving(now);
         ThriftFrameDecoder decoder = new ThriftFrameDecoder(100_000);
-        FrontConnection.Shared shared = new FrontConnection.Shared(
+        ClientConnection.ServerContext shared = new ClientConnection.ServerContext(
                 doorman,
                 this,
                 () -> CLASSES,
-                MOST_OPEN,
-                new UnreadAnswers(1_000, full -> {}),
+                MAX_PENDING,
+                new ResponseBackpressure(1_000, full -> {}),
                 registry,
                 new CappedLog(LoggerFactory.getLogger("front"), this),
                 lifecycle);
-        return new EmbeddedChannel(decoder, new FrontConnection(shared, decoder));
+        return new EmbeddedChannel(decoder, new ClientConnection(shared, decoder));
     }
 
     @Override
@@ -88,7 +88,7 @@
     }
 
     /** Advances the clock and runs all timers that are currently set. */
-    private void pass(double ms) {
+    private void advance(double ms) {
         now += ms;
         List<Runnable> due = new ArrayList<>(timers);
         timers.clear();
@@ -106,28 +106,28 @@
 
     /** Asserts the type and sequence number of the next message to the client, and that it contains {@code text}. */
     private void assertAnswer(int type, int seqid, String text) {
-        ByteBuf whole = Unpooled.buffer();
+        ByteBuf complete = Unpooled.buffer();
         for (ByteBuf part = channel.readOutbound(); part != null; part = channel.readOutbound()) {
-            whole.writeBytes(part);
+            complete.writeBytes(part);
             part.release();
         }
-        assertEquals(whole.readableBytes() - Integer.BYTES, whole.readInt(), "exactly one complete frame");
-        assertEquals(Thrift.VERSION | type, whole.readInt());
-        whole.skipBytes(whole.readInt());
-        assertEquals(seqid, whole.readInt());
-        assertTrue(whole.toString(StandardCharsets.ISO_8859_1).contains(text), text);
+        assertEquals(complete.readableBytes() - Integer.BYTES, complete.readInt(), "exactly one complete frame");
+        assertEquals(ThriftProtocol.VERSION | type, complete.readInt());
+        complete.skipBytes(complete.readInt());
+        assertEquals(seqid, complete.readInt());
+        assertTrue(complete.toString(StandardCharsets.ISO_8859_1).contains(text), text);
     }
 
     /** A request that arrives byte by byte is accepted once, when it is complete. */
     @Test
-    void aRequestThatComesOneByteAtATimeIsTakenWhenWhole() {
+    void requestReceivedByteByByteIsAcceptedOnce() {
         Map<String, String> fields = ThriftCalls.fields("small", "9b1f03aa5c7e2d41");
-        ByteBuf whole = ThriftCalls.dispatch(1, fields, new byte[4]);
-        while (whole.isReadable()) {
+        ByteBuf complete = ThriftCalls.dispatch(1, fields, new byte[4]);
+        while (complete.isReadable()) {
             assertEquals(List.of(), events, "no request before the last byte");
-            channel.writeInbound(whole.readRetainedSlice(1));
+            channel.writeInbound(complete.readRetainedSlice(1));
         }
-        whole.release();
+        complete.release();
         assertEquals(1, events.size());
         assertTrue(channel.isOpen());
     }
@@ -139,7 +139,7 @@
 
     /** A client to which nothing can be written is still read, so that a cancel or close is noticed at once. */
     @Test
-    void aSlowReaderIsHeardWhenItCancels() {
+    void cancelOfASlowReaderIsProcessed() {
         dispatch(1, "small");
         dispatch(2, "small");
         writable(false);
@@ -152,15 +152,15 @@
     }
 
     @Test
-    void aReaderThatTakesNothingIsLetGo() {
+    void clientThatReadsNothingIsDisconnected() {
         dispatch(1, "small");
         writable(false);
-        pass(CLASSES.longestDeadlineMs() - 1);
+        advance(CLASSES.longestDeadlineMs() - 1);
         writable(true);
         writable(false);
-        pass(CLASSES.longestDeadlineMs() - 1);
+        advance(CLASSES.longestDeadlineMs() - 1);
         assertTrue(channel.isOpen(), "writes succeeded in between");
-        pass(1);
+        advance(1);
         assertFalse(channel.isOpen(), "nothing was written for the longest deadline");
     }
 
@@ -169,41 +169,41 @@
      * client that keeps sending requests regardless is disconnected.
      */
     @Test
-    void aSlowReaderCanAskForNoMoreThanMayBeOpen() {
-        FlushHeld held = new FlushHeld();
-        channel.pipeline().addFirst(held);
-        for (int i = 1; i <= MOST_OPEN; i++) {
+    void unwrittenResponsesCountTowardsTheLimit() {
+        WriteBlocker blocker = new WriteBlocker();
+        channel.pipeline().addFirst(blocker);
+        for (int i = 1; i <= MAX_PENDING; i++) {
             dispatch(i, "small");
-            out.accept(new Director.Refuse(((Director.Request) events.get(i - 1)).id(), 0));
+            actions.accept(new Director.Refuse(((Director.Request) events.get(i - 1)).id(), 0));
             doorman.purgedGroup(1, 0);
             events.remove(events.size() - 1);
         }
         dispatch(3, "small");
-        assertEquals(MOST_OPEN, events.size(), "two responses are unwritten, so no third request is accepted");
+        assertEquals(MAX_PENDING, events.size(), "two responses are unwritten, so no third request is accepted");
         assertTrue(channel.isOpen());
         dispatch(4, "small");
-        pass(FrontConnection.LINGER_MS);
+        advance(ClientConnection.LINGER_MS);
         assertFalse(channel.isOpen(), "four responses are unwritten");
-        held.release();
+        blocker.release();
     }
 
     /** Holds back all written messages, like a socket whose peer does not read. */
-    private static final class FlushHeld extends ChannelOutboundHandlerAdapter {
-        private final List<Object> kept = new ArrayList<>();
+    private static final class WriteBlocker extends ChannelOutboundHandlerAdapter {
+        private final List<Object> messages = new ArrayList<>();
 
         @Override
         public void write(ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
-            kept.add(message);
+            messages.add(message);
         }
 
         void release() {
-            kept.forEach(ReferenceCountUtil::release);
+            messages.forEach(ReferenceCountUtil::release);
         }
     }
 
     /** A request is never started if its cancel or close is read in the same iteration of the event loop. */
     @Test
-    void aRequestThatComesWithItsCancelIsNotBegun() {
+    void requestCancelledInTheSameIterationIsNotStarted() {
         Map<String, String> fields = ThriftCalls.fields("small", "9b1f03aa5c7e2d41");
         channel.writeInbound(
                 Unpooled.wrappedBuffer(ThriftCalls.dispatch(1, fields, new byte[4]), ThriftCalls.cancelRequest(2, 1)));
@@ -220,51 +220,51 @@
 
     /** A complete request that is followed by invalid input gets a response, although it is not accepted any more. */
     @Test
-    void aRequestBeforeAFaultIsAnswered() {
+    void requestBeforeInvalidInputIsAnswered() {
         Map<String, String> fields = ThriftCalls.fields("small", "9b1f03aa5c7e2d41");
         channel.writeInbound(Unpooled.wrappedBuffer(
                 ThriftCalls.dispatch(1, fields, new byte[4]), Unpooled.wrappedBuffer(new byte[] {-1, -1, -1, -1})));
         assertEquals(List.of(), events);
         ByteBuf first = channel.readOutbound();
-        assertEquals(Thrift.VERSION | Thrift.REPLY, first.getInt(Integer.BYTES));
+        assertEquals(ThriftProtocol.VERSION | ThriftProtocol.REPLY, first.getInt(Integer.BYTES));
         first.release();
         assertTrue(Unpooled.wrappedBuffer(channel.<ByteBuf>readOutbound()).readableBytes() > 0);
         assertTrue(channel.isOpen());
     }
 
     @Test
-    void aRefusalSaysWhenToComeBack() {
+    void refusalCarriesTheRetryDelay() {
         dispatch(1, "small");
         doorman.listed(true, List.of());
         assertNull(channel.readOutbound(), "held until the routing decision");
         Director.Request request = (Director.Request) events.get(0);
         assertEquals(3, request.part());
         assertEquals(17, request.group());
-        out.accept(new Director.Refuse(request.id(), 700));
+        actions.accept(new Director.Refuse(request.id(), 700));
         doorman.purgedGroup(1, 0);
-        assertAnswer(Thrift.REPLY, 1, "700");
+        assertAnswer(ThriftProtocol.REPLY, 1, "700");
     }
 
     @Test
-    void aBadRequestIsAnApplicationExceptionAndTheConnectionGoesOn() {
+    void invalidRequestReceivesAnExceptionAndTheConnectionStays() {
         dispatch(1, "unheard-of");
-        assertAnswer(Thrift.EXCEPTION, 1, "field c");
+        assertAnswer(ThriftProtocol.EXCEPTION, 1, "field c");
         dispatch(2, "small");
         assertEquals(1, events.size());
         assertTrue(channel.isOpen());
     }
 
     @Test
-    void moreThanMayBeOpenIsRefused() {
+    void requestsOverTheLimitAreRefused() {
         dispatch(1, "small");
         dispatch(2, "small");
         dispatch(3, "small");
-        assertAnswer(Thrift.REPLY, 3, "");
-        assertEquals(MOST_OPEN, events.size());
+        assertAnswer(ThriftProtocol.REPLY, 3, "");
+        assertEquals(MAX_PENDING, events.size());
     }
 
     @Test
-    void aClientThatEndsItsConnectionHasLeft() {
+    void closeCancelsPendingRequests() {
         dispatch(1, "small");
         channel.close();
         channel.runPendingTasks();
@@ -273,7 +273,7 @@
 
     /** A client can't distinguish two responses with the same sequence number, so the connection is rejected. */
     @Test
-    void aNumberThatIsInUseEndsTheConnection() {
+    void duplicateSequenceNumberClosesTheConnection() {
         dispatch(1, "small");
         dispatch(1, "small", "9b1f03aa5c7e2d42");
         assertEquals(new Director.Gone(((Director.Request) events.get(0)).id()), events.get(1));
@@ -281,69 +281,69 @@
         assertTrue(Unpooled.wrappedBuffer(channel.<ByteBuf>readOutbound()).readableBytes() > 0);
         channel.writeInbound(Unpooled.wrappedBuffer(new byte[300_000]));
         assertFalse(channel.config().isAutoRead(), "reading stops at the limit of discarded bytes");
-        pass(FrontConnection.LINGER_MS);
+        advance(ClientConnection.LINGER_MS);
         assertFalse(channel.isOpen());
     }
 
     /** A depot could respond to one of two requests with the same id with the other's body. */
     @Test
-    void theIdOfAnEarlierRequestIsTurnedDown() {
+    void idOfAnEarlierRequestIsRejected() {
         dispatch(1, "small", "9b1f03aa5c7e2d41");
         dispatch(2, "small", "9b1f03aa5c7e2d41");
-        assertAnswer(Thrift.EXCEPTION, 2, "field i");
-        out.accept(new Director.Refuse(((Director.Request) events.get(0)).id(), 0));
+        assertAnswer(ThriftProtocol.EXCEPTION, 2, "field i");
+        actions.accept(new Director.Refuse(((Director.Request) events.get(0)).id(), 0));
         doorman.purgedGroup(1, 0);
-        assertAnswer(Thrift.REPLY, 1, "");
+        assertAnswer(ThriftProtocol.REPLY, 1, "");
         dispatch(3, "small", "9b1f03aa5c7e2d41");
-        assertAnswer(Thrift.EXCEPTION, 3, "field i");
+        assertAnswer(ThriftProtocol.EXCEPTION, 3, "field i");
     }
 
     @Test
-    void whoNeverAsksIsClosedAndWhoAskedOnceStays() {
+    void unusedConnectionTimesOutAndUsedOneStays() {
         EmbeddedChannel other = connect();
         dispatch(1, "small");
-        out.accept(new Director.Refuse(((Director.Request) events.get(0)).id(), 0));
+        actions.accept(new Director.Refuse(((Director.Request) events.get(0)).id(), 0));
         doorman.purgedGroup(1, 0);
-        pass(PartialRequestWatch.SILENCE_MS);
-        pass(FrontConnection.LINGER_MS);
+        advance(RequestReadTimeout.INACTIVITY_TIMEOUT_MS);
+        advance(ClientConnection.LINGER_MS);
         assertFalse(other.isOpen());
         assertTrue(channel.isOpen());
         channel.writeInbound(Unpooled.wrappedBuffer(new byte[] {0, 0, 0}));
-        pass(PartialRequestWatch.SILENCE_MS);
-        pass(FrontConnection.LINGER_MS);
+        advance(RequestReadTimeout.INACTIVITY_TIMEOUT_MS);
+        advance(ClientConnection.LINGER_MS);
         assertFalse(channel.isOpen(), "incomplete request");
     }
 
     @Test
-    void whoSendsNothingUsefulIsLetGo() {
+    void repeatedInvalidRequestsCloseTheConnection() {
         for (int i = 0; i < 8; i++) {
             assertTrue(channel.config().isAutoRead());
             dispatch(i, "unheard-of", "9b1f03aa5c7e2d41");
         }
-        pass(FrontConnection.LINGER_MS);
+        advance(ClientConnection.LINGER_MS);
         assertFalse(channel.isOpen());
     }
 
     /** The least active connections are evicted first, and connections with pending requests never. */
     @Test
-    void theLeastUsefulMakeRoom() {
-        ConnectionRegistry<String> guests = new ConnectionRegistry<>();
-        List.of("silent", "idle", "busy", "left").forEach(c -> guests.came(c, 0));
-        guests.busy("busy");
-        guests.idle("idle", 100);
-        guests.left("left");
-        guests.came("recent", ConnectionRegistry.NEW_MS);
-        guests.leaving("closing");
-        assertEquals("silent", guests.evictIdle(ConnectionRegistry.NEW_MS));
-        assertEquals("idle", guests.evictIdle(ConnectionRegistry.NEW_MS));
-        assertEquals("recent", guests.evictIdle(ConnectionRegistry.NEW_MS));
-        assertNull(guests.evictIdle(ConnectionRegistry.NEW_MS));
+    void leastActiveConnectionsAreEvictedFirst() {
+        ConnectionRegistry<String> connections = new ConnectionRegistry<>();
+        List.of("silent", "idle", "busy", "left").forEach(c -> connections.addNew(c, 0));
+        connections.markBusy("busy");
+        connections.markIdle("idle", 100);
+        connections.remove("left");
+        connections.addNew("recent", ConnectionRegistry.NEW_CONNECTION_GRACE_MS);
+        connections.markClosing("closing");
+        assertEquals("silent", connections.evictLeastActive(ConnectionRegistry.NEW_CONNECTION_GRACE_MS));
+        assertEquals("idle", connections.evictLeastActive(ConnectionRegistry.NEW_CONNECTION_GRACE_MS));
+        assertEquals("recent", connections.evictLeastActive(ConnectionRegistry.NEW_CONNECTION_GRACE_MS));
+        assertNull(connections.evictLeastActive(ConnectionRegistry.NEW_CONNECTION_GRACE_MS));
         for (String next : List.of("closing", "silent", "idle", "recent")) {
-            assertEquals(next, guests.closingLongest());
-            guests.left(next);
+            assertEquals(next, connections.longestClosing());
+            connections.remove(next);
         }
-        assertNull(guests.closingLongest());
-        registry.evictIdle(0).evict();
+        assertNull(connections.longestClosing());
+        registry.evictLeastActive(0).evict();
         dispatch(1, "small");
         channel.runPendingTasks();
         assertTrue(channel.isOpen(), "a request in the same event loop iteration prevents the eviction");
@@ -354,36 +354,36 @@
      * be evicted later; otherwise it would keep its file descriptor.
      */
     @Test
-    void whatABadRequestKeptCanBeEvictedLater() {
-        registry.evictIdle(0).evict();
+    void connectionKeptByAnInvalidRequestCanBeEvictedLater() {
+        registry.evictLeastActive(0).evict();
         dispatch(1, "unheard-of");
         assertTrue(channel.isOpen());
-        assertEquals(0, registry.leaving());
-        registry.evictIdle(0).evict();
+        assertEquals(0, registry.markClosing());
+        registry.evictLeastActive(0).evict();
         channel.runPendingTasks();
-        pass(FrontConnection.LINGER_MS);
+        advance(ClientConnection.LINGER_MS);
         assertFalse(channel.isOpen());
     }
 
     /** When quiesced, a connection is closed after its last response has been written, and not before. */
     @Test
-    void quiescedAConnectionIsClosedOnceItsAnswersAreOut() {
+    void quiescedConnectionIsClosedAfterItsResponses() {
         dispatch(1, "small");
         dispatch(2, "small");
         lifecycle.quiesce(now);
-        out.accept(new Director.Refuse(((Director.Request) events.get(0)).id(), 0));
+        actions.accept(new Director.Refuse(((Director.Request) events.get(0)).id(), 0));
         doorman.purgedGroup(1, 0);
         channel.runPendingTasks();
         assertTrue(channel.isOpen(), "request 2 is pending");
-        assertAnswer(Thrift.REPLY, 1, "");
-        out.accept(new Director.Refuse(((Director.Request) events.get(1)).id(), 0));
+        assertAnswer(ThriftProtocol.REPLY, 1, "");
+        actions.accept(new Director.Refuse(((Director.Request) events.get(1)).id(), 0));
         doorman.purgedGroup(1, 0);
         channel.runPendingTasks();
-        assertAnswer(Thrift.REPLY, 2, "");
+        assertAnswer(ThriftProtocol.REPLY, 2, "");
         dispatch(3, "small");
         assertEquals(
                 2, events.stream().filter(Director.Request.class::isInstance).count(), "no third request is accepted");
-        pass(FrontConnection.LINGER_MS);
+        advance(ClientConnection.LINGER_MS);
         assertFalse(channel.isOpen(), "no request is pending any more");
     }
 }
--- a/doorman/src/test/java/barleyspur/front/thrift/EndingsTest.java
+++ b/doorman/src/test/java/barleyspur/front/thrift/ConnectionFailureTest.java
@@ -31,7 +31,7 @@
  * {@code docs/design/endings.md}.
  */
 @Timeout(60)
-class EndingsTest {
+class ConnectionFailureTest {
 
     private static final String DONE = "how=h,digest=4be0c1927d55a6f3,dated=1000";
     private static final int SERVED = 0;
@@ -70,32 +70,32 @@
     }
 
     private static byte[] alive(int seqid) {
-        ByteBuf out = Unpooled.buffer()
+        ByteBuf sent = Unpooled.buffer()
                 .writeInt(0)
-                .writeInt(Thrift.VERSION | Thrift.CALL)
+                .writeInt(ThriftProtocol.VERSION | ThriftProtocol.CALL)
                 .writeInt(5);
-        out.writeCharSequence("alive", StandardCharsets.US_ASCII);
-        out.writeInt(seqid).writeByte(Thrift.STOP);
-        return Cuts.take(out.setInt(0, out.readableBytes() - Integer.BYTES));
+        sent.writeCharSequence("alive", StandardCharsets.US_ASCII);
+        sent.writeInt(seqid).writeByte(ThriftProtocol.STOP);
+        return Cuts.take(sent.setInt(0, sent.readableBytes() - Integer.BYTES));
     }
 
     /** Returns which response was received: served, refused or failed, or -1 for an application exception. */
-    private static int answer(Wire client, int seqid) throws IOException {
+    private static int readOutcome(Wire client, int seqid) throws IOException {
         byte[] frame = client.frame();
         assertNotNull(frame, "the connection has ended without a response");
         ByteBuf in = Unpooled.wrappedBuffer(frame);
         int type = in.readInt() & 0xFF;
         in.skipBytes(in.readInt());
         assertEquals(seqid, in.readInt());
-        return type == Thrift.EXCEPTION ? -1 : in.getShort(in.readerIndex() + 1);
+        return type == ThriftProtocol.EXCEPTION ? -1 : in.getShort(in.readerIndex() + 1);
     }
 
-    private static byte[] part(byte[] bytes, int from, int to) {
+    private static byte[] slice(byte[] bytes, int from, int to) {
         return Arrays.copyOfRange(bytes, from, to);
     }
 
     /** Asserts that the box receives this request next, so nothing else was sent before it, and responds to it. */
-    private static void assertNextIs(Loopback doorman, String id) throws Exception {
+    private static void assertNextAndServe(Loopback doorman, String id) throws Exception {
         Request next = doorman.box.next();
         assertEquals(List.of("serve", id), next.words().subList(0, 2));
         next.answer("DONE", DONE, new byte[10]);
@@ -104,8 +104,8 @@
     private static void assertStillServes(Loopback doorman, String id) throws Exception {
         try (Wire client = doorman.client()) {
             client.write(dispatch(1, id));
-            assertNextIs(doorman, id);
-            assertEquals(SERVED, answer(client, 1));
+            assertNextAndServe(doorman, id);
+            assertEquals(SERVED, readOutcome(client, 1));
         }
     }
 
@@ -116,34 +116,34 @@
      * final response is still sent before the deadline.
      */
     @Test
-    void aRequestThatWaitedToBeReadEndsInItsOwnTime() throws Exception {
+    void requestReadLateIsAnsweredBeforeItsDeadline() throws Exception {
         try (Loopback doorman = start();
                 Wire client = doorman.client()) {
             client.write(alive(1));
-            assertEquals(SERVED, answer(client, 1));
+            assertEquals(SERVED, readOutcome(client, 1));
             Runnable release = doorman.hold();
             client.write(dispatch(2, id(1)));
             doorman.passHeld(1_500);
             release.run();
             assertEquals(id(1), doorman.box.next().id());
             doorman.pass(999);
-            assertEquals(REFUSED, answer(client, 2), "2,499 of its 2,500 ms are over");
+            assertEquals(REFUSED, readOutcome(client, 2), "2,499 of its 2,500 ms are over");
         }
     }
 
     /** A request that is read on arrival may take until its deadline minus the margin. */
     @Test
-    void aRequestThatIsReadAtOnceHasAllItsTimeButTheMargin() throws Exception {
+    void requestReadAtOnceMayTakeUntilTheMargin() throws Exception {
         try (Loopback doorman = start();
                 Wire client = doorman.client()) {
             client.write(alive(1));
-            assertEquals(SERVED, answer(client, 1));
+            assertEquals(SERVED, readOutcome(client, 1));
             doorman.pass(1_500);
             client.write(dispatch(2, id(1)));
             Request request = doorman.box.next();
             doorman.pass(2_500 - MARGIN_MS - 10);
             request.answer("DONE", DONE, new byte[10]);
-            assertEquals(SERVED, answer(client, 2));
+            assertEquals(SERVED, readOutcome(client, 2));
         }
     }
 
@@ -151,44 +151,44 @@
      * The process may be suspended without warning, so the final response is sent early enough to be in time even then.
      */
     @Test
-    void theFinalAnswerLeavesTimeForAStandstill() throws Exception {
+    void finalResponseLeavesTimeForASuspension() throws Exception {
         try (Loopback doorman = start();
                 Wire client = doorman.client()) {
             client.write(dispatch(1, id(1)));
             doorman.box.next();
             doorman.pass(2_500 - MARGIN_MS);
-            assertEquals(REFUSED, answer(client, 1));
+            assertEquals(REFUSED, readOutcome(client, 1));
         }
     }
 
     /** A first request that arrives slowly in parts is served, as long as further parts keep arriving. */
     @Test
-    void aFirstRequestThatComesSlowlyIsServed() throws Exception {
+    void slowFirstRequestIsServed() throws Exception {
         try (Loopback doorman = start();
                 Wire client = doorman.client()) {
             byte[] request = dispatch(1, id(1));
             for (int i = 0; i < 4; i++) {
-                client.write(part(request, request.length * i / 4, request.length * (i + 1) / 4));
+                client.write(slice(request, request.length * i / 4, request.length * (i + 1) / 4));
                 doorman.awaitRead(client);
                 doorman.pass(i < 3 ? 1_500 : 0);
             }
-            assertNextIs(doorman, id(1));
-            assertEquals(SERVED, answer(client, 1));
+            assertNextAndServe(doorman, id(1));
+            assertEquals(SERVED, readOutcome(client, 1));
         }
     }
 
     /** A request that isn't complete within the longest deadline of any class is given up. */
     @Test
-    void aRequestThatNeverBecomesWholeIsGivenUp() throws Exception {
+    void incompleteRequestTimesOut() throws Exception {
         try (Loopback doorman = start();
                 Wire client = doorman.client()) {
             byte[] request = dispatch(1, id(1));
             for (int i = 0; i < 4; i++) {
-                client.write(part(request, i, i + 1));
+                client.write(slice(request, i, i + 1));
                 doorman.awaitRead(client);
                 doorman.pass(1_500);
             }
-            assertEquals(-1, answer(client, 0), "6 s are more than the longest deadline, 5 s");
+            assertEquals(-1, readOutcome(client, 0), "6 s are more than the longest deadline, 5 s");
             assertNull(client.frame());
         }
     }
@@ -200,30 +200,30 @@
      * sent, and must not be sent later.
      */
     @Test
-    void anUnsafeRequestWhoseConnectHungIsRefused() throws Exception {
+    void unsafeRequestWithHungConnectIsRefused() throws Exception {
         try (Loopback doorman = new Loopback(folder, c -> {}, 1);
                 Wire client = doorman.client()) {
-            List<Wire> crowd = doorman.box.fillQueue();
+            List<Wire> queueFillers = doorman.box.fillQueue();
             client.write(dispatch(1, "order", id(1)));
             assertAlive(client, 2);
             doorman.pass(2_500);
-            assertEquals(REFUSED, answer(client, 1));
-            for (Wire one : crowd) {
-                one.close();
+            assertEquals(REFUSED, readOutcome(client, 1));
+            for (Wire filler : queueFillers) {
+                filler.close();
             }
         }
     }
 
     /** No attempt starts for requests that are read together with a FIN, an RST or a cancel of their client. */
     @Test
-    void noAttemptBeginsForWhoHasGoneInTheSameTurn() throws Exception {
+    void noAttemptStartsAfterCloseInTheSameIteration() throws Exception {
         try (Loopback doorman = start();
-                Wire cancels = doorman.client()) {
+                Wire cancellingClient = doorman.client()) {
             List<Wire> burst = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
                 Wire client = doorman.client();
                 client.write(alive(1));
-                assertEquals(SERVED, answer(client, 1));
+                assertEquals(SERVED, readOutcome(client, 1));
                 burst.add(client);
             }
             Runnable release = doorman.hold();
@@ -238,42 +238,42 @@
                 }
                 doorman.awaitEnded(burst.get(i));
             }
-            cancels.write(dispatch(1, id(9_001)));
-            cancels.write(Cuts.take(ThriftCalls.cancelRequest(2, 1)));
-            cancels.write(dispatch(3, id(9_002)));
+            cancellingClient.write(dispatch(1, id(9_001)));
+            cancellingClient.write(Cuts.take(ThriftCalls.cancelRequest(2, 1)));
+            cancellingClient.write(dispatch(3, id(9_002)));
             release.run();
-            assertNextIs(doorman, id(9_002));
-            assertEquals(SERVED, answer(cancels, 3));
+            assertNextAndServe(doorman, id(9_002));
+            assertEquals(SERVED, readOutcome(cancellingClient, 3));
             assertStillServes(doorman, id(9_003));
         }
     }
 
     /** The same for requests that wait for a slow connect to the box when their client disconnects or cancels. */
     @Test
-    void noAttemptBeginsForWhoHasGoneWhileItWaitedForAConnect() throws Exception {
+    void noAttemptStartsAfterCloseDuringConnect() throws Exception {
         try (Loopback doorman = new Loopback(folder, c -> {}, 1);
-                Wire fin = doorman.client();
-                Wire rst = doorman.client();
-                Wire cancels = doorman.client();
+                Wire closedClient = doorman.client();
+                Wire resetClient = doorman.client();
+                Wire cancellingClient = doorman.client();
                 Wire probe = doorman.client()) {
             // The box's accept queue is full, so the doorman's connects complete only when it is emptied.
-            List<Wire> crowd = doorman.box.fillQueue();
-            fin.write(dispatch(1, id(1)));
-            rst.write(dispatch(1, id(2)));
-            cancels.write(dispatch(1, id(3)));
+            List<Wire> queueFillers = doorman.box.fillQueue();
+            closedClient.write(dispatch(1, id(1)));
+            resetClient.write(dispatch(1, id(2)));
+            cancellingClient.write(dispatch(1, id(3)));
             assertAlive(probe, 1);
-            fin.end();
-            rst.reset();
-            doorman.awaitEnded(fin);
-            doorman.awaitEnded(rst);
-            cancels.write(Cuts.take(ThriftCalls.cancelRequest(2, 1)));
-            cancels.write(dispatch(3, id(4)));
+            closedClient.end();
+            resetClient.reset();
+            doorman.awaitEnded(closedClient);
+            doorman.awaitEnded(resetClient);
+            cancellingClient.write(Cuts.take(ThriftCalls.cancelRequest(2, 1)));
+            cancellingClient.write(dispatch(3, id(4)));
             assertAlive(probe, 2);
             doorman.box.serve();
-            assertNextIs(doorman, id(4));
-            assertEquals(SERVED, answer(cancels, 3));
-            for (Wire one : crowd) {
-                one.close();
+            assertNextAndServe(doorman, id(4));
+            assertEquals(SERVED, readOutcome(cancellingClient, 3));
+            for (Wire filler : queueFillers) {
+                filler.close();
             }
         }
     }
@@ -281,11 +281,11 @@
     /** Asserts that the doorman responds, which means that it has read all data that was written before. */
     private static void assertAlive(Wire probe, int seqid) throws IOException {
         probe.write(alive(seqid));
-        assertEquals(SERVED, answer(probe, seqid));
+        assertEquals(SERVED, readOutcome(probe, seqid));
     }
 
     /** Lets the event loop iterate often enough to read and write as much as possible. */
-    private static void turn(Wire probe) throws IOException {
+    private static void iterateEventLoop(Wire probe) throws IOException {
         for (int i = 1; i <= 500; i++) {
             assertAlive(probe, i);
         }
@@ -296,37 +296,37 @@
      * retried.
      */
     @Test
-    void aCancelBehindUnreadAnswersIsHeard() throws Exception {
+    void cancelIsProcessedWhileResponsesAreUnread() throws Exception {
         try (Loopback doorman =
                         new Loopback(folder, c -> c.getJSONObject("limits").put("memory_mb", 2_000));
                 Wire client = doorman.narrowClient();
                 Wire probe = doorman.client()) {
             doorman.box.serve();
             client.write(dispatch(1, id(1)));
-            Request waits = doorman.box.next();
+            Request waiting = doorman.box.next();
             // More than the socket buffers hold, so that the doorman can't write any more.
             for (int i = 2; i < 32; i++) {
                 client.write(dispatch(i, id(i)));
                 doorman.box.next().answer("DONE", DONE, new byte[240_000]);
             }
-            turn(probe);
+            iterateEventLoop(probe);
             client.write(Cuts.take(ThriftCalls.cancelRequest(40, 1)));
             assertEquals(List.of("cancel", id(1)), doorman.box.next().words());
-            waits.answer("WAIT", "-", null);
+            waiting.answer("WAIT", "-", null);
             assertStillServes(doorman, id(50));
         }
     }
 
     /** A client that shuts down its sending side counts as disconnected: the protocol has no half-closed clients. */
     @Test
-    void whoShutsItsSideHasGone() throws Exception {
+    void halfClosedClientCountsAsDisconnected() throws Exception {
         try (Loopback doorman = start();
                 Wire client = doorman.client()) {
             client.write(dispatch(1, id(1)));
-            Request out = doorman.box.next();
+            Request sent = doorman.box.next();
             client.shutOutput();
             assertEquals(List.of("cancel", id(1)), doorman.box.next().words());
-            out.answer("WAIT", "-", null);
+            sent.answer("WAIT", "-", null);
             assertNull(client.frame());
             assertStillServes(doorman, id(2));
         }
@@ -339,7 +339,7 @@
      * doorman must have file descriptors left for the command channel and the box.
      */
     @Test
-    void idleClientsMakeRoomWhileDiscoveryIsDown() throws Exception {
+    void idleClientsAreEvictedWhileDiscoveryIsDown() throws Exception {
         try (Loopback doorman =
                 new Loopback(folder, c -> c.getJSONObject("limits").put("sockets", 96))) {
             doorman.box.serve();
@@ -348,14 +348,14 @@
             for (int i = 0; i < 60; i++) {
                 Wire client = doorman.client();
                 client.write(alive(1));
-                assertEquals(SERVED, answer(client, 1));
+                assertEquals(SERVED, readOutcome(client, 1));
                 idle.add(client);
             }
             assertNull(idle.get(0).frame(), "the longest idle connection was evicted without a reset");
             assertStillServes(doorman, id(1));
             doorman.pass(300);
-            Wire again = doorman.channel.accept();
-            assertEquals("resume 1", again.line());
+            Wire retried = doorman.channel.accept();
+            assertEquals("resume 1", retried.line());
             for (Wire client : idle) {
                 client.close();
             }
@@ -367,7 +367,7 @@
      * discarded without resetting the connection, so that the client still receives the previous response.
      */
     @Test
-    void bytesThatCrossAnEvictionDoNotResetTheConnection() throws Exception {
+    void inputDuringAnEvictionDoesNotResetTheConnection() throws Exception {
         try (Loopback doorman =
                 new Loopback(folder, c -> c.getJSONObject("limits").put("sockets", 96))) {
             doorman.box.serve();
@@ -378,23 +378,23 @@
             for (int i = 0; i < 32; i++) {
                 Wire client = doorman.client();
                 client.write(alive(1));
-                assertEquals(SERVED, answer(client, 1));
+                assertEquals(SERVED, readOutcome(client, 1));
                 idle.add(client);
             }
             byte[] request = dispatch(2, id(1));
             doorman.whenTheTimeIsNextAsked(() -> {
                 try {
-                    oldest.write(part(request, 0, 50));
+                    oldest.write(slice(request, 0, 50));
                 } catch (IOException e) {
                     throw new IllegalStateException(e);
                 }
             });
             Wire newcomer = doorman.client();
             newcomer.write(alive(1));
-            assertEquals(SERVED, answer(newcomer, 1));
+            assertEquals(SERVED, readOutcome(newcomer, 1));
             idle.add(newcomer);
-            oldest.write(part(request, 50, request.length));
-            assertEquals(SERVED, answer(oldest, 1));
+            oldest.write(slice(request, 50, request.length));
+            assertEquals(SERVED, readOutcome(oldest, 1));
             assertNull(oldest.frame(), "closed without a reset");
             assertStillServes(doorman, id(2));
             for (Wire client : idle) {
@@ -409,23 +409,23 @@
      * meanwhile.
      */
     @Test
-    void badClientsAreLetGoAndHarmNobody() throws Exception {
+    void invalidClientsAreDisconnectedWithoutAffectingOthers() throws Exception {
         try (Loopback doorman =
                         new Loopback(folder, c -> c.getJSONObject("limits").put("sockets", 160));
-                Wire good = doorman.client()) {
+                Wire validClient = doorman.client()) {
             doorman.box.serve();
-            good.write(dispatch(1, id(1)));
-            Request out = doorman.box.next();
-            List<Wire> bad = new ArrayList<>();
+            validClient.write(dispatch(1, id(1)));
+            Request sent = doorman.box.next();
+            List<Wire> invalidClients = new ArrayList<>();
             byte[] request = dispatch(1, id(2));
             byte[] flood = new byte[400_000];
             for (int i = 0; i < 200; i++) {
                 Wire client = doorman.client();
-                bad.add(client);
+                invalidClients.add(client);
                 switch (i % 5) {
                     case 0 -> client.write("GET / HTTP/1.1\r\n\r\n");
-                    case 1 -> client.write(part(request, 0, request.length - 1));
-                    case 2 -> client.write(part(request, 0, 3));
+                    case 1 -> client.write(slice(request, 0, request.length - 1));
+                    case 2 -> client.write(slice(request, 0, 3));
                     case 3 -> client.writeWhatGoes(flood);
                     default -> {}
                 }
@@ -436,21 +436,21 @@
                 assertAlive(last, 2);
             }
             doorman.pass(300);
-            out.answer("DONE", DONE, new byte[10]);
-            assertEquals(SERVED, answer(good, 1));
+            sent.answer("DONE", DONE, new byte[10]);
+            assertEquals(SERVED, readOutcome(validClient, 1));
             doorman.pass(2_500);
-            for (Wire client : bad) {
+            for (Wire client : invalidClients) {
                 client.awaitEnd();
             }
-            good.write(dispatch(2, id(3)));
-            assertNextIs(doorman, id(3));
-            assertEquals(SERVED, answer(good, 2));
+            validClient.write(dispatch(2, id(3)));
+            assertNextAndServe(doorman, id(3));
+            assertEquals(SERVED, readOutcome(validClient, 2));
         }
     }
 
     /** A complete request in the event loop iteration of its connection's eviction prevents the eviction. */
     @Test
-    void aRequestInTheTurnOfItsEvictionIsServed() throws Exception {
+    void requestInTheIterationOfItsEvictionIsServed() throws Exception {
         try (Loopback doorman =
                 new Loopback(folder, c -> c.getJSONObject("limits").put("sockets", 96))) {
             doorman.box.serve();
@@ -458,7 +458,7 @@
             for (int i = 0; i < 30; i++) {
                 Wire client = doorman.client();
                 client.write(alive(1));
-                assertEquals(SERVED, answer(client, 1));
+                assertEquals(SERVED, readOutcome(client, 1));
                 idle.add(client);
             }
             Runnable release = doorman.hold();
@@ -467,8 +467,8 @@
                 idle.add(doorman.client());
             }
             release.run();
-            assertNextIs(doorman, id(1));
-            assertEquals(SERVED, answer(idle.get(0), 2));
+            assertNextAndServe(doorman, id(1));
+            assertEquals(SERVED, readOutcome(idle.get(0), 2));
             for (Wire client : idle) {
                 client.close();
             }
@@ -479,31 +479,31 @@
 
     /** A request that is partly received at SIGTERM is served, and idle connections close without a reset. */
     @Test
-    void aRequestCutBySigtermIsServed() throws Exception {
+    void partlyReceivedRequestIsServedAfterSigterm() throws Exception {
         Loopback doorman = start();
         Wire client = doorman.client();
         Wire idle = doorman.client();
         idle.write(alive(1));
         byte[] request = dispatch(1, id(1));
-        client.write(part(request, 0, 60));
-        assertEquals(SERVED, answer(idle, 1));
+        client.write(slice(request, 0, 60));
+        assertEquals(SERVED, readOutcome(idle, 1));
         doorman.node.drain();
         doorman.node.drain();
         doorman.pass(700);
         assertAlive(idle, 2);
-        client.write(part(request, 60, request.length));
-        Request out = doorman.box.next();
+        client.write(slice(request, 60, request.length));
+        Request sent = doorman.box.next();
         doorman.pass(1_000);
         assertNull(idle.frame(), "idle connections are closed at the end of the grace period");
-        out.answer("DONE", DONE, new byte[10]);
-        assertEquals(SERVED, answer(client, 1));
+        sent.answer("DONE", DONE, new byte[10]);
+        assertEquals(SERVED, readOutcome(client, 1));
         assertNull(client.frame());
         doorman.close();
     }
 
     /** A request whose depot doesn't respond is failed before SIGKILL may end the process. */
     @Test
-    void aHungDepotIsHeldNoLongerThanSigkillLeaves() throws Exception {
+    void requestAtAHungDepotFailsBeforeSigkill() throws Exception {
         Loopback doorman = new Loopback(folder, c -> ((JSONObject)
                         c.getJSONObject("settings").getJSONArray("grades").get(0))
                 .put("hardLimitMs", 60_000));
@@ -517,14 +517,14 @@
         doorman.node.drain();
         doorman.pass(3_499);
         doorman.pass(2);
-        assertEquals(FAILED, answer(client, 1), "SIGKILL may come after 3.7 s");
+        assertEquals(FAILED, readOutcome(client, 1), "SIGKILL may come after 3.7 s");
         assertNull(client.frame());
         doorman.close();
     }
 
     /** A client that reads slowly receives complete responses until SIGKILL may end the process. */
     @Test
-    void aSlowReaderGetsItsAnswersUntilSigkillMayCome() throws Exception {
+    void slowReaderReceivesResponsesUntilSigkill() throws Exception {
         Loopback doorman = new Loopback(folder, c -> c.getJSONObject("limits").put("memory_mb", 2_000));
         doorman.box.serve();
         Wire client = doorman.narrowClient();
@@ -535,7 +535,7 @@
             doorman.box.next().answer("DONE", DONE, bytes);
         }
         try (Wire probe = doorman.client()) {
-            turn(probe);
+            iterateEventLoop(probe);
         }
         doorman.node.drain();
         doorman.pass(3_400);
@@ -557,7 +557,7 @@
      * failed and never sent again.
      */
     @Test
-    void anUnsafeRequestNeverGoesOutTwice() throws Exception {
+    void unsafeRequestIsNeverSentTwice() throws Exception {
         try (Loopback doorman = new Loopback(folder, c -> {});
                 Wire client = doorman.client()) {
             for (int read = 1; read < 110; read++) {
@@ -565,7 +565,7 @@
                 Wire at = doorman.box.accept();
                 at.bytes(read);
                 at.reset();
-                assertEquals(FAILED, answer(client, read), "reset after " + read + " bytes");
+                assertEquals(FAILED, readOutcome(client, read), "reset after " + read + " bytes");
             }
             doorman.box.serve();
             assertStillServes(doorman, id(200));
@@ -577,7 +577,7 @@
      * and a request without a key has none.
      */
     @Test
-    void aKeyedRequestCarriesItsKeyWithEachAttempt() throws Exception {
+    void eachAttemptCarriesTheIdempotencyKey() throws Exception {
         try (Loopback doorman = start();
                 Wire client = doorman.client()) {
             client.write(Cuts.take(ThriftCalls.dispatch(
@@ -600,33 +600,33 @@
                     new byte[4])));
             Request first = doorman.box.next();
             first.answer("BROKE", "-", null);
-            Request again = doorman.box.next();
-            for (Request attempt : List.of(first, again)) {
+            Request retried = doorman.box.next();
+            for (Request attempt : List.of(first, retried)) {
                 assertEquals(id(1), attempt.id());
                 assertTrue(
                         attempt.words().get(2).contains(",once=645b707de91bf3071eae83015509ede1"),
                         attempt.words().get(2));
             }
-            again.answer("DONE", DONE, new byte[10]);
-            assertEquals(SERVED, answer(client, 1));
+            retried.answer("DONE", DONE, new byte[10]);
+            assertEquals(SERVED, readOutcome(client, 1));
             client.write(dispatch(2, "stamp", id(2)));
             Request without = doorman.box.next();
             assertFalse(
                     without.words().get(2).contains("once="), without.words().get(2));
             without.answer("DONE", DONE, new byte[10]);
-            assertEquals(SERVED, answer(client, 2));
+            assertEquals(SERVED, readOutcome(client, 2));
         }
     }
 
     /** A pending request keeps its class's rule on repeats even if a reload changes the rule. */
     @Test
-    void anOpenRequestKeepsItsEffectThroughAReload() throws Exception {
+    void pendingRequestKeepsItsRepeatRuleDuringAReload() throws Exception {
         try (Loopback doorman = start();
                 Wire client = doorman.client()) {
             Wire channel = doorman.channel.accept();
             assertEquals("resume 1", channel.line());
             client.write(dispatch(1, "order", id(1)));
-            Request out = doorman.box.next();
+            Request sent = doorman.box.next();
             doorman.reload(c -> {
                 JSONArray grades = c.getJSONObject("settings").getJSONArray("grades");
                 grades.getJSONObject(1).put("repeat", "repeatable");
@@ -634,14 +634,14 @@
                 c.put("channel", c.getString("channel").replace("127.0.0.1", "127.0.0.2"));
             });
             assertNull(channel.line(), "the channel has moved");
-            out.wire().reset();
-            assertEquals(FAILED, answer(client, 1));
+            sent.wire().reset();
+            assertEquals(FAILED, readOutcome(client, 1));
             client.write(dispatch(2, "order", id(2)));
             doorman.box.next().wire().reset();
-            Request again = doorman.box.next();
-            assertEquals(id(2), again.id(), "a request accepted under the new rule is retried");
-            again.answer("DONE", DONE, new byte[10]);
-            assertEquals(SERVED, answer(client, 2));
+            Request retried = doorman.box.next();
+            assertEquals(id(2), retried.id(), "a request accepted under the new rule is retried");
+            retried.answer("DONE", DONE, new byte[10]);
+            assertEquals(SERVED, readOutcome(client, 2));
         }
     }
 
@@ -669,30 +669,30 @@
      * connected again.
      */
     @Test
-    void aChannelThatSaysNothingIsGivenUp() throws Exception {
+    void silentChannelIsReconnected() throws Exception {
         try (Loopback doorman = start()) {
             for (String last :
                     List.of("", "1\n", state(doorman, 2, "terminating").substring(0, 40))) {
-                Wire mute = doorman.channel.accept();
-                assertEquals("resume 1", mute.line());
-                mute.write(last);
+                Wire silent = doorman.channel.accept();
+                assertEquals("resume 1", silent.line());
+                silent.write(last);
                 Wire probe = doorman.client();
                 assertAlive(probe, 1);
                 probe.close();
                 doorman.pass(2_000);
-                assertNull(mute.line(), "closed after: " + last);
+                assertNull(silent.line(), "closed after: " + last);
                 doorman.pass(300);
             }
-            Wire well = doorman.channel.accept();
-            assertEquals("resume 1", well.line());
-            well.write(state(doorman, 2, "terminating") + "2\n");
+            Wire healthy = doorman.channel.accept();
+            assertEquals("resume 1", healthy.line());
+            healthy.write(state(doorman, 2, "terminating") + "2\n");
             try (Wire client = doorman.client()) {
                 assertAlive(client, 1);
                 client.write(dispatch(2, id(2)));
                 Request elsewhere = doorman.origin.next();
                 assertEquals(id(2), elsewhere.id(), "the box drains");
                 elsewhere.answer("DONE", DONE, new byte[10]);
-                assertEquals(SERVED, answer(client, 2));
+                assertEquals(SERVED, readOutcome(client, 2));
                 assertNull(doorman.box.come());
             }
         }
@@ -700,12 +700,12 @@
 
     /** A request that waits for a connect to a box goes elsewhere when the box starts to drain. */
     @Test
-    void aDrainOvertakesWhatWaitsForAConnect() throws Exception {
+    void drainRedirectsRequestsThatWaitForAConnect() throws Exception {
         try (Loopback doorman = new Loopback(folder, c -> {}, 1);
                 Wire client = doorman.client();
                 Wire probe = doorman.client()) {
             doorman.origin.serve();
-            List<Wire> crowd = doorman.box.fillQueue();
+            List<Wire> queueFillers = doorman.box.fillQueue();
             Wire channel = doorman.channel.accept();
             client.write(dispatch(1, id(1)));
             assertAlive(probe, 1);
@@ -713,9 +713,9 @@
             Request elsewhere = doorman.origin.next();
             assertEquals(id(1), elsewhere.id());
             elsewhere.answer("DONE", DONE, new byte[10]);
-            assertEquals(SERVED, answer(client, 1));
-            for (Wire one : crowd) {
-                one.close();
+            assertEquals(SERVED, readOutcome(client, 1));
+            for (Wire filler : queueFillers) {
+                filler.close();
             }
         }
     }
@@ -727,24 +727,24 @@
      * one without a body, one that is cut off by a close, and one that is too long.
      */
     @Test
-    void aSpoiltAnswerHarmsNobody() throws Exception {
+    void invalidResponsesDoNotAffectOtherRequests() throws Exception {
         try (Loopback doorman = start();
                 Wire client = doorman.client()) {
             client.write(dispatch(1, id(1)));
             Request first = doorman.box.next();
             first.answer("DONE", DONE, new byte[10]);
             first.answer("DONE", DONE, new byte[11]);
-            assertEquals(SERVED, answer(client, 1));
+            assertEquals(SERVED, readOutcome(client, 1));
             client.write(dispatch(2, id(2)));
             Request second = doorman.box.next();
             second.answer("DONE", DONE, null);
-            Request again = doorman.box.next();
-            assertEquals(id(2), again.id());
-            again.answer("KEEP", DONE, null);
+            Request retried = doorman.box.next();
+            assertEquals(id(2), retried.id());
+            retried.answer("KEEP", DONE, null);
             Request third = doorman.box.next();
             assertEquals(id(2), third.id(), "the client holds no copy that could be confirmed as current");
             third.answer("DONE", DONE, new byte[12]);
-            assertEquals(SERVED, answer(client, 2));
+            assertEquals(SERVED, readOutcome(client, 2));
             client.write(dispatch(3, id(3)));
             Request cancelled = doorman.box.next();
             client.write(Cuts.take(ThriftCalls.cancelRequest(4, 3)));
@@ -754,14 +754,14 @@
             Request cut = doorman.box.next();
             cut.wire().write("*4\r\n$16\r\n" + id(5) + "\r\n$4\r\nDONE\r\n$5\r\nhow=h\r\n$10\r\nhalf");
             cut.wire().end();
-            assertNextIs(doorman, id(5));
-            assertEquals(SERVED, answer(client, 5));
+            assertNextAndServe(doorman, id(5));
+            assertEquals(SERVED, readOutcome(client, 5));
             client.write(dispatch(6, id(6)));
             Request endless = doorman.box.next();
             endless.wire().write("*4\r\n$16\r\n" + id(6) + "\r\n$4\r\nDONE\r\n$5\r\nhow=h\r\n$99999999\r\n");
             endless.wire().writeWhatGoes(new byte[400_000]);
-            assertNextIs(doorman, id(6));
-            assertEquals(SERVED, answer(client, 6));
+            assertNextAndServe(doorman, id(6));
+            assertEquals(SERVED, readOutcome(client, 6));
             assertStillServes(doorman, id(7));
         }
     }
--- a/doorman/src/test/java/barleyspur/front/thrift/ConnectionRegistryTest.java
+++ b/doorman/src/test/java/barleyspur/front/thrift/ConnectionRegistryTest.java
@@ -12,25 +12,25 @@
 
     /** Connections with a partly received request are evicted last, the one that started first before the others. */
     @Test
-    void aRequestOnItsWayIsCutLast() {
-        registry.came("stranger", 0);
-        registry.came("begins", 0);
-        registry.arriving("begins");
-        registry.idle("idle", 0);
-        registry.arriving("begins later");
-        registry.arriving("begins");
-        assertEquals("stranger", registry.evictIdle(1_000));
-        assertEquals("idle", registry.evictIdle(1_000));
-        assertEquals("begins", registry.evictIdle(1_000));
-        assertEquals("begins later", registry.evictIdle(1_000));
-        assertNull(registry.evictIdle(1_000));
+    void receivingConnectionIsEvictedLast() {
+        registry.addNew("stranger", 0);
+        registry.addNew("begins", 0);
+        registry.markReceiving("begins");
+        registry.markIdle("idle", 0);
+        registry.markReceiving("begins later");
+        registry.markReceiving("begins");
+        assertEquals("stranger", registry.evictLeastActive(1_000));
+        assertEquals("idle", registry.evictLeastActive(1_000));
+        assertEquals("begins", registry.evictLeastActive(1_000));
+        assertEquals("begins later", registry.evictLeastActive(1_000));
+        assertNull(registry.evictLeastActive(1_000));
     }
 
     /** A connection is not evicted while its request is pending. */
     @Test
-    void oneThatIsInUseStays() {
-        registry.arriving("busy");
-        registry.busy("busy");
-        assertNull(registry.evictIdle(1_000));
+    void busyConnectionIsNotEvicted() {
+        registry.markReceiving("busy");
+        registry.markBusy("busy");
+        assertNull(registry.evictLeastActive(1_000));
     }
 }
--- a/doorman/src/test/java/barleyspur/front/thrift/ResponseWriterTest.java
+++ b/doorman/src/test/java/barleyspur/front/thrift/ResponseWriterTest.java
@@ -21,11 +21,11 @@
 /** Encoding of responses and handling of failed writes. */
 class ResponseWriterTest implements Clock, ResponseWriter.Listener {
 
-    private final List<String> told = new ArrayList<>();
+    private final List<String> events = new ArrayList<>();
     private final EmbeddedChannel channel = new EmbeddedChannel(new ChannelOutboundHandlerAdapter() {
         @Override
         public void write(ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
-            if (failing) {
+            if (writesFail) {
                 ((ByteBuf) message).release();
                 promise.setFailure(new IllegalStateException("no memory"));
             } else {
@@ -36,11 +36,11 @@
     private final ResponseWriter responses = new ResponseWriter(
             channel,
             this,
-            new UnreadAnswers(1_000, full -> {}),
+            new ResponseBackpressure(1_000, full -> {}),
             new CappedLog(LoggerFactory.getLogger("front"), this),
             () -> 5_000,
             this);
-    private boolean failing;
+    private boolean writesFail;
 
     @Override
     public double nowMs() {
@@ -54,40 +54,40 @@
 
     @Override
     public void allWritten() {
-        told.add("all written");
+        events.add("all written");
     }
 
     @Override
-    public void stuck() {
-        told.add("stuck");
+    public void stalled() {
+        events.add("stuck");
     }
 
     @Override
-    public void lost(Throwable cause) {
-        told.add(cause.getMessage());
+    public void writeFailed(Throwable cause) {
+        events.add(cause.getMessage());
     }
 
     /** A response is written as a single message, so that no part of it can fail separately. */
     @Test
-    void anAnswerIsOneMessage() {
-        responses.served(7, "id", Unpooled.copiedBuffer(new byte[300]), Map.of());
+    void responseIsOneMessage() {
+        responses.writeServed(7, "id", Unpooled.copiedBuffer(new byte[300]), Map.of());
         ByteBuf message = channel.readOutbound();
         assertEquals(message.readableBytes() - Integer.BYTES, message.getInt(message.readerIndex()));
         assertNull(channel.readOutbound());
         assertEquals(0, responses.unwritten());
-        assertEquals(List.of("all written"), told);
+        assertEquals(List.of("all written"), events);
         message.release();
     }
 
     /** A body that has already been released results in a failed response, not in an incomplete frame. */
     @Test
-    void anAnswerWhoseBytesAreGoneFails() {
-        ByteBuf gone = Unpooled.copiedBuffer(new byte[300]);
-        gone.release();
-        responses.served(7, "id", gone, Map.of());
+    void responseWithAReleasedBodyFails() {
+        ByteBuf releasedBody = Unpooled.copiedBuffer(new byte[300]);
+        releasedBody.release();
+        responses.writeServed(7, "id", releasedBody, Map.of());
         ByteBuf message = channel.readOutbound();
         assertEquals(message.readableBytes() - Integer.BYTES, message.readInt());
-        assertEquals(Thrift.VERSION | Thrift.REPLY, message.readInt());
+        assertEquals(ThriftProtocol.VERSION | ThriftProtocol.REPLY, message.readInt());
         assertTrue(message.isReadable());
         message.release();
         assertEquals(0, responses.unwritten());
@@ -95,10 +95,10 @@
 
     /** A failed write is reported, so that the client isn't left waiting on an open connection. */
     @Test
-    void anAnswerThatCantBeWrittenIsTold() {
-        failing = true;
-        responses.served(7, "id", Unpooled.copiedBuffer(new byte[300]), Map.of());
-        assertEquals(List.of("no memory"), told);
+    void failedWriteIsReported() {
+        writesFail = true;
+        responses.writeServed(7, "id", Unpooled.copiedBuffer(new byte[300]), Map.of());
+        assertEquals(List.of("no memory"), events);
         assertEquals(0, responses.unwritten());
     }
 }
--- a/doorman/src/test/java/barleyspur/front/thrift/SharedPortTest.java
+++ b/doorman/src/test/java/barleyspur/front/thrift/SharedPortTest.java
@@ -31,13 +31,13 @@
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
     }
 
-    private ThriftFront front(boolean share) {
+    private ThriftServer server(boolean share) {
         Lifecycle lifecycle = new Lifecycle();
         lifecycle.serving(0);
         Doorman doorman =
-                new Doorman(FrontConnectionTest.SETTINGS, 9, (now, event, sink) -> {}, clock, new SilentDepots());
-        return new ThriftFront(
-                group, doorman, clock, FrontConnectionTest.CLASSES, 16, 1 << 20, full -> {}, lifecycle, share);
+                new Doorman(ClientConnectionTest.SETTINGS, 9, (now, event, sink) -> {}, clock, new SilentDepots());
+        return new ThriftServer(
+                group, doorman, clock, ClientConnectionTest.CLASSES, 16, 1 << 20, full -> {}, lifecycle, share);
     }
 
     private static InetSocketAddress freePort() throws IOException {
@@ -51,20 +51,20 @@
      * clients once the old one stops listening. If the port isn't shared, the bind fails.
      */
     @Test
-    void twoFrontsListenOnOnePortAndTheSecondTakesOver() throws Exception {
+    void secondServerSharesThePortAndTakesOver() throws Exception {
         InetSocketAddress address = freePort();
-        ThriftFront old = front(true);
-        assertTrue(old.listen(address).await().isSuccess());
-        assertFalse(front(false).listen(address).await().isSuccess(), "only a server that shares the port can bind it");
-        ThriftFront next = front(true);
-        assertTrue(next.listen(address).await().isSuccess(), "the successor can bind the same port");
-        group.submit(old::stopListening).sync().getNow().sync();
+        ThriftServer first = server(true);
+        assertTrue(first.listen(address).await().isSuccess());
+        assertFalse(server(false).listen(address).await().isSuccess(), "only a server that shares the port can bind it");
+        ThriftServer successor = server(true);
+        assertTrue(successor.listen(address).await().isSuccess(), "the successor can bind the same port");
+        group.submit(first::stopListening).sync().getNow().sync();
         for (int i = 0; i < 20; i++) {
             try (Socket client = new Socket(address.getAddress(), address.getPort())) {
                 assertTrue(client.isConnected(), "connection " + i + " is accepted by the successor");
             }
         }
-        group.submit(next::stopListening).sync().getNow().sync();
+        group.submit(successor::stopListening).sync().getNow().sync();
         assertTrue(refusedSoon(address), "connections are refused when neither server listens");
     }
 
--- a/doorman/src/test/java/barleyspur/front/thrift/ThriftCalls.java
+++ b/doorman/src/test/java/barleyspur/front/thrift/ThriftCalls.java
@@ -14,37 +14,37 @@
     /** Returns a framed {@code dispatch} that includes an unknown field, which the server has to skip. */
     static ByteBuf dispatch(int seqid, Map<String, String> fields, byte[] body) {
         ByteBuf out = Unpooled.buffer();
-        out.writeInt(0).writeInt(Thrift.VERSION | Thrift.CALL);
+        out.writeInt(0).writeInt(ThriftProtocol.VERSION | ThriftProtocol.CALL);
         string(out, "dispatch".getBytes(StandardCharsets.UTF_8));
         out.writeInt(seqid);
-        out.writeByte(Thrift.LIST)
+        out.writeByte(ThriftProtocol.LIST)
                 .writeShort(9)
-                .writeByte(Thrift.I32)
+                .writeByte(ThriftProtocol.I32)
                 .writeInt(2)
                 .writeInt(1)
                 .writeInt(2);
-        out.writeByte(Thrift.MAP).writeShort(1).writeByte(Thrift.STRING).writeByte(Thrift.STRING);
+        out.writeByte(ThriftProtocol.MAP).writeShort(1).writeByte(ThriftProtocol.STRING).writeByte(ThriftProtocol.STRING);
         out.writeInt(fields.size());
         fields.forEach((name, value) -> {
             string(out, name.getBytes(StandardCharsets.UTF_8));
             string(out, value.getBytes(StandardCharsets.UTF_8));
         });
-        out.writeByte(Thrift.STRING).writeShort(2);
+        out.writeByte(ThriftProtocol.STRING).writeShort(2);
         string(out, body);
-        out.writeByte(Thrift.STOP);
+        out.writeByte(ThriftProtocol.STOP);
         return out.setInt(0, out.readableBytes() - Integer.BYTES);
     }
 
     /** Returns a framed {@code cancelRequest} for the call with sequence number {@code cancelled}. */
     static ByteBuf cancelRequest(int seqid, int cancelled) {
         ByteBuf out = Unpooled.buffer();
-        out.writeInt(0).writeInt(Thrift.VERSION | Thrift.ONEWAY);
+        out.writeInt(0).writeInt(ThriftProtocol.VERSION | ThriftProtocol.ONEWAY);
         string(out, "cancelRequest".getBytes(StandardCharsets.UTF_8));
         out.writeInt(seqid)
-                .writeByte(Thrift.I32)
+                .writeByte(ThriftProtocol.I32)
                 .writeShort(1)
                 .writeInt(cancelled)
-                .writeByte(Thrift.STOP);
+                .writeByte(ThriftProtocol.STOP);
         return out.setInt(0, out.readableBytes() - Integer.BYTES);
     }
 
--- a/doorman/src/test/java/barleyspur/front/thrift/ThriftPropertiesTest.java
+++ b/doorman/src/test/java/barleyspur/front/thrift/ThriftPropertiesTest.java
@@ -29,12 +29,12 @@
     private static final int MAX_FRAME = 4_096;
 
     @Property(seed = "11")
-    void callsSurviveAnyCuts(
+    void callsDecodeHoweverSplit(
             @ForAll @Size(max = 5) List<@StringLength(max = 30) String> values,
             @ForAll @Size(max = 200) byte[] body,
             @ForAll int seqid,
-            @ForAll long cuts)
-            throws ThriftCall.Malformed {
+            @ForAll long splitSeed)
+            throws ThriftCall.MalformedCallException {
         Map<String, String> fields = new HashMap<>();
         values.forEach(v -> fields.put("f" + fields.size(), v.replaceAll("[\\ud800-\\udfff]", "?")));
         ByteBuf twice = Unpooled.buffer();
@@ -43,11 +43,11 @@
             twice.writeBytes(one);
             one.release();
         }
-        List<Object> frames = Cuts.feed(new EmbeddedChannel(new ThriftFrameDecoder(MAX_FRAME)), Cuts.take(twice), cuts);
+        List<Object> frames = Cuts.feed(new EmbeddedChannel(new ThriftFrameDecoder(MAX_FRAME)), Cuts.take(twice), splitSeed);
         assertEquals(2, frames.size());
         for (int i = 0; i < 2; i++) {
             ByteBuf frame = (ByteBuf) frames.get(i);
-            ThriftCall.Dispatch call = (ThriftCall.Dispatch) ThriftCall.read(frame);
+            ThriftCall.Dispatch call = (ThriftCall.Dispatch) ThriftCall.parse(frame);
             assertEquals(seqid + i, call.seqid());
             assertEquals(fields, call.fields());
             assertArrayEquals(body, ByteBufUtil.getBytes(call.body()));
@@ -57,36 +57,36 @@
     }
 
     @Property(seed = "12")
-    void garbageInAFrameIsMalformedOrACall(@ForAll @Size(max = 60) byte[] garbage, @ForAll boolean headed) {
+    void randomFrameIsMalformedOrACall(@ForAll @Size(max = 60) byte[] input, @ForAll boolean withHeader) {
         ByteBuf frame = Unpooled.buffer();
-        if (headed) {
-            frame.writeInt(Thrift.VERSION | Thrift.CALL);
+        if (withHeader) {
+            frame.writeInt(ThriftProtocol.VERSION | ThriftProtocol.CALL);
             ThriftCalls.string(frame, "dispatch".getBytes(StandardCharsets.UTF_8));
             frame.writeInt(1);
         }
-        frame.writeBytes(garbage);
+        frame.writeBytes(input);
         try {
-            assertNotNull(ThriftCall.read(frame));
-        } catch (ThriftCall.Malformed e) {
+            assertNotNull(ThriftCall.parse(frame));
+        } catch (ThriftCall.MalformedCallException e) {
             assertNotNull(e.getMessage());
         }
     }
 
     @Property(seed = "13")
-    void aDamagedCallIsMalformedOrACall(@ForAll byte damage, @ForAll int at) {
+    void damagedCallIsMalformedOrACall(@ForAll byte damage, @ForAll int position) {
         ByteBuf frame = ThriftCalls.dispatch(5, Map.of("c", "video-parts", "seg", "3"), new byte[20])
                 .skipBytes(Integer.BYTES);
-        frame.setByte(frame.readerIndex() + Math.floorMod(at, frame.readableBytes()), damage);
+        frame.setByte(frame.readerIndex() + Math.floorMod(position, frame.readableBytes()), damage);
         try {
-            assertNotNull(ThriftCall.read(frame));
-        } catch (ThriftCall.Malformed e) {
+            assertNotNull(ThriftCall.parse(frame));
+        } catch (ThriftCall.MalformedCallException e) {
             assertNotNull(e.getMessage());
         }
     }
 
     @Property(seed = "14")
-    void aStreamOfGarbageEndsInOneWayOnly(@ForAll @Size(max = 300) byte[] garbage, @ForAll long cuts) {
-        List<Object> frames = Cuts.feedGarbage(new EmbeddedChannel(new ThriftFrameDecoder(MAX_FRAME)), garbage, cuts);
+    void randomStreamFailsOnlyAsMalformed(@ForAll @Size(max = 300) byte[] input, @ForAll long splitSeed) {
+        List<Object> frames = Cuts.feedGarbage(new EmbeddedChannel(new ThriftFrameDecoder(MAX_FRAME)), input, splitSeed);
         if (frames != null) {
             frames.forEach(f -> assertTrue(((ByteBuf) f).release()));
         }
@@ -94,7 +94,7 @@
 
     /** Extreme values would keep a request pending without end, or distort the statistics on sizes. */
     @Property(seed = "16")
-    void figuresOutOfRangeAreNamed(@ForAll("outOfRange") String value) {
+    void numbersOutOfRangeAreNamed(@ForAll("outOfRange") String value) {
         for (String name : List.of("d", "seg", "bucket", "m")) {
             Map<String, String> fields = new HashMap<>(Map.of(
                     "c",
@@ -111,11 +111,11 @@
                     "255",
                     "m",
                     "412.5"));
-            RequestFields.read(fields, Unpooled.EMPTY_BUFFER, FrontConnectionTest.CLASSES);
+            RequestFields.parse(fields, Unpooled.EMPTY_BUFFER, ClientConnectionTest.CLASSES);
             fields.put(name, value);
             IllegalArgumentException e = assertThrows(
                     IllegalArgumentException.class,
-                    () -> RequestFields.read(fields, Unpooled.EMPTY_BUFFER, FrontConnectionTest.CLASSES));
+                    () -> RequestFields.parse(fields, Unpooled.EMPTY_BUFFER, ClientConnectionTest.CLASSES));
             assertTrue(e.getMessage().startsWith("field " + name), e.getMessage());
         }
     }
@@ -128,13 +128,13 @@
     }
 
     @Property(seed = "15")
-    void badFieldsAreNamed(@ForAll @StringLength(max = 20) String value) {
+    void invalidFieldsAreNamed(@ForAll @StringLength(max = 20) String value) {
         for (String name : List.of("c", "i", "d", "o", "seg", "bucket", "etag", "k")) {
             Map<String, String> fields = ThriftCalls.fields("small", "9b1f03aa5c7e2d41");
             fields.put(name, "x," + value);
             IllegalArgumentException e = assertThrows(
                     IllegalArgumentException.class,
-                    () -> RequestFields.read(fields, Unpooled.EMPTY_BUFFER, FrontConnectionTest.CLASSES));
+                    () -> RequestFields.parse(fields, Unpooled.EMPTY_BUFFER, ClientConnectionTest.CLASSES));
             assertTrue(e.getMessage().startsWith("field " + name), e.getMessage());
         }
     }
