--- a/doorman/src/main/java/barleyspur/admin/AdminConnection.java
+++ b/doorman/src/main/java/barleyspur/admin/AdminConnection.java
@@ -1,8 +1,8 @@
 package barleyspur.admin;
 
-import barleyspur.admin.http.HttpResponse;
-import barleyspur.admin.http.HttpRequestException;
 import barleyspur.admin.http.HttpRequest;
+import barleyspur.admin.http.HttpRequestException;
+import barleyspur.admin.http.HttpResponse;
 import barleyspur.doorman.Clock;
 import barleyspur.log.LogEvent;
 import barleyspur.transport.LingeringClose;
@@ -44,7 +44,9 @@
         channel = ctx.channel();
         lingeringClose = new LingeringClose(channel, clock);
         requestTimeout = clock.after(
-                REQUEST_TIMEOUT_MS, () -> respond(HttpResponse.error(408, "no complete request within " + (long) REQUEST_TIMEOUT_MS + " ms")));
+                REQUEST_TIMEOUT_MS,
+                () -> respond(
+                        HttpResponse.error(408, "no complete request within " + (long) REQUEST_TIMEOUT_MS + " ms")));
         ctx.fireChannelActive();
     }
 
--- a/doorman/src/main/java/barleyspur/admin/AdminServer.java
+++ b/doorman/src/main/java/barleyspur/admin/AdminServer.java
@@ -16,8 +16,8 @@
 
 /**
  * The HTTP/1.1 server of the administration address, with one request per connection. It runs on the doorman's event
- * loop, which owns the state that the requests read and change. At most {@link #MAX_CONNECTIONS} connections are open; a
- * new one beyond that replaces the oldest one without a complete request, so that silent connections can't lock out
+ * loop, which owns the state that the requests read and change. At most {@link #MAX_CONNECTIONS} connections are open;
+ * a new one beyond that replaces the oldest one without a complete request, so that silent connections can't lock out
  * operators.
  */
 public final class AdminServer {
@@ -83,7 +83,9 @@
         awaitingRequest.add(channel);
         channel.closeFuture().addListener(closed -> openConnections--);
         channel.pipeline()
-                .addLast(new HttpRequestDecoder(MAX_HEAD_BYTES, MAX_BODY_BYTES), new AdminConnection(this, routes, clock));
+                .addLast(
+                        new HttpRequestDecoder(MAX_HEAD_BYTES, MAX_BODY_BYTES),
+                        new AdminConnection(this, routes, clock));
     }
 
     /** Called when the channel's request is complete or the channel is closed. */
--- a/doorman/src/main/java/barleyspur/admin/Routes.java
+++ b/doorman/src/main/java/barleyspur/admin/Routes.java
@@ -1,7 +1,7 @@
 package barleyspur.admin;
 
-import barleyspur.admin.http.HttpResponse;
 import barleyspur.admin.http.HttpRequest;
+import barleyspur.admin.http.HttpResponse;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.TreeSet;
--- a/doorman/src/main/java/barleyspur/admin/http/HttpRequestDecoder.java
+++ b/doorman/src/main/java/barleyspur/admin/http/HttpRequestDecoder.java
@@ -12,9 +12,9 @@
 /**
  * Decodes one HTTP/1.1 request from a stream (RFC 9112): the request line (section 3), header fields (section 5), and a
  * body of {@code Content-Length} bytes (section 6.2). A connection carries one request, so everything after a complete
- * request is discarded. Lines may end in CRLF or in a bare LF (section 2.2). A head of more than {@code maxHead} bytes
- * results in status 431, a body of more than {@code maxBody} bytes in 413. An invalid request throws {@link HttpRequestException};
- * nothing more is decoded afterwards.
+ * request is discarded. Lines may end in CRLF or in a bare LF (section 2.2). A head of more than {@code maxHeadBytes}
+ * results in status 431, a body of more than {@code maxBodyBytes} in 413. An invalid request throws
+ * {@link HttpRequestException}; nothing more is decoded afterwards.
  */
 public final class HttpRequestDecoder extends ByteToMessageDecoder {
 
@@ -131,7 +131,8 @@
     private void parseRequestLine(ByteBuf in, String line) {
         String[] parts = line.split(" ", -1);
         if (parts.length != 3 || !isToken(parts[0]) || parts[1].isEmpty()) {
-            throw invalid(in, BAD_REQUEST, "the request line is not method, target and version separated by single spaces");
+            throw invalid(
+                    in, BAD_REQUEST, "the request line is not method, target and version separated by single spaces");
         }
         if (!parts[2].matches("HTTP/[0-9]\\.[0-9]")) {
             throw invalid(in, BAD_REQUEST, "the request line has no valid HTTP version");
@@ -176,8 +177,8 @@
         }
         // RFC 9110 section 8.6: a list that repeats one value counts as that value.
         String[] values = length.split("\\s*,\\s*");
-        for (String f : values) {
-            if (!f.equals(values[0]) || !f.matches("[0-9]{1,10}")) {
+        for (String value : values) {
+            if (!value.equals(values[0]) || !value.matches("[0-9]{1,10}")) {
                 throw invalid(in, BAD_REQUEST, "Content-Length is not a single valid number");
             }
         }
@@ -194,7 +195,10 @@
         }
         for (int i = 0; i < text.length(); i++) {
             char c = text.charAt(i);
-            if (!(c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || TOKEN_CHARACTERS.indexOf(c) >= 0)) {
+            if (!(c >= '0' && c <= '9'
+                    || c >= 'a' && c <= 'z'
+                    || c >= 'A' && c <= 'Z'
+                    || TOKEN_CHARACTERS.indexOf(c) >= 0)) {
                 return false;
             }
         }
--- a/doorman/src/main/java/barleyspur/cli/BudgetCommand.java
+++ b/doorman/src/main/java/barleyspur/cli/BudgetCommand.java
@@ -30,10 +30,12 @@
         String subcommand = arguments.isEmpty() ? "status" : arguments.get(0);
         boolean forBudget = subcommand.equals("why");
         if (!List.of("status", "why").contains(subcommand) || arguments.size() > (forBudget ? 2 : 1)) {
-            throw Command.InvalidInputException.commandLine("expected status or why NAME, not " + String.join(" ", arguments));
+            throw Command.InvalidInputException.commandLine(
+                    "expected status or why NAME, not " + String.join(" ", arguments));
         }
         if (forBudget && arguments.size() < 2) {
-            throw Command.InvalidInputException.commandLine("why needs the name of a budget, such as cold or cold:s-00c41f7a");
+            throw Command.InvalidInputException.commandLine(
+                    "why needs the name of a budget, such as cold or cold:s-00c41f7a");
         }
         URI uri = AdminClient.uri(line, "/admin/budget");
         JSONObject state = AdminClient.get(uri, NO_BUDGETS);
@@ -41,7 +43,9 @@
             System.err.println("barleyspur: " + state.getString("self") + " has no address in its fleet yet");
             return Command.FAILED;
         }
-        return forBudget ? showBudget(state, arguments.get(1), line.hasOption("json")) : showStatus(state, line.hasOption("json"));
+        return forBudget
+                ? showBudget(state, arguments.get(1), line.hasOption("json"))
+                : showStatus(state, line.hasOption("json"));
     }
 
     /** Prints all budgets; fails if the doorman needs shares and the doorman that divides them does not respond. */
--- a/doorman/src/main/java/barleyspur/cli/Cli.java
+++ b/doorman/src/main/java/barleyspur/cli/Cli.java
@@ -123,7 +123,8 @@
         }
     }
 
-    private static void checkSettings(OwnSettings settings, Configuration configuration) throws Command.InvalidInputException {
+    private static void checkSettings(OwnSettings settings, Configuration configuration)
+            throws Command.InvalidInputException {
         try {
             settings.check(configuration);
         } catch (Hcl.Invalid e) {
@@ -211,7 +212,8 @@
         checkSettings(settings, configuration);
         try {
             Node node = new Node(configuration, settings);
-            reloadSignal.setTask(() -> node.reload(() -> reloadConfiguration(settings), () -> reloadSettings(line, settings)));
+            reloadSignal.setTask(
+                    () -> node.reload(() -> reloadConfiguration(settings), () -> reloadSettings(line, settings)));
             // After SIGTERM the JVM waits for its shutdown hooks, so the hook waits for the drain. It is added before
             // the start, so that clients are never served without it.
             Runtime.getRuntime()
--- a/doorman/src/main/java/barleyspur/cli/Command.java
+++ b/doorman/src/main/java/barleyspur/cli/Command.java
@@ -83,7 +83,8 @@
                 return OK;
             }
             if (this.arguments.isEmpty() && !line.getArgList().isEmpty()) {
-                throw InvalidInputException.commandLine("unexpected argument " + line.getArgList().get(0));
+                throw InvalidInputException.commandLine(
+                        "unexpected argument " + line.getArgList().get(0));
             }
             return action.run(line);
         } catch (ParseException e) {
@@ -118,7 +119,8 @@
      *
      * @param defaultValue the value if the option is missing
      */
-    static long integer(CommandLine line, String option, long defaultValue, long min, long max) throws InvalidInputException {
+    static long integer(CommandLine line, String option, long defaultValue, long min, long max)
+            throws InvalidInputException {
         String text = line.getOptionValue(option);
         if (text == null) {
             return defaultValue;
@@ -131,6 +133,7 @@
         } catch (NumberFormatException e) {
             // Reported below, with the name of the option.
         }
-        throw InvalidInputException.commandLine("--" + option + " is not a whole number from " + min + " to " + max + ": " + text);
+        throw InvalidInputException.commandLine(
+                "--" + option + " is not a whole number from " + min + " to " + max + ": " + text);
     }
 }
--- a/doorman/src/main/java/barleyspur/cli/ExpectCommand.java
+++ b/doorman/src/main/java/barleyspur/cli/ExpectCommand.java
@@ -38,7 +38,8 @@
                         "config", "FILE", "the configuration to check; default: the file that RELAY_CONFIG names"))
                 .addOption(Command.option("fleet", "FILE", "an HCL file whose fleets replace the configuration's own"))
                 .addOption(Command.option("seed", "N", "the seed of all random choices; default: 1"))
-                .addOption(Command.option("budget", "SECONDS", "how long to run scenarios; default: " + DEFAULT_BUDGET_S))
+                .addOption(
+                        Command.option("budget", "SECONDS", "how long to run scenarios; default: " + DEFAULT_BUDGET_S))
                 .addOption(Command.option(
                         "cases", "N", "run this many scenarios instead, which are the same on any machine"))
                 .addOption(Command.option(
@@ -77,7 +78,8 @@
     private static Path configurationPath(CommandLine line) throws Command.InvalidInputException {
         String config = line.getOptionValue("config", System.getenv("RELAY_CONFIG"));
         if (config == null || config.isBlank()) {
-            throw Command.InvalidInputException.commandLine("neither --config nor the variable RELAY_CONFIG names a configuration");
+            throw Command.InvalidInputException.commandLine(
+                    "neither --config nor the variable RELAY_CONFIG names a configuration");
         }
         return Path.of(config);
     }
@@ -87,7 +89,8 @@
             long[] remaining = {Command.integer(line, "cases", 0, 1, 100_000_000)};
             return () -> remaining[0]-- > 0;
         }
-        long endNanos = System.nanoTime() + Command.integer(line, "budget", DEFAULT_BUDGET_S, 0, 86_400) * 1_000_000_000;
+        long endNanos =
+                System.nanoTime() + Command.integer(line, "budget", DEFAULT_BUDGET_S, 0, 86_400) * 1_000_000_000;
         return () -> System.nanoTime() < endNanos;
     }
 
@@ -107,7 +110,8 @@
             ExpectationCheck check = ExpectationCheck.of(site, files, line.hasOption("fleet"));
             String only = line.getOptionValue("only", "");
             if (!only.isEmpty() && !check.names().contains(only)) {
-                throw Command.InvalidInputException.commandLine("--only: no expectation is named " + only + Hcl.near(only, check.names()));
+                throw Command.InvalidInputException.commandLine(
+                        "--only: no expectation is named " + only + Hcl.near(only, check.names()));
             }
             if (check.names().isEmpty()) {
                 throw Command.InvalidInputException.input(files.get(0) + ":1: contains no block expectation");
@@ -134,9 +138,13 @@
             System.out.printf(
                     "warning: \"%s\" (%s) and \"%s\" (%s) contradict each other or one is always violated: "
                             + "of %d situations to which both apply, none satisfied both%n",
-                    conflict.one().name(), conflict.one().place(), conflict.other().name(), conflict.other().place(), conflict.moments());
+                    conflict.one().name(),
+                    conflict.one().place(),
+                    conflict.other().name(),
+                    conflict.other().place(),
+                    conflict.moments());
         }
-        result.covered().forEach(conflict -> System.out.println("covered: " + conflict));
+        result.covered().forEach(covered -> System.out.println("covered: " + covered));
         System.out.printf(
                 Locale.ROOT,
                 "played: %d scenarios, %d requests, %d events decided, in %.1f s%n",
@@ -183,10 +191,15 @@
         };
     }
 
-    private static JSONObject printFinding(Checker.Finding finding, ExpectationCheck check, Path folder) throws IOException {
+    private static JSONObject printFinding(Checker.Finding finding, ExpectationCheck check, Path folder)
+            throws IOException {
         System.out.printf(
                 "%-8s \"%s\" (%s): held in %d of %d%n",
-                finding.verdict().word(), finding.expectation().name(), finding.expectation().place(), finding.held(), finding.judged());
+                finding.verdict().word(),
+                finding.expectation().name(),
+                finding.expectation().place(),
+                finding.held(),
+                finding.judged());
         JSONObject json = new JSONObject()
                 .put("name", finding.expectation().name())
                 .put("place", finding.expectation().place())
@@ -200,12 +213,12 @@
         }
         if (finding.expectation().form() instanceof Expectation.Figures figures) {
             figures.broken()
-                    .forEach(b -> System.out.printf(
+                    .forEach(figure -> System.out.printf(
                             Locale.ROOT,
                             "  %s: settings.%s does not hold; it is %s%n",
-                            b.place(),
-                            b.text(),
-                            b.value()));
+                            figure.place(),
+                            figure.text(),
+                            figure.value()));
         }
         if (counterexample == null) {
             return json;
--- a/doorman/src/main/java/barleyspur/cli/FleetCommand.java
+++ b/doorman/src/main/java/barleyspur/cli/FleetCommand.java
@@ -35,7 +35,8 @@
         String subcommand = arguments.isEmpty() ? "status" : arguments.get(0);
         boolean forMember = subcommand.equals("why");
         if (!List.of("status", "watch", "why").contains(subcommand) || arguments.size() > (forMember ? 2 : 1)) {
-            throw Command.InvalidInputException.commandLine("expected status, watch or why NAME, not " + String.join(" ", arguments));
+            throw Command.InvalidInputException.commandLine(
+                    "expected status, watch or why NAME, not " + String.join(" ", arguments));
         }
         if (forMember && arguments.size() < 2) {
             throw Command.InvalidInputException.commandLine("why needs the name of a member");
@@ -89,8 +90,11 @@
 
     private static String reason(JSONObject member) {
         String reportedBy = member.optString("by").isEmpty() ? "" : ", said by " + member.getString("by");
-        String lastHeard = member.has("heard_ms") ? String.format(", last heard %.1f s ago", member.getLong("heard_ms") / 1e3) : "";
-        return member.getString("why").replace('_', ' ') + " (" + member.getString("from") + ")" + reportedBy + lastHeard;
+        String lastHeard = member.has("heard_ms")
+                ? String.format(", last heard %.1f s ago", member.getLong("heard_ms") / 1e3)
+                : "";
+        return member.getString("why").replace('_', ' ') + " (" + member.getString("from") + ")" + reportedBy
+                + lastHeard;
     }
 
     private static int showMember(JSONObject view, String name, boolean json) {
@@ -114,21 +118,25 @@
             for (Object entry : view.getJSONArray("members")) {
                 JSONObject member = (JSONObject) entry;
                 String description = (member.getBoolean("listed") ? "" : "out, ") + member.getString("standing") + ", "
-                        + member.getString("phase") + ", life " + member.getLong("life") + "." + member.getLong("incarnation");
+                        + member.getString("phase") + ", life " + member.getLong("life") + "."
+                        + member.getLong("incarnation");
                 current.put(member.getString("name"), description);
                 if (!description.equals(previous.get(member.getString("name")))) {
-                    System.out.println(json ? member.toString() : member.getString("name") + ": " + description + ", " + reason(member));
+                    System.out.println(
+                            json
+                                    ? member.toString()
+                                    : member.getString("name") + ": " + description + ", " + reason(member));
                 }
             }
             previous.keySet().stream()
-                    .filter(n -> !current.containsKey(n))
-                    .forEach(n -> System.out.println(
+                    .filter(name -> !current.containsKey(name))
+                    .forEach(name -> System.out.println(
                             json
                                     ? new JSONObject()
-                                            .put("name", n)
+                                            .put("name", name)
                                             .put("forgotten", true)
                                             .toString()
-                                    : n + ": forgotten"));
+                                    : name + ": forgotten"));
             previous = current;
             try {
                 Thread.sleep(WATCH_INTERVAL_MS);
--- a/doorman/src/main/java/barleyspur/front/thrift/ClientConnection.java
+++ b/doorman/src/main/java/barleyspur/front/thrift/ClientConnection.java
@@ -98,10 +98,10 @@
     private int invalidCalls;
     private EndCause endCause = EndCause.CLIENT_CLOSED;
 
-    ClientConnection(ServerContext front, ThriftFrameDecoder decoder) {
-        this.server = front;
-        this.doorman = front.doorman();
-        this.log = front.log();
+    ClientConnection(ServerContext server, ThriftFrameDecoder decoder) {
+        this.server = server;
+        this.doorman = server.doorman();
+        this.log = server.log();
         this.decoder = decoder;
     }
 
@@ -128,17 +128,17 @@
             return;
         }
         ThriftCall call = ThriftCall.parse(frame);
-        if (call instanceof ThriftCall.Dispatch c) {
-            c.body().retain();
-            received.add(new ReceivedDispatch(c, server.clock().pendingSinceMs()));
-        } else if (call instanceof ThriftCall.CancelRequest c) {
-            cancel(c.cancelled());
-        } else if (call instanceof ThriftCall.Alive c) {
+        if (call instanceof ThriftCall.Dispatch dispatch) {
+            dispatch.body().retain();
+            received.add(new ReceivedDispatch(dispatch, server.clock().pendingSinceMs()));
+        } else if (call instanceof ThriftCall.CancelRequest cancel) {
+            cancel(cancel.cancelled());
+        } else if (call instanceof ThriftCall.Alive alive) {
             markUsed();
-            responses.writeAlive(c.seqid(), server.lifecycle().ready());
-        } else if (call instanceof ThriftCall.UnknownMethod c) {
-            log.warn("unknown method", "client", channel.remoteAddress(), "method", c.method());
-            rejectCall(c.method(), c.seqid(), ThriftProtocol.UNKNOWN_METHOD, "unknown method");
+            responses.writeAlive(alive.seqid(), server.lifecycle().ready());
+        } else if (call instanceof ThriftCall.UnknownMethod unknown) {
+            log.warn("unknown method", "client", channel.remoteAddress(), "method", unknown.method());
+            rejectCall(unknown.method(), unknown.seqid(), ThriftProtocol.UNKNOWN_METHOD, "unknown method");
         }
     }
 
@@ -167,11 +167,11 @@
     }
 
     private void processReceived() {
-        for (ReceivedDispatch arrival = received.poll(); arrival != null; arrival = received.poll()) {
-            ThriftCall.Dispatch call = arrival.call();
+        for (ReceivedDispatch next = received.poll(); next != null; next = received.poll()) {
+            ThriftCall.Dispatch call = next.call();
             try {
                 if (!lingeringClose.begun() && channel.isActive()) {
-                    dispatch(call, arrival.arrivedMs());
+                    dispatch(call, next.arrivedMs());
                 }
             } catch (ThriftCall.MalformedCallException e) {
                 closeMalformed(e);
@@ -254,7 +254,8 @@
      * read time-out, because its first request may be under way, until the lifecycle expects no further requests.
      */
     void closeIfIdle() {
-        boolean idle = pending.isEmpty() && received.isEmpty() && responses.unwritten() == 0 && !decoder.hasPartialFrame();
+        boolean idle =
+                pending.isEmpty() && received.isEmpty() && responses.unwritten() == 0 && !decoder.hasPartialFrame();
         if (idle
                 && server.lifecycle().closeWhenIdle()
                 && (used || server.lifecycle().closeStrangers())) {
@@ -296,8 +297,8 @@
             response.cancel("connection rejected");
             response.writeFailure();
         });
-        for (ReceivedDispatch arrival = received.poll(); arrival != null; arrival = received.poll()) {
-            ThriftCall.Dispatch call = arrival.call();
+        for (ReceivedDispatch next = received.poll(); next != null; next = received.poll()) {
+            ThriftCall.Dispatch call = next.call();
             responses.writeFailed(call.seqid(), call.fields().getOrDefault("i", ""));
             call.body().release();
         }
@@ -342,12 +343,13 @@
     }
 
     /**
-     * Whether the client has reached the limit on pending requests. Responses that aren't written yet count, because to
-     * the client their requests are still pending; a client that respects the limit is never refused here.
+     * Whether the client has reached the limit on pending requests, or all clients together have too many unread
+     * responses. Unwritten responses count as pending, because the client still waits for them; a client that respects
+     * its limit never exceeds it by this count.
      */
     private boolean hasTooManyPending() {
-        boolean unreadFull = server.backpressure().isOverLimit();
-        if (pending.size() + responses.unwritten() < server.maxPending() && !unreadFull) {
+        boolean overLimit = server.backpressure().isOverLimit();
+        if (pending.size() + responses.unwritten() < server.maxPending() && !overLimit) {
             return false;
         }
         log.warn(
@@ -357,7 +359,7 @@
                 "open",
                 pending.size(),
                 "unread",
-                unreadFull);
+                overLimit);
         return true;
     }
 
@@ -442,7 +444,7 @@
         responses.stopStallTimer();
         RequestTrace.connectionEnded(
                 channel.remoteAddress(), endCause, pending.size() + received.size(), responses.unwritten());
-        received.forEach(arrival -> arrival.call().body().release());
+        received.forEach(next -> next.call().body().release());
         received.clear();
         List<PendingResponse> unfinished = new ArrayList<>(pending.values());
         pending.clear();
--- a/doorman/src/main/java/barleyspur/front/thrift/ConnectionRegistry.java
+++ b/doorman/src/main/java/barleyspur/front/thrift/ConnectionRegistry.java
@@ -70,7 +70,7 @@
     }
 
     /** Returns the number of connections that are being closed. */
-    int markClosing() {
+    int closingCount() {
         return closing.size();
     }
 
--- a/doorman/src/main/java/barleyspur/front/thrift/RequestReadTimeout.java
+++ b/doorman/src/main/java/barleyspur/front/thrift/RequestReadTimeout.java
@@ -78,7 +78,8 @@
             receivingSinceMs = nowMs;
             framesBefore = decoder.frameCount();
         }
-        startPartialRequestTimer(Math.min(INACTIVITY_TIMEOUT_MS, receivingSinceMs + longestDeadlineMs.getAsDouble() - nowMs));
+        startPartialRequestTimer(
+                Math.min(INACTIVITY_TIMEOUT_MS, receivingSinceMs + longestDeadlineMs.getAsDouble() - nowMs));
     }
 
     private void startPartialRequestTimer(double delayMs) {
--- a/doorman/src/main/java/barleyspur/front/thrift/ResponseWriter.java
+++ b/doorman/src/main/java/barleyspur/front/thrift/ResponseWriter.java
@@ -99,9 +99,11 @@
     }
 
     /** Encodes a response without copying its body, as a single message: parts could fail to be written separately. */
-    private ByteBuf encodeResponse(String method, int seqid, ByteBuf body, Map<String, String> fields, boolean success) {
+    private ByteBuf encodeResponse(
+            String method, int seqid, ByteBuf body, Map<String, String> fields, boolean success) {
         ByteBuf tail = ThriftProtocol.encodeResponseEnd(channel.alloc(), fields, success);
-        ByteBuf head = ThriftProtocol.encodeResponseStart(channel.alloc(), method, seqid, body.readableBytes(), tail.readableBytes());
+        ByteBuf head = ThriftProtocol.encodeResponseStart(
+                channel.alloc(), method, seqid, body.readableBytes(), tail.readableBytes());
         return Unpooled.wrappedBuffer(head, body, tail);
     }
 
--- a/doorman/src/main/java/barleyspur/front/thrift/ThriftServer.java
+++ b/doorman/src/main/java/barleyspur/front/thrift/ThriftServer.java
@@ -59,8 +59,8 @@
      * Creates a server that doesn't listen yet.
      *
      * @param maxUnreadBytes how many bytes of response bodies may be queued for clients that read slowly
-     * @param onOverLimit     called with true when more are queued, so that depots must not be read, and with false when
-     *                   that has ended
+     * @param onOverLimit    called with true when more are queued, so that depots must not be read, and with false when
+     *                       that has ended
      */
     public ThriftServer(
             EventLoopGroup group,
@@ -129,7 +129,7 @@
     }
 
     private void accept(Channel channel) {
-        if (connections.size() - registry.markClosing() >= maxConnections) {
+        if (connections.size() - registry.closingCount() >= maxConnections) {
             // Too many clients would use up the file descriptors that connections to depots need.
             ClientConnection evicted = registry.evictLeastActive(clock.nowMs());
             if (evicted == null) {
@@ -150,7 +150,7 @@
                     connections.size());
             evicted.evict();
         }
-        if (registry.markClosing() > maxConnections / CLOSING_DIVISOR) {
+        if (registry.closingCount() > maxConnections / CLOSING_DIVISOR) {
             registry.longestClosing().closeWithoutLinger();
         }
         connections.add(channel);
@@ -184,8 +184,8 @@
     }
 
     /**
-     * Stops listening and closes each connection when it becomes idle, all of them after {@code mostMs}; then runs
-     * {@code then}. Before this call the lifecycle has to be in a state in which idle connections are closed.
+     * Stops listening and closes each connection when it becomes idle, all of them after {@code maxMs}; then runs
+     * {@code onClosed}. Before this call the lifecycle has to be in a state in which idle connections are closed.
      */
     public void close(double maxMs, Runnable onClosed) {
         if (listener != null) {
--- a/doorman/src/test/java/barleyspur/admin/http/HttpPropertiesTest.java
+++ b/doorman/src/test/java/barleyspur/admin/http/HttpPropertiesTest.java
@@ -106,7 +106,8 @@
     }
 
     private static int status(byte[] bytes, long splitSeed) {
-        HttpRequestException exception = assertThrows(HttpRequestException.class, () -> Cuts.feed(decoder(), bytes, splitSeed));
+        HttpRequestException exception =
+                assertThrows(HttpRequestException.class, () -> Cuts.feed(decoder(), bytes, splitSeed));
         return exception.status();
     }
 
--- a/doorman/src/test/java/barleyspur/front/thrift/ClientConnectionTest.java
+++ b/doorman/src/test/java/barleyspur/front/thrift/ClientConnectionTest.java
@@ -358,7 +358,7 @@
         registry.evictLeastActive(0).evict();
         dispatch(1, "unheard-of");
         assertTrue(channel.isOpen());
-        assertEquals(0, registry.markClosing());
+        assertEquals(0, registry.closingCount());
         registry.evictLeastActive(0).evict();
         channel.runPendingTasks();
         advance(ClientConnection.LINGER_MS);
--- a/doorman/src/test/java/barleyspur/front/thrift/SharedPortTest.java
+++ b/doorman/src/test/java/barleyspur/front/thrift/SharedPortTest.java
@@ -55,7 +55,8 @@
         InetSocketAddress address = freePort();
         ThriftServer first = server(true);
         assertTrue(first.listen(address).await().isSuccess());
-        assertFalse(server(false).listen(address).await().isSuccess(), "only a server that shares the port can bind it");
+        assertFalse(
+                server(false).listen(address).await().isSuccess(), "only a server that shares the port can bind it");
         ThriftServer successor = server(true);
         assertTrue(successor.listen(address).await().isSuccess(), "the successor can bind the same port");
         group.submit(first::stopListening).sync().getNow().sync();
--- a/doorman/src/test/java/barleyspur/front/thrift/ThriftCalls.java
+++ b/doorman/src/test/java/barleyspur/front/thrift/ThriftCalls.java
@@ -23,7 +23,10 @@
                 .writeInt(2)
                 .writeInt(1)
                 .writeInt(2);
-        out.writeByte(ThriftProtocol.MAP).writeShort(1).writeByte(ThriftProtocol.STRING).writeByte(ThriftProtocol.STRING);
+        out.writeByte(ThriftProtocol.MAP)
+                .writeShort(1)
+                .writeByte(ThriftProtocol.STRING)
+                .writeByte(ThriftProtocol.STRING);
         out.writeInt(fields.size());
         fields.forEach((name, value) -> {
             string(out, name.getBytes(StandardCharsets.UTF_8));
--- a/doorman/src/test/java/barleyspur/front/thrift/ThriftPropertiesTest.java
+++ b/doorman/src/test/java/barleyspur/front/thrift/ThriftPropertiesTest.java
@@ -43,7 +43,8 @@
             twice.writeBytes(one);
             one.release();
         }
-        List<Object> frames = Cuts.feed(new EmbeddedChannel(new ThriftFrameDecoder(MAX_FRAME)), Cuts.take(twice), splitSeed);
+        List<Object> frames =
+                Cuts.feed(new EmbeddedChannel(new ThriftFrameDecoder(MAX_FRAME)), Cuts.take(twice), splitSeed);
         assertEquals(2, frames.size());
         for (int i = 0; i < 2; i++) {
             ByteBuf frame = (ByteBuf) frames.get(i);
@@ -86,7 +87,8 @@
 
     @Property(seed = "14")
     void randomStreamFailsOnlyAsMalformed(@ForAll @Size(max = 300) byte[] input, @ForAll long splitSeed) {
-        List<Object> frames = Cuts.feedGarbage(new EmbeddedChannel(new ThriftFrameDecoder(MAX_FRAME)), input, splitSeed);
+        List<Object> frames =
+                Cuts.feedGarbage(new EmbeddedChannel(new ThriftFrameDecoder(MAX_FRAME)), input, splitSeed);
         if (frames != null) {
             frames.forEach(f -> assertTrue(((ByteBuf) f).release()));
         }
