--- a/doorman/src/main/java/barleyspur/front/thrift/ClientConnection.java
+++ b/doorman/src/main/java/barleyspur/front/thrift/ClientConnection.java
@@ -183,7 +183,7 @@
             lingeringClose.discarded(decoder.discardedBytes());
         } else if (responses.unwritten() >= MAX_UNWRITTEN_FACTOR * server.maxPending()) {
             log.warn("connection closed: it asks for more and reads no answers", "client", channel.remoteAddress());
-            closeWithError(ThriftProtocol.PROTOCOL_ERROR, "responses are not read");
+            closeWithError(ThriftProtocol.PROTOCOL_ERROR, "answers are not read");
         } else {
             updateReadTimeout();
         }
@@ -215,14 +215,14 @@
                     channel.remoteAddress(),
                     "ms",
                     RequestReadTimeout.INACTIVITY_TIMEOUT_MS);
-            closeWithError(ThriftProtocol.PROTOCOL_ERROR, "no request received in time");
+            closeWithError(ThriftProtocol.PROTOCOL_ERROR, "no request came");
         }
     }
 
     @Override
     public void partialRequestTimedOut() {
         log.warn("connection closed: half a request", "client", channel.remoteAddress());
-        closeWithError(ThriftProtocol.PROTOCOL_ERROR, "incomplete request");
+        closeWithError(ThriftProtocol.PROTOCOL_ERROR, "half a request came");
     }
 
     private void markUsed() {
@@ -453,7 +453,7 @@
 
     private void closeMalformed(Exception cause) {
         log.warn("connection closed", "client", channel.remoteAddress(), "cause", cause.getMessage());
-        closeWithError(ThriftProtocol.PROTOCOL_ERROR, "not a valid call in the strict binary protocol");
+        closeWithError(ThriftProtocol.PROTOCOL_ERROR, "not the strict binary protocol");
     }
 
     @Override
--- a/doorman/src/main/java/barleyspur/front/thrift/RequestFields.java
+++ b/doorman/src/main/java/barleyspur/front/thrift/RequestFields.java
@@ -6,7 +6,10 @@
 import java.util.Map;
 import java.util.regex.Pattern;
 
-/** Parses and validates the fields of a request; the exception message names the field that is invalid. */
+/**
+ * Parses and validates the fields of a request. The exception message names the invalid field and is sent to the
+ * client.
+ */
 final class RequestFields {
 
     private static final int HEX = 16;
@@ -64,8 +67,7 @@
     private String optionalToken(String name) {
         String value = fields.get(name);
         if (value != null && !TOKEN.matcher(value).matches()) {
-            throw new IllegalArgumentException(
-                    "field " + name + " is not 1 to 256 visible ASCII characters without , = or quote");
+            throw new IllegalArgumentException("field " + name + " is not a bare word");
         }
         return value;
     }
@@ -88,7 +90,7 @@
     private int integer(String name, int max) {
         String value = required(name);
         if (!INTEGER.matcher(value).matches() || Integer.parseInt(value) > max) {
-            throw new IllegalArgumentException("field " + name + " is not an integer from 0 to " + max);
+            throw new IllegalArgumentException("field " + name + " is not a whole number up to " + max);
         }
         return Integer.parseInt(value);
     }
@@ -102,6 +104,6 @@
         } catch (NumberFormatException e) {
             // Reported below.
         }
-        throw new IllegalArgumentException("field " + name + " is not a valid size in kB");
+        throw new IllegalArgumentException("field " + name + " is not a size");
     }
 }
--- a/doorman/src/test/java/barleyspur/front/thrift/ClientConnectionTest.java
+++ b/doorman/src/test/java/barleyspur/front/thrift/ClientConnectionTest.java
@@ -44,13 +44,13 @@
     private static final int MAX_PENDING = 2;
 
     private final List<Director.Event> events = new ArrayList<>();
-    private Consumer<Director.Action> actions;
+    private Consumer<Director.Action> actionSink;
     private final Doorman doorman = new Doorman(
             SETTINGS,
             9,
             (now, event, sink) -> {
                 events.add(event);
-                actions = sink;
+                actionSink = sink;
             },
             this,
             new SilentDepots());
@@ -63,16 +63,16 @@
     private EmbeddedChannel connect() {
         lifecycle.serving(now);
         ThriftFrameDecoder decoder = new ThriftFrameDecoder(100_000);
-        ClientConnection.ServerContext shared = new ClientConnection.ServerContext(
+        ClientConnection.ServerContext context = new ClientConnection.ServerContext(
                 doorman,
                 this,
                 () -> CLASSES,
                 MAX_PENDING,
-                new ResponseBackpressure(1_000, full -> {}),
+                new ResponseBackpressure(1_000, overLimit -> {}),
                 registry,
                 new CappedLog(LoggerFactory.getLogger("front"), this),
                 lifecycle);
-        return new EmbeddedChannel(decoder, new ClientConnection(shared, decoder));
+        return new EmbeddedChannel(decoder, new ClientConnection(context, decoder));
     }
 
     @Override
@@ -174,7 +174,7 @@
         channel.pipeline().addFirst(blocker);
         for (int i = 1; i <= MAX_PENDING; i++) {
             dispatch(i, "small");
-            actions.accept(new Director.Refuse(((Director.Request) events.get(i - 1)).id(), 0));
+            actionSink.accept(new Director.Refuse(((Director.Request) events.get(i - 1)).id(), 0));
             doorman.purgedGroup(1, 0);
             events.remove(events.size() - 1);
         }
@@ -240,7 +240,7 @@
         Director.Request request = (Director.Request) events.get(0);
         assertEquals(3, request.part());
         assertEquals(17, request.group());
-        actions.accept(new Director.Refuse(request.id(), 700));
+        actionSink.accept(new Director.Refuse(request.id(), 700));
         doorman.purgedGroup(1, 0);
         assertAnswer(ThriftProtocol.REPLY, 1, "700");
     }
@@ -291,7 +291,7 @@
         dispatch(1, "small", "9b1f03aa5c7e2d41");
         dispatch(2, "small", "9b1f03aa5c7e2d41");
         assertAnswer(ThriftProtocol.EXCEPTION, 2, "field i");
-        actions.accept(new Director.Refuse(((Director.Request) events.get(0)).id(), 0));
+        actionSink.accept(new Director.Refuse(((Director.Request) events.get(0)).id(), 0));
         doorman.purgedGroup(1, 0);
         assertAnswer(ThriftProtocol.REPLY, 1, "");
         dispatch(3, "small", "9b1f03aa5c7e2d41");
@@ -302,7 +302,7 @@
     void unusedConnectionTimesOutAndUsedOneStays() {
         EmbeddedChannel other = connect();
         dispatch(1, "small");
-        actions.accept(new Director.Refuse(((Director.Request) events.get(0)).id(), 0));
+        actionSink.accept(new Director.Refuse(((Director.Request) events.get(0)).id(), 0));
         doorman.purgedGroup(1, 0);
         advance(RequestReadTimeout.INACTIVITY_TIMEOUT_MS);
         advance(ClientConnection.LINGER_MS);
@@ -371,12 +371,12 @@
         dispatch(1, "small");
         dispatch(2, "small");
         lifecycle.quiesce(now);
-        actions.accept(new Director.Refuse(((Director.Request) events.get(0)).id(), 0));
+        actionSink.accept(new Director.Refuse(((Director.Request) events.get(0)).id(), 0));
         doorman.purgedGroup(1, 0);
         channel.runPendingTasks();
         assertTrue(channel.isOpen(), "request 2 is pending");
         assertAnswer(ThriftProtocol.REPLY, 1, "");
-        actions.accept(new Director.Refuse(((Director.Request) events.get(1)).id(), 0));
+        actionSink.accept(new Director.Refuse(((Director.Request) events.get(1)).id(), 0));
         doorman.purgedGroup(1, 0);
         channel.runPendingTasks();
         assertAnswer(ThriftProtocol.REPLY, 2, "");
--- a/doorman/src/test/java/barleyspur/front/thrift/ConnectionFailureTest.java
+++ b/doorman/src/test/java/barleyspur/front/thrift/ConnectionFailureTest.java
@@ -70,13 +70,13 @@
     }
 
     private static byte[] alive(int seqid) {
-        ByteBuf sent = Unpooled.buffer()
+        ByteBuf buffer = Unpooled.buffer()
                 .writeInt(0)
                 .writeInt(ThriftProtocol.VERSION | ThriftProtocol.CALL)
                 .writeInt(5);
-        sent.writeCharSequence("alive", StandardCharsets.US_ASCII);
-        sent.writeInt(seqid).writeByte(ThriftProtocol.STOP);
-        return Cuts.take(sent.setInt(0, sent.readableBytes() - Integer.BYTES));
+        buffer.writeCharSequence("alive", StandardCharsets.US_ASCII);
+        buffer.writeInt(seqid).writeByte(ThriftProtocol.STOP);
+        return Cuts.take(buffer.setInt(0, buffer.readableBytes() - Integer.BYTES));
     }
 
     /** Returns which response was received: served, refused or failed, or -1 for an application exception. */
@@ -389,10 +389,10 @@
                     throw new IllegalStateException(e);
                 }
             });
-            Wire newcomer = doorman.client();
-            newcomer.write(alive(1));
-            assertEquals(SERVED, readOutcome(newcomer, 1));
-            idle.add(newcomer);
+            Wire newClient = doorman.client();
+            newClient.write(alive(1));
+            assertEquals(SERVED, readOutcome(newClient, 1));
+            idle.add(newClient);
             oldest.write(slice(request, 50, request.length));
             assertEquals(SERVED, readOutcome(oldest, 1));
             assertNull(oldest.frame(), "closed without a reset");
--- a/doorman/src/test/java/barleyspur/front/thrift/ResponseWriterTest.java
+++ b/doorman/src/test/java/barleyspur/front/thrift/ResponseWriterTest.java
@@ -36,7 +36,7 @@
     private final ResponseWriter responses = new ResponseWriter(
             channel,
             this,
-            new ResponseBackpressure(1_000, full -> {}),
+            new ResponseBackpressure(1_000, overLimit -> {}),
             new CappedLog(LoggerFactory.getLogger("front"), this),
             () -> 5_000,
             this);
@@ -59,7 +59,7 @@
 
     @Override
     public void stalled() {
-        events.add("stuck");
+        events.add("stalled");
     }
 
     @Override
--- a/doorman/src/test/java/barleyspur/front/thrift/SharedPortTest.java
+++ b/doorman/src/test/java/barleyspur/front/thrift/SharedPortTest.java
@@ -37,7 +37,7 @@
         Doorman doorman =
                 new Doorman(ClientConnectionTest.SETTINGS, 9, (now, event, sink) -> {}, clock, new SilentDepots());
         return new ThriftServer(
-                group, doorman, clock, ClientConnectionTest.CLASSES, 16, 1 << 20, full -> {}, lifecycle, share);
+                group, doorman, clock, ClientConnectionTest.CLASSES, 16, 1 << 20, overLimit -> {}, lifecycle, share);
     }
 
     private static InetSocketAddress freePort() throws IOException {
