--- a/doorman/src/main/java/barleyspur/cli/Cli.java
+++ b/doorman/src/main/java/barleyspur/cli/Cli.java
@@ -20,25 +20,25 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The sub-commands. */
+/** Selects and runs the sub-commands. */
 final class Cli {
 
-    /** No exit code: the process goes on in its other threads. */
+    /** Returned instead of an exit code when the process continues in other threads. */
     static final int RUNNING = -1;
 
     private static final String HELP =
             """
         usage: barleyspur COMMAND [OPTIONS]
-          serve     run one doorman, as RELAY_CONFIG says, until SIGTERM; SIGHUP rereads it
-          check     read and check the configuration that RELAY_CONFIG names
+          serve     run a doorman until SIGTERM; RELAY_CONFIG names its configuration, SIGHUP reloads it
+          check     validate the configuration that RELAY_CONFIG names
           expect    check routing expectations against a configuration, without traffic
           explain   replay a counterexample that expect has written
-          fleet     show a running doorman's view of the others
-          budget    show what a running doorman may use of the fleet's budgets
-          rehearse  start and end a doorman that plays made-up requests to itself; the build records its classes
-          simhost   run the decisions on the simulator's wire, on standard input and output
+          fleet     show a running doorman's view of the fleet
+          budget    show a running doorman's shares of the fleet's budgets
+          rehearse  run a doorman on synthetic requests to itself, for the build to record the classes it loads
+          simhost   run the routing decisions over the simulator's protocol, on standard input and output
           version   print the version
-        barleyspur COMMAND --help tells the options of each.
+        Run barleyspur COMMAND --help for the options of a command.
         """;
 
     private static final Logger LOG = LoggerFactory.getLogger("cli");
@@ -57,44 +57,45 @@
                         new Command(
                                 name,
                                 "",
-                                "Run one doorman until SIGTERM.",
+                                "Run a doorman until SIGTERM.",
                                 new Options()
-                                        .addOption(Command.value(
+                                        .addOption(Command.option(
                                                 "settings",
                                                 "FILE",
-                                                "an HCL file of our own settings; none: all that it could switch on "
-                                                        + "is off")),
+                                                "an HCL file with barleyspur's own settings; without it, all features "
+                                                        + "that it can enable are off")),
                                 Cli::serve);
                     case "check" ->
                         new Command(
                                 name,
                                 "",
-                                "Read and check the configuration that RELAY_CONFIG names.",
+                                "Validate the configuration that RELAY_CONFIG names.",
                                 new Options()
-                                        .addOption(Command.value(
-                                                "expect",
+                                        .addOption(Command.option(
+                                                "expect", "FILE", "also check it against these routing expectations"))
+                                        .addOption(Command.option(
+                                                "settings",
                                                 "FILE",
-                                                "check it against these routing expectations " + "too"))
-                                        .addOption(Command.value(
-                                                "settings", "FILE", "check these settings of our own too")),
+                                                "also validate these settings of barleyspur's own")),
                                 Cli::check);
                     case "expect" -> ExpectCommand.expect();
                     case "explain" -> ExpectCommand.explain();
-                    case "fleet" -> FleetCommand.fleet();
-                    case "budget" -> BudgetCommand.budget();
-                    case "rehearse" -> Command.of(name, "Start and end a doorman on loopback.", line -> rehearse());
+                    case "fleet" -> FleetCommand.command();
+                    case "budget" -> BudgetCommand.command();
+                    case "rehearse" ->
+                        Command.of(name, "Start and stop a doorman on the loopback interface.", line -> rehearse());
                     case "simhost" ->
                         Command.of(
                                 name,
-                                "Run the decisions on the simulator's wire, on standard input and " + "output.",
+                                "Run the routing decisions over the simulator's protocol on standard input and output.",
                                 line -> Adapter.run(
                                         new FileInputStream(FileDescriptor.in),
                                         new FileOutputStream(FileDescriptor.out)));
-                    case "version" -> Command.of(name, "Print the version.", line -> version());
+                    case "version" -> Command.of(name, "Print the version.", line -> printVersion());
                     default -> null;
                 };
         if (command == null) {
-            System.err.println("barleyspur: " + (name.isEmpty() ? "a command is missing" : "unknown command " + name));
+            System.err.println("barleyspur: " + (name.isEmpty() ? "no command given" : "unknown command " + name));
             System.err.print(HELP);
             return Command.USAGE;
         }
@@ -106,45 +107,46 @@
         }
     }
 
-    private static int version() {
+    private static int printVersion() {
         String version = Cli.class.getPackage().getImplementationVersion();
         System.out.println("barleyspur " + (version == null ? "(not packaged)" : version));
         return Command.OK;
     }
 
-    private static OwnSettings settings(CommandLine line) throws Command.Unusable {
+    private static OwnSettings loadSettings(CommandLine line) throws Command.InvalidInputException {
         try {
             return line.hasOption("settings")
                     ? OwnSettings.load(Path.of(line.getOptionValue("settings")))
                     : OwnSettings.none();
         } catch (Hcl.Invalid e) {
-            throw Command.Unusable.input("settings: " + e.getMessage());
+            throw Command.InvalidInputException.input("settings: " + e.getMessage());
         }
     }
 
-    private static void match(OwnSettings settings, Configuration configuration) throws Command.Unusable {
+    private static void checkSettings(OwnSettings settings, Configuration configuration)
+            throws Command.InvalidInputException {
         try {
             settings.check(configuration);
         } catch (Hcl.Invalid e) {
-            throw Command.Unusable.input("settings: " + e.getMessage());
+            throw Command.InvalidInputException.input("settings: " + e.getMessage());
         }
     }
 
-    private static int check(CommandLine line) throws Command.Unusable {
-        Configuration configuration = configuration();
-        match(settings(line), configuration);
+    private static int check(CommandLine line) throws Command.InvalidInputException {
+        Configuration configuration = loadConfiguration();
+        checkSettings(loadSettings(line), configuration);
         if (line.hasOption("expect")) {
-            List<String> broken;
+            List<String> violations;
             try {
-                broken = ExpectationCheck.broken(
+                violations = ExpectationCheck.broken(
                         Path.of(System.getenv("RELAY_CONFIG")),
                         new OwnSettings.Expectations(List.of(Path.of(line.getOptionValue("expect"))), 200, 1));
             } catch (Configuration.Invalid | Hcl.Invalid e) {
-                throw Command.Unusable.input(e.getMessage());
+                throw Command.InvalidInputException.input(e.getMessage());
             }
-            if (!broken.isEmpty()) {
-                broken.forEach(b -> System.err.println("barleyspur: " + b));
-                System.err.println("barleyspur: barleyspur expect " + line.getOptionValue("expect") + " tells more");
+            if (!violations.isEmpty()) {
+                violations.forEach(b -> System.err.println("barleyspur: " + b));
+                System.err.println("barleyspur: barleyspur expect " + line.getOptionValue("expect") + " shows details");
                 return Command.FAILED;
             }
         }
@@ -152,15 +154,15 @@
         return Command.OK;
     }
 
-    private static Configuration configuration() throws Command.Unusable {
+    private static Configuration loadConfiguration() throws Command.InvalidInputException {
         try {
             return Configuration.load(System.getenv());
         } catch (Configuration.Invalid e) {
-            throw Command.Unusable.input("configuration: " + e.getMessage());
+            throw Command.InvalidInputException.input("configuration: " + e.getMessage());
         }
     }
 
-    private static int rehearse() throws Command.Unusable, IOException {
+    private static int rehearse() throws Command.InvalidInputException, IOException {
         try {
             Node node = new Node(Configuration.example(), OwnSettings.none());
             node.start();
@@ -168,7 +170,7 @@
             node.awaitEnd();
             return Command.OK;
         } catch (Configuration.Invalid e) {
-            throw Command.Unusable.input("configuration: " + e.getMessage());
+            throw Command.InvalidInputException.input("configuration: " + e.getMessage());
         } catch (ExecutionException e) {
             throw new IOException(e.getMessage(), e);
         } catch (InterruptedException e) {
@@ -177,42 +179,43 @@
         }
     }
 
-    /** The configuration of a reload: refused where it breaks what the settings expect of it. */
-    private static Configuration reread(OwnSettings settings) throws Configuration.Invalid {
-        Configuration next = Configuration.load(System.getenv());
+    /** Loads the configuration for a reload; rejects it if it violates the routing expectations of the settings. */
+    private static Configuration reloadConfiguration(OwnSettings settings) throws Configuration.Invalid {
+        Configuration reloaded = Configuration.load(System.getenv());
         if (settings.expectations() != null) {
             ExpectationCheck.require(Path.of(System.getenv("RELAY_CONFIG")), settings.expectations());
         }
-        return next;
+        return reloaded;
     }
 
-    /** Our own settings of a reload: a faulty file is refused whole. */
-    private static OwnSettings rereadOwn(CommandLine line, OwnSettings before) throws Configuration.Invalid {
+    /** Loads barleyspur's own settings for a reload; a file with any error is rejected as a whole. */
+    private static OwnSettings reloadSettings(CommandLine line, OwnSettings current) throws Configuration.Invalid {
         if (!line.hasOption("settings")) {
-            return before;
+            return current;
         }
         try {
-            OwnSettings next = OwnSettings.load(Path.of(line.getOptionValue("settings")));
-            next.check(Configuration.load(System.getenv()));
-            return next;
+            OwnSettings reloaded = OwnSettings.load(Path.of(line.getOptionValue("settings")));
+            reloaded.check(Configuration.load(System.getenv()));
+            return reloaded;
         } catch (Hcl.Invalid e) {
             throw new Configuration.Invalid("settings: " + e.getMessage());
         }
     }
 
-    private static int serve(CommandLine line) throws Command.Unusable, IOException {
+    private static int serve(CommandLine line) throws Command.InvalidInputException, IOException {
         ReloadSignal reloadSignal = new ReloadSignal();
         if (!reloadSignal.install()) {
             LOG.warn("SIGHUP is ignored by who started this process: the configuration is never read anew");
         }
-        OwnSettings settings = settings(line);
-        Configuration configuration = configuration();
-        match(settings, configuration);
+        OwnSettings settings = loadSettings(line);
+        Configuration configuration = loadConfiguration();
+        checkSettings(settings, configuration);
         try {
             Node node = new Node(configuration, settings);
-            reloadSignal.reloadBy(() -> node.reload(() -> reread(settings), () -> rereadOwn(line, settings)));
-            // On SIGTERM the process stays until its hooks have ended, so the hook waits for the drain. Before the
-            // start, so that there is no moment with clients and without it.
+            reloadSignal.setTask(
+                    () -> node.reload(() -> reloadConfiguration(settings), () -> reloadSettings(line, settings)));
+            // After SIGTERM the JVM waits for its shutdown hooks, so the hook waits for the drain. It is added before
+            // the start, so that clients are never served without it.
             Runtime.getRuntime()
                     .addShutdownHook(new Thread(
                             () -> {
@@ -227,7 +230,7 @@
             node.start();
             return RUNNING;
         } catch (RejectedExecutionException e) {
-            // SIGTERM came while it started: the hook has ended it.
+            // SIGTERM arrived during the start, and the hook has stopped the node.
             return Command.FAILED;
         } catch (ExecutionException e) {
             throw new IOException(e.getMessage(), e);
--- a/doorman/src/main/java/barleyspur/cli/Command.java
+++ b/doorman/src/main/java/barleyspur/cli/Command.java
@@ -10,81 +10,91 @@
 import org.apache.commons.cli.help.HelpFormatter;
 
 /**
- * One sub-command: its name, its arguments and options, and what it does. Each has {@code --help} of its own.
+ * A sub-command with its options and its action. Each one has its own {@code --help}.
  *
- * @param arguments how the help names what stands beside the options; empty where nothing may
+ * @param arguments the arguments besides the options, as shown in the help; empty if none are accepted
  */
-record Command(String name, String arguments, String about, Options options, Action action) {
+record Command(String name, String arguments, String description, Options options, Action action) {
 
-    /** Good, found wrong or failed, and a command line or input that can't be used. */
+    /** Exit code of success. */
     static final int OK = 0;
 
+    /** Exit code of a failure, or of a check with a negative result. */
     static final int FAILED = 1;
+
+    /** Exit code of an invalid command line or input. */
     static final int USAGE = 2;
 
-    /** A command line or input that can't be used. */
-    static final class Unusable extends Exception {
+    /** Thrown for an invalid command line or input. */
+    static final class InvalidInputException extends Exception {
         private static final long serialVersionUID = 1L;
         private final boolean commandLine;
 
-        private Unusable(String message, boolean commandLine) {
+        private InvalidInputException(String message, boolean commandLine) {
             super(message);
             this.commandLine = commandLine;
         }
 
-        static Unusable line(String message) {
-            return new Unusable(message, true);
+        /** An error in the command line, after which the help is mentioned. */
+        static InvalidInputException commandLine(String message) {
+            return new InvalidInputException(message, true);
         }
 
-        static Unusable input(String message) {
-            return new Unusable(message, false);
+        /** An error in a file or other input. */
+        static InvalidInputException input(String message) {
+            return new InvalidInputException(message, false);
         }
     }
 
-    /** What a command does; returns the exit code, or {@link Cli#RUNNING}. */
+    /** The implementation of a command. */
     interface Action {
-        int run(CommandLine line) throws Unusable, IOException;
+        /** Runs the command and returns the exit code, or {@link Cli#RUNNING}. */
+        int run(CommandLine line) throws InvalidInputException, IOException;
     }
 
-    static Command of(String name, String about, Action action) {
-        return new Command(name, "", about, new Options(), action);
+    /** Returns a command without arguments and options. */
+    static Command of(String name, String description, Action action) {
+        return new Command(name, "", description, new Options(), action);
     }
 
-    /** An option with a value. */
-    static Option value(String name, String value, String about) {
+    /** Returns an option with a value. */
+    static Option option(String name, String argument, String description) {
         return Option.builder()
                 .longOpt(name)
                 .hasArg()
-                .argName(value)
-                .desc(about)
+                .argName(argument)
+                .desc(description)
                 .get();
     }
 
-    /** An option without one. */
-    static Option flag(String name, String about) {
-        return Option.builder().longOpt(name).desc(about).get();
+    /** Returns an option without a value. */
+    static Option flag(String name, String description) {
+        return Option.builder().longOpt(name).desc(description).get();
     }
 
+    /** Parses the arguments, runs the command and returns the exit code, or {@link Cli#RUNNING}. */
     int run(List<String> arguments) throws IOException {
-        options.addOption(Option.builder("h").longOpt("help").desc("print this").get());
+        options.addOption(
+                Option.builder("h").longOpt("help").desc("print this help").get());
         try {
             CommandLine line = new DefaultParser().parse(options, arguments.toArray(String[]::new));
             if (line.hasOption("help")) {
-                help();
+                printHelp();
                 return OK;
             }
             if (this.arguments.isEmpty() && !line.getArgList().isEmpty()) {
-                throw Unusable.line("unexpected argument " + line.getArgList().get(0));
+                throw InvalidInputException.commandLine(
+                        "unexpected argument " + line.getArgList().get(0));
             }
             return action.run(line);
         } catch (ParseException e) {
-            return unusable(e.getMessage(), true);
-        } catch (Unusable e) {
-            return unusable(e.getMessage(), e.commandLine);
+            return reportInvalid(e.getMessage(), true);
+        } catch (InvalidInputException e) {
+            return reportInvalid(e.getMessage(), e.commandLine);
         }
     }
 
-    private int unusable(String message, boolean commandLine) {
+    private int reportInvalid(String message, boolean commandLine) {
         System.err.println("barleyspur: " + message);
         if (commandLine) {
             System.err.println("barleyspur: see barleyspur " + name + " --help");
@@ -92,32 +102,38 @@
         return USAGE;
     }
 
-    private void help() throws IOException {
+    private void printHelp() throws IOException {
         HelpFormatter.builder()
                 .setShowSince(false)
                 .get()
                 .printHelp(
                         "barleyspur " + name + " [OPTIONS]" + (arguments.isEmpty() ? "" : " " + arguments),
-                        about,
+                        description,
                         options,
                         "",
                         false);
     }
 
-    /** A whole number from an option. */
-    static long number(CommandLine line, String option, long otherwise, long least, long most) throws Unusable {
+    /**
+     * Returns the integer value of an option.
+     *
+     * @param defaultValue the value if the option is missing
+     */
+    static long integer(CommandLine line, String option, long defaultValue, long min, long max)
+            throws InvalidInputException {
         String text = line.getOptionValue(option);
         if (text == null) {
-            return otherwise;
+            return defaultValue;
         }
         try {
             long number = Long.parseLong(text);
-            if (number >= least && number <= most) {
+            if (number >= min && number <= max) {
                 return number;
             }
         } catch (NumberFormatException e) {
-            // Said below, with the option.
+            // Reported below, with the name of the option.
         }
-        throw Unusable.line("--" + option + " is not a whole number from " + least + " to " + most + ": " + text);
+        throw InvalidInputException.commandLine(
+                "--" + option + " is not a whole number from " + min + " to " + max + ": " + text);
     }
 }
--- a/doorman/src/main/java/barleyspur/cli/ReloadSignal.java
+++ b/doorman/src/main/java/barleyspur/cli/ReloadSignal.java
@@ -1,38 +1,38 @@
 package barleyspur.cli;
 
 /**
- * The operators' signal to read the configuration anew. It is handled from the first moment of a start on, since unhandled it
- * ends the JVM; one that comes before there is a node is kept, and carried out once there is.
+ * Handles SIGHUP, which reloads the configuration. The handler has to be installed first of all, because an unhandled
+ * SIGHUP ends the JVM; a signal that arrives before the node exists is kept and runs once a task is set.
  */
 final class ReloadSignal {
 
     private static final String NAME = "HUP";
 
-    /** What a signal does; null while there is nothing to reload yet. */
-    private Runnable reload;
+    /** The task that a signal runs; null until there is a node to reload. */
+    private Runnable task;
 
     private boolean pending;
 
-    /** Handles the signal from now on; false where who started this process has it ignored, so that it never comes. */
+    /** Installs the handler; returns false if the parent process has set the signal to be ignored. */
     boolean install() {
-        return Signals.on(NAME, this::raise);
+        return Signals.handle(NAME, this::onSignal);
     }
 
-    /** The signal has come. */
-    synchronized void raise() {
-        if (reload == null) {
+    /** Called when the signal arrives. */
+    synchronized void onSignal() {
+        if (task == null) {
             pending = true;
         } else {
-            reload.run();
+            task.run();
         }
     }
 
-    /** From now on each signal runs this, at once where one has come before. */
-    synchronized void reloadBy(Runnable task) {
-        reload = task;
+    /** Sets the task that each signal runs, and runs it now if a signal has already arrived. */
+    synchronized void setTask(Runnable reload) {
+        task = reload;
         if (pending) {
             pending = false;
-            task.run();
+            reload.run();
         }
     }
 }
--- /dev/null
+++ b/doorman/src/main/java/barleyspur/front/thrift/ClientConnection.java
@@ -0,0 +1,477 @@
+package barleyspur.front.thrift;
+
+import barleyspur.doorman.CappedLog;
+import barleyspur.doorman.Clock;
+import barleyspur.doorman.Doorman;
+import barleyspur.doorman.Request;
+import barleyspur.doorman.RequestTrace;
+import barleyspur.lifecycle.Lifecycle;
+import barleyspur.log.LogEvent;
+import barleyspur.reload.RequestClassRegistry;
+import barleyspur.transport.LingeringClose;
+import io.netty.buffer.ByteBuf;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.SimpleChannelInboundHandler;
+import io.netty.handler.codec.DecoderException;
+import java.io.IOException;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.Iterator;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Supplier;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Handles one client connection and keeps its pending requests by sequence number.
+ *
+ * <p>The socket is read even while the client doesn't read its responses, because a close or a cancel must be noticed
+ * at once: no attempt may start for a client that is gone. Requests are processed only after the event loop has read
+ * all available input, so that a close or cancel that arrived together with a request is handled before it. A client
+ * that keeps sending requests without reading the responses is disconnected.
+ *
+ * <p>The server closes a connection through {@link LingeringClose}, unless the client is gone or doesn't read; then
+ * the channel is closed immediately.
+ */
+final class ClientConnection extends SimpleChannelInboundHandler<ByteBuf>
+        implements ResponseWriter.Listener, RequestReadTimeout.Listener {
+
+    /** Reasons for which a connection ends. */
+    private enum EndCause {
+        /** The client closed it, or shut down its sending side. */
+        CLIENT_CLOSED,
+        /** It was reset, or another I/O error occurred. */
+        BROKEN,
+        /** It had no pending request, and the lifecycle requires idle connections to be closed. */
+        IDLE,
+        /** It had no pending request and was closed in favour of a new connection. */
+        EVICTED,
+        /** Its input was invalid or incomplete, or the client did not read its responses. */
+        REJECTED,
+        /** The client reads nothing, so that no data has been written for too long. */
+        STUCK,
+        /** A response could not be written. */
+        ANSWER_LOST
+    }
+
+    private static final Logger LOG = LoggerFactory.getLogger("front");
+    private static final String DISPATCH = "dispatch";
+    /** How long the client has to read the last responses and close its side before the channel is closed. */
+    static final double LINGER_MS = 500;
+    /** Unwritten responses, as a multiple of the limit on pending requests, at which the client is disconnected. */
+    private static final int MAX_UNWRITTEN_FACTOR = 2;
+    /** Retry delay sent with requests that are refused during a drain or hand-off; the connection then closes. */
+    static final long DRAIN_RETRY_AFTER_MS = 50;
+    /** Number of invalid calls after which a connection without pending requests is closed. */
+    private static final int MAX_INVALID_CALLS = 8;
+
+    /** The state that all connections of one server share. */
+    record ServerContext(
+            Doorman doorman,
+            Clock clock,
+            Supplier<RequestClassRegistry> classes,
+            int maxPending,
+            ResponseBackpressure backpressure,
+            ConnectionRegistry<ClientConnection> registry,
+            CappedLog log,
+            Lifecycle lifecycle) {}
+
+    /** A request that has been read, and the earliest time at which it may have reached this machine. */
+    private record ReceivedDispatch(ThriftCall.Dispatch call, double arrivedMs) {}
+
+    private final ServerContext server;
+    private final Doorman doorman;
+    private final CappedLog log;
+    private final ThriftFrameDecoder decoder;
+    private final Map<Integer, PendingResponse> pending = new HashMap<>();
+    /** Requests read in this iteration of the event loop, in order; each holds a reference to its body. */
+    private final ArrayDeque<ReceivedDispatch> received = new ArrayDeque<>();
+
+    private Channel channel;
+    private LingeringClose lingeringClose;
+    private ResponseWriter responses;
+    private RequestReadTimeout readTimeout;
+    private boolean used;
+    private int invalidCalls;
+    private EndCause endCause = EndCause.CLIENT_CLOSED;
+
+    ClientConnection(ServerContext server, ThriftFrameDecoder decoder) {
+        this.server = server;
+        this.doorman = server.doorman();
+        this.log = server.log();
+        this.decoder = decoder;
+    }
+
+    @Override
+    public void channelActive(ChannelHandlerContext ctx) {
+        channel = ctx.channel();
+        lingeringClose = new LingeringClose(channel, server.clock());
+        responses = new ResponseWriter(
+                channel,
+                server.clock(),
+                server.backpressure(),
+                log,
+                () -> server.classes().get().longestDeadlineMs(),
+                this);
+        readTimeout = new RequestReadTimeout(
+                server.clock(), decoder, () -> server.classes().get().longestDeadlineMs(), pending::isEmpty, this);
+        server.registry().addNew(this, server.clock().nowMs());
+        readTimeout.startFirstRequestTimer();
+    }
+
+    @Override
+    protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) throws ThriftCall.MalformedCallException {
+        if (lingeringClose.begun()) {
+            return;
+        }
+        ThriftCall call = ThriftCall.parse(frame);
+        if (call instanceof ThriftCall.Dispatch dispatch) {
+            dispatch.body().retain();
+            received.add(new ReceivedDispatch(dispatch, server.clock().pendingSinceMs()));
+        } else if (call instanceof ThriftCall.CancelRequest cancel) {
+            cancel(cancel.cancelled());
+        } else if (call instanceof ThriftCall.Alive alive) {
+            markUsed();
+            responses.writeAlive(alive.seqid(), server.lifecycle().ready());
+        } else if (call instanceof ThriftCall.UnknownMethod unknown) {
+            log.warn("unknown method", "client", channel.remoteAddress(), "method", unknown.method());
+            rejectCall(unknown.method(), unknown.seqid(), ThriftProtocol.UNKNOWN_METHOD, "unknown method");
+        }
+    }
+
+    /** Drops a request without a response, whether it is already pending or has only been read so far. */
+    private void cancel(int seqid) {
+        for (Iterator<ReceivedDispatch> iterator = received.iterator(); iterator.hasNext(); ) {
+            ThriftCall.Dispatch call = iterator.next().call();
+            if (call.seqid() == seqid) {
+                iterator.remove();
+                call.body().release();
+                markUsed();
+            }
+        }
+        PendingResponse cancelled = pending.remove(seqid);
+        if (cancelled != null) {
+            cancelled.cancel("cancelled");
+            markIdleIfNothingPending();
+        }
+    }
+
+    /** Processes the requests after everything else that this iteration reads: by then a close has been noticed. */
+    @Override
+    public void channelReadComplete(ChannelHandlerContext ctx) {
+        channel.eventLoop().execute(this::processReceived);
+        ctx.fireChannelReadComplete();
+    }
+
+    private void processReceived() {
+        for (ReceivedDispatch next = received.poll(); next != null; next = received.poll()) {
+            ThriftCall.Dispatch call = next.call();
+            try {
+                if (!lingeringClose.begun() && channel.isActive()) {
+                    dispatch(call, next.arrivedMs());
+                }
+            } catch (ThriftCall.MalformedCallException e) {
+                closeMalformed(e);
+            } finally {
+                call.body().release();
+            }
+        }
+        if (lingeringClose.begun()) {
+            lingeringClose.discarded(decoder.discardedBytes());
+        } else if (responses.unwritten() >= MAX_UNWRITTEN_FACTOR * server.maxPending()) {
+            log.warn("connection closed: it asks for more and reads no answers", "client", channel.remoteAddress());
+            closeWithError(ThriftProtocol.PROTOCOL_ERROR, "answers are not read");
+        } else {
+            updateReadTimeout();
+        }
+    }
+
+    /** Updates the read time-out and the eviction order after input that may have ended within a request. */
+    private void updateReadTimeout() {
+        boolean wasReceiving = readTimeout.receiving();
+        readTimeout.update(channel.isActive(), used);
+        if (!pending.isEmpty()) {
+            return;
+        }
+        if (readTimeout.receiving()) {
+            server.registry().markReceiving(this);
+        } else if (wasReceiving && used) {
+            server.registry().markIdle(this, server.clock().nowMs());
+        } else if (wasReceiving) {
+            server.registry().addNew(this, server.clock().nowMs());
+            readTimeout.startFirstRequestTimer();
+        }
+    }
+
+    @Override
+    public void firstRequestTimedOut() {
+        if (!used) {
+            log.warn(
+                    "connection closed: no request came",
+                    "client",
+                    channel.remoteAddress(),
+                    "ms",
+                    RequestReadTimeout.INACTIVITY_TIMEOUT_MS);
+            closeWithError(ThriftProtocol.PROTOCOL_ERROR, "no request came");
+        }
+    }
+
+    @Override
+    public void partialRequestTimedOut() {
+        log.warn("connection closed: half a request", "client", channel.remoteAddress());
+        closeWithError(ThriftProtocol.PROTOCOL_ERROR, "half a request came");
+    }
+
+    private void markUsed() {
+        used = true;
+        markIdleIfNothingPending();
+    }
+
+    private void markIdleIfNothingPending() {
+        if (pending.isEmpty() && !lingeringClose.begun() && used) {
+            if (decoder.hasPartialFrame()) {
+                server.registry().markReceiving(this);
+            } else {
+                server.registry().markIdle(this, server.clock().nowMs());
+            }
+            scheduleCloseIfIdle();
+        }
+    }
+
+    /** Checks after all input of this iteration, and after the response that made the connection idle. */
+    private void scheduleCloseIfIdle() {
+        if (server.lifecycle().closeWhenIdle()) {
+            channel.eventLoop().execute(this::closeIfIdle);
+        }
+    }
+
+    /**
+     * Closes the connection if the lifecycle requires idle connections to be closed and this one has no pending
+     * request, no unwritten response and no partly received frame. A connection that has never been used is left to the
+     * read time-out, because its first request may be under way, until the lifecycle expects no further requests.
+     */
+    void closeIfIdle() {
+        boolean idle =
+                pending.isEmpty() && received.isEmpty() && responses.unwritten() == 0 && !decoder.hasPartialFrame();
+        if (idle
+                && server.lifecycle().closeWhenIdle()
+                && (used || server.lifecycle().closeStrangers())) {
+            close(EndCause.IDLE);
+        }
+    }
+
+    /** Starts to close the connection; further input is discarded. */
+    private void close(EndCause cause) {
+        if (!lingeringClose.begun() && channel.isActive()) {
+            endCause = cause;
+            server.registry().markClosing(this);
+            readTimeout.stop();
+            decoder.startDiscarding();
+            lingeringClose.begin(LINGER_MS);
+        }
+    }
+
+    /** Responds to an invalid call. Closes the connection after several, so that endless ones can't load the loop. */
+    private void rejectCall(String method, int seqid, int kind, String message) {
+        responses.writeException(method, seqid, kind, message);
+        if (++invalidCalls >= MAX_INVALID_CALLS && pending.isEmpty()) {
+            closeWithError(kind, message);
+        }
+    }
+
+    /**
+     * Fails all pending requests, sends an application exception and starts to close. The close lingers so that the
+     * client can read the responses: closing a socket with unread input resets the connection, which discards data that
+     * the client hasn't read yet.
+     */
+    private void closeWithError(int kind, String message) {
+        if (lingeringClose.begun()) {
+            return;
+        }
+        List<PendingResponse> unfinished = new ArrayList<>(pending.values());
+        pending.clear();
+        unfinished.forEach(response -> {
+            response.cancel("connection rejected");
+            response.writeFailure();
+        });
+        for (ReceivedDispatch next = received.poll(); next != null; next = received.poll()) {
+            ThriftCall.Dispatch call = next.call();
+            responses.writeFailed(call.seqid(), call.fields().getOrDefault("i", ""));
+            call.body().release();
+        }
+        responses.writeException("", 0, kind, message);
+        close(EndCause.REJECTED);
+    }
+
+    private void dispatch(ThriftCall.Dispatch call, double arrivedMs) throws ThriftCall.MalformedCallException {
+        if (pending.containsKey(call.seqid())) {
+            throw new ThriftCall.MalformedCallException("sequence number " + call.seqid() + " is in use");
+        }
+        Request request;
+        try {
+            request = toRequest(call);
+        } catch (IllegalArgumentException e) {
+            log.warn("bad request", "client", channel.remoteAddress(), "cause", e.getMessage());
+            rejectCall(DISPATCH, call.seqid(), ThriftProtocol.PROTOCOL_ERROR, e.getMessage());
+            return;
+        }
+        used = true;
+        if (!server.lifecycle().takes(server.clock().nowMs(), request.remainingMs())) {
+            // The connection can be closed only when no request is pending; the client retries at another doorman.
+            responses.writeRefused(call.seqid(), request.id(), Map.of("w", Long.toString(DRAIN_RETRY_AFTER_MS)));
+            markIdleIfNothingPending();
+        } else if (hasTooManyPending()) {
+            responses.writeRefused(call.seqid(), request.id(), Map.of());
+            markIdleIfNothingPending();
+        } else {
+            accept(call, request, arrivedMs);
+        }
+    }
+
+    /** Returns the request of a call; throws IllegalArgumentException if its fields are invalid. */
+    private Request toRequest(ThriftCall.Dispatch call) {
+        Request request =
+                RequestFields.parse(call.fields(), call.body(), server.classes().get());
+        if (doorman.hasTaken(request.id())) {
+            // A depot can't tell two requests with the same id apart.
+            throw new IllegalArgumentException("field i is the id of an earlier request");
+        }
+        return request;
+    }
+
+    /**
+     * Whether the client has reached the limit on pending requests, or all clients together have too many unread
+     * responses. Unwritten responses count as pending, because the client still waits for them; a client that respects
+     * its limit never exceeds it by this count.
+     */
+    private boolean hasTooManyPending() {
+        boolean overLimit = server.backpressure().isOverLimit();
+        if (pending.size() + responses.unwritten() < server.maxPending() && !overLimit) {
+            return false;
+        }
+        log.warn(
+                "refused: too many requests are open here",
+                "client",
+                channel.remoteAddress(),
+                "open",
+                pending.size(),
+                "unread",
+                overLimit);
+        return true;
+    }
+
+    private void accept(ThriftCall.Dispatch call, Request request, double arrivedMs) {
+        int seqid = call.seqid();
+        PendingResponse response = new PendingResponse(seqid, request.id(), responses, () -> {
+            pending.remove(seqid);
+            markIdleIfNothingPending();
+        });
+        pending.put(seqid, response);
+        server.registry().markBusy(this);
+        // The body is a slice of the frame and is needed until the request ends, longer than the frame itself.
+        call.body().retain();
+        response.setRequest(doorman.take(request, arrivedMs, response));
+    }
+
+    @Override
+    public void allWritten() {
+        if (pending.isEmpty()) {
+            scheduleCloseIfIdle();
+        }
+    }
+
+    @Override
+    public void stalled() {
+        log.warn("connection closed: it does not read its answers", "client", channel.remoteAddress());
+        closeImmediately(EndCause.STUCK);
+    }
+
+    @Override
+    public void writeFailed(Throwable cause) {
+        log.warn(
+                "connection closed: a response could not be written",
+                "client",
+                channel.remoteAddress(),
+                "cause",
+                cause);
+        closeImmediately(EndCause.ANSWER_LOST);
+    }
+
+    /** Closes the channel immediately: no response could reach the client any more. */
+    private void closeImmediately(EndCause cause) {
+        endCause = cause;
+        channel.close();
+    }
+
+    /** Closes the connection in favour of a new one, unless a request has just been read on it. */
+    void evict() {
+        channel.eventLoop().execute(() -> {
+            if (pending.isEmpty() && received.isEmpty()) {
+                close(EndCause.EVICTED);
+            } else if (pending.isEmpty()) {
+                // The request may prove to be invalid, so the connection has to stay a candidate for eviction.
+                server.registry().markIdle(this, server.clock().nowMs());
+            }
+        });
+    }
+
+    /** Closes the channel if it is lingering, because its file descriptor is needed. */
+    void closeWithoutLinger() {
+        channel.eventLoop().execute(() -> {
+            if (lingeringClose.begun()) {
+                channel.close();
+            }
+        });
+    }
+
+    /**
+     * Starts or stops the time-out for a client that doesn't read. Reading from the client goes on meanwhile, to notice
+     * a close.
+     */
+    @Override
+    public void channelWritabilityChanged(ChannelHandlerContext ctx) {
+        responses.writabilityChanged(!channel.isWritable() && channel.isActive() && !lingeringClose.begun());
+    }
+
+    @Override
+    public void channelInactive(ChannelHandlerContext ctx) {
+        lingeringClose.closed();
+        server.registry().remove(this);
+        readTimeout.stop();
+        responses.stopStallTimer();
+        RequestTrace.connectionEnded(
+                channel.remoteAddress(), endCause, pending.size() + received.size(), responses.unwritten());
+        received.forEach(next -> next.call().body().release());
+        received.clear();
+        List<PendingResponse> unfinished = new ArrayList<>(pending.values());
+        pending.clear();
+        unfinished.forEach(response -> response.cancel("connection ended"));
+    }
+
+    private void closeMalformed(Exception cause) {
+        log.warn("connection closed", "client", channel.remoteAddress(), "cause", cause.getMessage());
+        closeWithError(ThriftProtocol.PROTOCOL_ERROR, "not the strict binary protocol");
+    }
+
+    @Override
+    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+        if (cause instanceof IOException) {
+            LogEvent.log(
+                    LOG.atDebug(),
+                    "connection lost",
+                    "client",
+                    ctx.channel().remoteAddress(),
+                    "cause",
+                    cause.getMessage());
+            closeImmediately(EndCause.BROKEN);
+        } else if (cause instanceof ThriftCall.MalformedCallException || cause instanceof DecoderException) {
+            closeMalformed((Exception) cause);
+        } else {
+            log.warn("connection closed", "client", ctx.channel().remoteAddress(), "cause", cause);
+            closeImmediately(EndCause.BROKEN);
+        }
+    }
+}
--- a/doorman/src/main/java/barleyspur/front/thrift/PendingResponse.java
+++ b/doorman/src/main/java/barleyspur/front/thrift/PendingResponse.java
@@ -7,63 +7,63 @@
 import io.netty.buffer.Unpooled;
 import java.util.Map;
 
-/** One open request of a client connection: writes its final answer, once the connection has let it go. */
+/** The pending response of one request: writes it after removing the request from its connection's pending ones. */
 final class PendingResponse implements ResponseHandler {
 
     private final int seqid;
     private final String requestId;
     private final ResponseWriter responses;
-    /** Takes it from the open requests of its connection. */
-    private final Runnable letGo;
+    /** Removes this response from the pending ones of its connection. */
+    private final Runnable removeFromPending;
 
     private Doorman.Cancellable request;
 
-    PendingResponse(int seqid, String requestId, ResponseWriter responses, Runnable letGo) {
+    PendingResponse(int seqid, String requestId, ResponseWriter responses, Runnable removeFromPending) {
         this.seqid = seqid;
         this.requestId = requestId;
         this.responses = responses;
-        this.letGo = letGo;
+        this.removeFromPending = removeFromPending;
     }
 
-    /** The core has taken the request. */
-    void taken(Doorman.Cancellable taken) {
-        request = taken;
+    /** Sets the handle by which the accepted request can be cancelled. */
+    void setRequest(Doorman.Cancellable accepted) {
+        request = accepted;
     }
 
-    /** The client has left, or is made to: the core owes no answer any more. */
-    void cancel(String why) {
-        RequestTrace.left(requestId, why);
+    /** Cancels the request, because the client has disconnected, is being disconnected, or has cancelled it. */
+    void cancel(String reason) {
+        RequestTrace.left(requestId, reason);
         request.cancel();
     }
 
-    /** Writes that the request has failed, without the core. */
-    void writeFailed() {
-        responses.failed(seqid, requestId);
+    /** Writes a failure without waiting for the doorman's own result. */
+    void writeFailure() {
+        responses.writeFailed(seqid, requestId);
     }
 
     @Override
     public void served(ByteBuf body, String tag) {
-        letGo.run();
-        responses.served(seqid, requestId, body, tag == null ? Map.of() : Map.of("etag", tag));
+        removeFromPending.run();
+        responses.writeServed(seqid, requestId, body, tag == null ? Map.of() : Map.of("etag", tag));
     }
 
     @Override
     public void unchanged(String tag) {
-        letGo.run();
+        removeFromPending.run();
         Map<String, String> fields = tag == null ? Map.of("notmod", "1") : Map.of("notmod", "1", "etag", tag);
-        responses.served(seqid, requestId, Unpooled.EMPTY_BUFFER, fields);
+        responses.writeServed(seqid, requestId, Unpooled.EMPTY_BUFFER, fields);
     }
 
     @Override
     public void refused(double pauseMs) {
-        letGo.run();
-        Map<String, String> advice = pauseMs > 0 ? Map.of("w", Long.toString(Math.round(pauseMs))) : Map.of();
-        responses.refused(seqid, requestId, advice);
+        removeFromPending.run();
+        Map<String, String> retryFields = pauseMs > 0 ? Map.of("w", Long.toString(Math.round(pauseMs))) : Map.of();
+        responses.writeRefused(seqid, requestId, retryFields);
     }
 
     @Override
     public void failed() {
-        letGo.run();
-        writeFailed();
+        removeFromPending.run();
+        writeFailure();
     }
 }
--- a/doorman/src/main/java/barleyspur/front/thrift/RequestFields.java
+++ b/doorman/src/main/java/barleyspur/front/thrift/RequestFields.java
@@ -6,21 +6,24 @@
 import java.util.Map;
 import java.util.regex.Pattern;
 
-/** Reads a request's fields; what a client must not send is named in the exception's message. */
+/**
+ * Parses and validates the fields of a request. The exception message names the invalid field and is sent to the
+ * client.
+ */
 final class RequestFields {
 
     private static final int HEX = 16;
-    /** Only these digits: the number parsers also take signs and other scripts' digits, which depots may not. */
+    /** ASCII digits only: Java's number parsers also accept signs and other scripts' digits, depots might not. */
     private static final Pattern ID = Pattern.compile("[0-9a-fA-F]{16}");
 
-    private static final Pattern WHOLE = Pattern.compile("[0-9]{1,9}");
-    /** Goes on into a depot's list of fields, so it must not be able to end its field and begin another. */
-    private static final Pattern BARE = Pattern.compile("[!-~&&[^,=\"]]{1,256}");
+    private static final Pattern INTEGER = Pattern.compile("[0-9]{1,9}");
+    /** Values that are copied into a depot's field list; they must not contain its separators. */
+    private static final Pattern TOKEN = Pattern.compile("[!-~&&[^,=\"]]{1,256}");
 
-    private static final int MOST_PART = 1 << 20;
-    private static final int MOST_GROUP = 255;
-    /** Far above any object's: one figure out of all measure would spoil what is learned from sizes. */
-    private static final double MOST_KB = 1 << 20;
+    private static final int MAX_PART = 1 << 20;
+    private static final int MAX_GROUP = 255;
+    /** Far above the size of any object: a single extreme value would distort the statistics on sizes. */
+    private static final double MAX_SIZE_KB = 1 << 20;
 
     private final Map<String, String> fields;
 
@@ -28,48 +31,48 @@
         this.fields = fields;
     }
 
-    /** The request; its body is still the frame's. */
-    static Request read(Map<String, String> fields, ByteBuf body, RequestClassRegistry classes) {
-        return new RequestFields(fields).request(body, classes);
+    /** Returns the request; its body still belongs to the frame. */
+    static Request parse(Map<String, String> fields, ByteBuf body, RequestClassRegistry classes) {
+        return new RequestFields(fields).toRequest(body, classes);
     }
 
-    private Request request(ByteBuf body, RequestClassRegistry classes) {
-        String className = word("c");
+    private Request toRequest(ByteBuf body, RequestClassRegistry classes) {
+        String className = required("c");
         int category = classes.number(className);
         if (category < 0) {
             throw new IllegalArgumentException("field c: unknown class");
         }
-        String id = word("i");
+        String id = required("i");
         hex("i", id);
-        String key = word("o");
+        String key = required("o");
         String size = fields.get("m");
-        int mostMs = (int) Math.ceil(classes.classes().get(category).deadlineMs());
+        int maxMs = (int) Math.ceil(classes.classes().get(category).deadlineMs());
         return new Request(
                 id,
                 category,
                 className,
                 key,
                 hex("o", key),
-                word("seg"),
-                whole("seg", MOST_PART),
-                whole("bucket", MOST_GROUP),
-                whole("d", mostMs),
-                size == null ? 0 : decimal("m", size),
-                bare("etag"),
-                bare("k"),
+                required("seg"),
+                integer("seg", MAX_PART),
+                integer("bucket", MAX_GROUP),
+                integer("d", maxMs),
+                size == null ? 0 : sizeKb("m", size),
+                optionalToken("etag"),
+                optionalToken("k"),
                 body);
     }
 
-    /** A word that may be missing; null then. */
-    private String bare(String name) {
+    /** Returns the value of an optional field, or null if it is missing. */
+    private String optionalToken(String name) {
         String value = fields.get(name);
-        if (value != null && !BARE.matcher(value).matches()) {
+        if (value != null && !TOKEN.matcher(value).matches()) {
             throw new IllegalArgumentException("field " + name + " is not a bare word");
         }
         return value;
     }
 
-    private String word(String name) {
+    private String required(String name) {
         String value = fields.get(name);
         if (value == null) {
             throw new IllegalArgumentException("field " + name + " is missing");
@@ -84,22 +87,22 @@
         return Long.parseUnsignedLong(value, HEX);
     }
 
-    private int whole(String name, int most) {
-        String value = word(name);
-        if (!WHOLE.matcher(value).matches() || Integer.parseInt(value) > most) {
-            throw new IllegalArgumentException("field " + name + " is not a whole number up to " + most);
+    private int integer(String name, int max) {
+        String value = required(name);
+        if (!INTEGER.matcher(value).matches() || Integer.parseInt(value) > max) {
+            throw new IllegalArgumentException("field " + name + " is not a whole number up to " + max);
         }
         return Integer.parseInt(value);
     }
 
-    private static double decimal(String name, String value) {
+    private static double sizeKb(String name, String value) {
         try {
             double number = Double.parseDouble(value);
-            if (number >= 0 && number <= MOST_KB) {
+            if (number >= 0 && number <= MAX_SIZE_KB) {
                 return number;
             }
         } catch (NumberFormatException e) {
-            // Said below.
+            // Reported below.
         }
         throw new IllegalArgumentException("field " + name + " is not a size");
     }
--- a/doorman/src/main/java/barleyspur/front/thrift/ResponseWriter.java
+++ b/doorman/src/main/java/barleyspur/front/thrift/ResponseWriter.java
@@ -10,147 +10,149 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Writes the messages of one client connection, each whole or not at all, and counts those that are not out yet. A
- * client to which nothing goes out for as long as any waits for an answer is reported to the {@link Listener}: what is
- * still unread then was for nobody.
+ * Writes the messages of one client connection, each completely or not at all, and counts those that haven't been
+ * written to the socket yet. If no data can be written for as long as any client waits for a response, the
+ * {@link Listener} is notified: by then every response that is still unwritten has missed its deadline.
  */
 final class ResponseWriter {
 
     private static final String DISPATCH = "dispatch";
     private static final String ALIVE = "alive";
 
-    /** The connection whose messages are written. */
+    /** Receives the results of writing; implemented by the connection. */
     interface Listener {
-        /** The last message that waited is out. */
+        /** Called when the last unwritten message has been written. */
         void allWritten();
 
-        /** Nothing has gone out for too long. */
-        void stuck();
+        /** Called when nothing could be written for too long. */
+        void stalled();
 
-        /** An answer could not be written, so its client has none: the connection can't go on. */
-        void lost(Throwable cause);
+        /** Called when a write has failed: the client misses a response, so the connection can't be kept. */
+        void writeFailed(Throwable cause);
     }
 
     private final Channel channel;
     private final Clock clock;
-    private final UnreadAnswers unread;
+    private final ResponseBackpressure backpressure;
     private final CappedLog log;
     private final DoubleSupplier longestWaitMs;
     private final Listener listener;
-    private Clock.Timer stuckTimer;
-    /** Since when nothing that was written has gone out, where something waits. */
-    private double stuckSince;
-    /** Messages written and not yet out. */
+    private Clock.Timer stallTimer;
+    /** When the last message was written to the socket, or when the socket stopped being writable. */
+    private double stalledSinceMs;
+    /** Number of messages that are queued and not yet written to the socket. */
     private int unwritten;
 
-    /** {@code longestWaitMs}: how long a client waits for an answer at most. */
+    /** Creates a writer; {@code longestWaitMs} supplies the longest time that any client waits for a response. */
     ResponseWriter(
             Channel channel,
             Clock clock,
-            UnreadAnswers unread,
+            ResponseBackpressure backpressure,
             CappedLog log,
             DoubleSupplier longestWaitMs,
             Listener listener) {
         this.channel = channel;
         this.clock = clock;
-        this.unread = unread;
+        this.backpressure = backpressure;
         this.log = log;
         this.longestWaitMs = longestWaitMs;
         this.listener = listener;
     }
 
-    /** How many messages are written and not yet out. */
+    /** Returns the number of messages that are queued and not yet written to the socket. */
     int unwritten() {
         return unwritten;
     }
 
-    /** Answers a request with {@code body}, which is released once it is out. */
-    void served(int seqid, String requestId, ByteBuf body, Map<String, String> fields) {
+    /** Writes a successful response with {@code body}, which is released once it has been written. */
+    void writeServed(int seqid, String requestId, ByteBuf body, Map<String, String> fields) {
         int bodyBytes = body.readableBytes();
         ByteBuf message;
         try {
-            message = answer(DISPATCH, seqid, body, fields, true);
+            message = encodeResponse(DISPATCH, seqid, body, fields, true);
         } catch (RuntimeException e) {
-            log.warn("an answer could not be written", "client", channel.remoteAddress(), "cause", e);
-            failed(seqid, requestId);
+            log.warn("a response could not be encoded", "client", channel.remoteAddress(), "cause", e);
+            writeFailed(seqid, requestId);
             return;
         }
         write(message, bodyBytes, requestId, "served");
     }
 
-    /** Refuses a request. */
-    void refused(int seqid, String requestId, Map<String, String> advice) {
-        write(Thrift.busy(channel.alloc(), DISPATCH, seqid, advice), 0, requestId, "refused");
+    /** Writes a refusal with fields for the client, such as a retry delay. */
+    void writeRefused(int seqid, String requestId, Map<String, String> fields) {
+        write(ThriftProtocol.encodeBusy(channel.alloc(), DISPATCH, seqid, fields), 0, requestId, "refused");
     }
 
-    /** Fails a request. */
-    void failed(int seqid, String requestId) {
-        write(Thrift.failed(channel.alloc(), DISPATCH, seqid), 0, requestId, "failed");
+    /** Writes that a request has failed. */
+    void writeFailed(int seqid, String requestId) {
+        write(ThriftProtocol.encodeFailed(channel.alloc(), DISPATCH, seqid), 0, requestId, "failed");
     }
 
-    /** Says whether this process takes work. */
-    void alive(int seqid, boolean ready) {
-        write(answer(ALIVE, seqid, Unpooled.EMPTY_BUFFER, Map.of(), ready), 0, "", ALIVE);
+    /** Responds to {@code alive} with whether this process accepts requests. */
+    void writeAlive(int seqid, boolean ready) {
+        write(encodeResponse(ALIVE, seqid, Unpooled.EMPTY_BUFFER, Map.of(), ready), 0, "", ALIVE);
     }
 
-    /** Answers a call with an application exception. */
-    void exception(String method, int seqid, int kind, String message) {
-        write(Thrift.exception(channel.alloc(), method, seqid, kind, message), 0, "", "exception");
+    /** Writes an application exception in response to a call. */
+    void writeException(String method, int seqid, int kind, String message) {
+        write(ThriftProtocol.encodeException(channel.alloc(), method, seqid, kind, message), 0, "", "exception");
     }
 
-    /** The body is not copied. One message, so that no part of it can fail while the others go out. */
-    private ByteBuf answer(String method, int seqid, ByteBuf body, Map<String, String> fields, boolean good) {
-        ByteBuf tail = Thrift.answerTail(channel.alloc(), fields, good);
-        ByteBuf head = Thrift.answerHead(channel.alloc(), method, seqid, body.readableBytes(), tail.readableBytes());
+    /** Encodes a response without copying its body, as a single message: parts could fail to be written separately. */
+    private ByteBuf encodeResponse(
+            String method, int seqid, ByteBuf body, Map<String, String> fields, boolean success) {
+        ByteBuf tail = ThriftProtocol.encodeResponseEnd(channel.alloc(), fields, success);
+        ByteBuf head = ThriftProtocol.encodeResponseStart(
+                channel.alloc(), method, seqid, body.readableBytes(), tail.readableBytes());
         return Unpooled.wrappedBuffer(head, body, tail);
     }
 
-    private void write(ByteBuf message, int bodyBytes, String requestId, String how) {
+    private void write(ByteBuf message, int bodyBytes, String requestId, String outcome) {
         int bytes = message.readableBytes();
-        unread.add(bodyBytes);
+        backpressure.add(bodyBytes);
         unwritten++;
-        channel.writeAndFlush(message).addListener(out -> {
-            unread.add(-bodyBytes);
-            RequestTrace.written(requestId, how, bytes, out.cause());
-            written(out.cause());
+        channel.writeAndFlush(message).addListener(future -> {
+            backpressure.add(-bodyBytes);
+            RequestTrace.written(requestId, outcome, bytes, future.cause());
+            written(future.cause());
         });
     }
 
     private void written(Throwable failure) {
-        stuckSince = clock.nowMs();
+        stalledSinceMs = clock.nowMs();
         unwritten--;
         if (failure != null && channel.isActive()) {
-            listener.lost(failure);
+            listener.writeFailed(failure);
         } else if (unwritten == 0) {
             listener.allWritten();
         }
     }
 
-    /** The socket takes no more for now, or takes more again: a client to which nothing goes out is watched. */
+    /** Starts the stall time-out if {@code watch}, else stops it; called when the socket's writability changes. */
     void writabilityChanged(boolean watch) {
-        stop();
+        stopStallTimer();
         if (watch) {
-            stuckSince = clock.nowMs();
-            watchStuck(longestWaitMs.getAsDouble());
+            stalledSinceMs = clock.nowMs();
+            startStallTimer(longestWaitMs.getAsDouble());
         }
     }
 
-    private void watchStuck(double ms) {
-        stuckTimer = clock.after(ms, () -> {
-            double left = stuckSince + longestWaitMs.getAsDouble() - clock.nowMs();
-            if (left > 0) {
-                watchStuck(left);
+    private void startStallTimer(double delayMs) {
+        stallTimer = clock.after(delayMs, () -> {
+            double remainingMs = stalledSinceMs + longestWaitMs.getAsDouble() - clock.nowMs();
+            if (remainingMs > 0) {
+                startStallTimer(remainingMs);
             } else {
-                listener.stuck();
+                listener.stalled();
             }
         });
     }
 
-    /** Watches no longer. */
-    void stop() {
-        if (stuckTimer != null) {
-            stuckTimer.cancel();
-            stuckTimer = null;
+    /** Stops the stall time-out. */
+    void stopStallTimer() {
+        if (stallTimer != null) {
+            stallTimer.cancel();
+            stallTimer = null;
         }
     }
 }
--- a/doorman/src/main/java/barleyspur/front/thrift/ThriftFrameDecoder.java
+++ b/doorman/src/main/java/barleyspur/front/thrift/ThriftFrameDecoder.java
@@ -6,15 +6,15 @@
 import io.netty.handler.codec.CorruptedFrameException;
 import java.util.List;
 
-/** Cuts a stream into Thrift frames, each a slice of what was read. */
+/** Splits a stream into Thrift frames, each a slice of the input buffer. */
 final class ThriftFrameDecoder extends ByteToMessageDecoder {
 
     private static final int LENGTH_BYTES = 4;
 
     private final int maxFrame;
-    private long frames;
+    private long frameCount;
     private boolean discarding;
-    private long discarded;
+    private long discardedBytes;
 
     ThriftFrameDecoder(int maxFrame) {
         this.maxFrame = maxFrame;
@@ -23,7 +23,7 @@
     @Override
     protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) {
         if (discarding) {
-            discarded += in.readableBytes();
+            discardedBytes += in.readableBytes();
             in.skipBytes(in.readableBytes());
             return;
         }
@@ -32,34 +32,34 @@
         }
         int length = in.getInt(in.readerIndex());
         if (length <= 0 || length > maxFrame) {
-            // Else what is left would be read, and complained of, once more when the connection ends.
+            // Otherwise the decoder would run on the rest again, and fail again, when the connection ends.
             in.skipBytes(in.readableBytes());
-            throw new CorruptedFrameException("a frame of " + (length & 0xFFFFFFFFL) + " bytes");
+            throw new CorruptedFrameException("invalid frame length " + (length & 0xFFFFFFFFL));
         }
         if (in.readableBytes() >= LENGTH_BYTES + length) {
             in.skipBytes(LENGTH_BYTES);
             out.add(in.readRetainedSlice(length));
-            frames++;
+            frameCount++;
         }
     }
 
-    /** From here on all that comes is thrown away. */
-    void discard() {
+    /** Discards all input from now on. */
+    void startDiscarding() {
         discarding = true;
     }
 
-    /** How many bytes were thrown away. */
-    long discarded() {
-        return discarded;
+    /** Returns the number of bytes that were discarded. */
+    long discardedBytes() {
+        return discardedBytes;
     }
 
-    /** How many whole frames have come. */
-    long frames() {
-        return frames;
+    /** Returns the number of complete frames that were received. */
+    long frameCount() {
+        return frameCount;
     }
 
-    /** Whether a frame has begun that is not whole. */
-    boolean midFrame() {
+    /** Whether part of a frame has been received. */
+    boolean hasPartialFrame() {
         return actualReadableBytes() > 0;
     }
 }
--- a/doorman/src/test/java/barleyspur/arch/LayersTest.java
+++ b/doorman/src/test/java/barleyspur/arch/LayersTest.java
@@ -8,16 +8,19 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
 
-/** The layers that docs and README name: what decides has no I/O, the core knows no protocol, nobody knows the top. */
+/**
+ * Checks the dependencies between the layers that the documentation defines: decision code has no I/O, the core doesn't
+ * depend on protocols, and nothing depends on the commands.
+ */
 class LayersTest {
 
-    private static final JavaClasses ALL = new ClassFileImporter()
+    private static final JavaClasses PRODUCTION_CLASSES = new ClassFileImporter()
             .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
             .importPackages("barleyspur");
 
-    /** Guards: decisions and the checker have no I/O, clock or random source of the system's. */
+    /** Decision code and the checker use no I/O and neither the system clock nor a system random source. */
     @Test
-    void whatDecidesIsPure() {
+    void decisionCodeIsPure() {
         noClasses()
                 .that()
                 .resideInAnyPackage(
@@ -47,24 +50,24 @@
                 .callMethod(System.class, "currentTimeMillis")
                 .orShould()
                 .callMethod(Math.class, "random")
-                .check(ALL);
+                .check(PRODUCTION_CLASSES);
     }
 
-    /** Guards: the decision module stands alone. */
+    /** The decision module depends only on the JDK. */
     @Test
-    void decisionsKnowNobody() {
+    void decisionModuleDependsOnlyOnTheJdk() {
         classes()
                 .that()
                 .resideInAPackage("barleyspur.decision")
                 .should()
                 .onlyDependOnClassesThat()
                 .resideInAnyPackage("barleyspur.decision", "java..")
-                .check(ALL);
+                .check(PRODUCTION_CLASSES);
     }
 
-    /** Guards: the core knows neither fronts nor depots' protocol, so that a second front goes through the same. */
+    /** The core depends on no client or depot protocol, so that a second client protocol can use the same core. */
     @Test
-    void theCoreKnowsNoProtocol() {
+    void coreDependsOnNoProtocol() {
         noClasses()
                 .that()
                 .resideInAPackage("barleyspur.doorman")
@@ -78,24 +81,24 @@
                         "barleyspur.expect..",
                         "barleyspur.cli..",
                         "io.netty.handler..")
-                .check(ALL);
+                .check(PRODUCTION_CLASSES);
     }
 
-    /** Guards: the checker knows neither configuration files nor commands. */
+    /** The checker depends neither on configuration files nor on commands. */
     @Test
-    void theCheckerKnowsNoFiles() {
+    void checkerDependsOnNoFiles() {
         noClasses()
                 .that()
                 .resideInAPackage("barleyspur.expect")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage("barleyspur.config..", "barleyspur.cli..", "barleyspur.doorman..", "barleyspur")
-                .check(ALL);
+                .check(PRODUCTION_CLASSES);
     }
 
-    /** Guards: what serves has none of the checker: it is reached from the commands and from a gate that is set. */
+    /** Serving code doesn't depend on the checker, which only commands and an enabled expectation check use. */
     @Test
-    void serveIsFreeOfTheChecker() {
+    void servingCodeDoesNotDependOnTheChecker() {
         noClasses()
                 .that()
                 .resideInAnyPackage(
@@ -108,7 +111,7 @@
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage("barleyspur.expect..", "com.bertramlabs..")
-                .check(ALL);
+                .check(PRODUCTION_CLASSES);
         noClasses()
                 .that()
                 .haveSimpleName("Configuration")
@@ -117,31 +120,31 @@
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage("barleyspur.expect..", "com.bertramlabs..")
-                .check(ALL);
+                .check(PRODUCTION_CLASSES);
     }
 
-    /** Guards: nobody depends on the commands. */
+    /** No other package depends on the commands. */
     @Test
-    void commandsAreTheTop() {
+    void nothingDependsOnTheCommands() {
         noClasses()
                 .that()
                 .resideOutsideOfPackage("barleyspur.cli")
                 .should()
                 .dependOnClassesThat()
                 .resideInAPackage("barleyspur.cli")
-                .check(ALL);
+                .check(PRODUCTION_CLASSES);
     }
 
-    /** Guards: who is there is decided apart from how it is carried, and decisions of routing know neither. */
+    /** Membership decisions are independent of their transport, and routing decisions depend on neither. */
     @Test
-    void theFleetViewKnowsNobody() {
+    void fleetViewIsIndependent() {
         noClasses()
                 .that()
                 .resideInAPackage("barleyspur.fleet")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage("barleyspur.fleet.net", "barleyspur.doorman..", "barleyspur.config..")
-                .check(ALL);
+                .check(PRODUCTION_CLASSES);
         noClasses()
                 .that()
                 .resideOutsideOfPackages(
@@ -151,12 +154,12 @@
                 .should()
                 .dependOnClassesThat()
                 .resideInAPackage("barleyspur.fleet..")
-                .check(ALL);
+                .check(PRODUCTION_CLASSES);
     }
 
-    /** Guards: what is divided is decided apart from the view, from how it is carried and from routing. */
+    /** The division of budgets is independent of the fleet view, of its transport and of routing. */
     @Test
-    void theDivisionKnowsNobody() {
+    void budgetDivisionIsIndependent() {
         noClasses()
                 .that()
                 .resideInAPackage("barleyspur.budget")
@@ -168,7 +171,7 @@
                         "barleyspur.doorman..",
                         "barleyspur.config..",
                         "barleyspur.decision..")
-                .check(ALL);
+                .check(PRODUCTION_CLASSES);
         noClasses()
                 .that()
                 .resideOutsideOfPackages("barleyspur.budget..", "barleyspur.config")
@@ -177,6 +180,6 @@
                 .should()
                 .dependOnClassesThat()
                 .resideInAPackage("barleyspur.budget..")
-                .check(ALL);
+                .check(PRODUCTION_CLASSES);
     }
 }
--- a/doorman/src/test/java/barleyspur/cli/ExpectCommandTest.java
+++ b/doorman/src/test/java/barleyspur/cli/ExpectCommandTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The commands as an operator meets them: the examples' verdicts, messages and exit codes. */
+/** Runs the commands on the example files and checks verdicts, messages and exit codes. */
 class ExpectCommandTest {
 
     private static final String EXAMPLES = "../examples/expectations/";
@@ -22,9 +22,9 @@
     @TempDir
     private Path folder;
 
-    private record Ended(int code, String out, String err) {}
+    private record CommandResult(int code, String out, String err) {}
 
-    private static Ended run(String... args) {
+    private static CommandResult run(String... args) {
         PrintStream out = System.out;
         PrintStream err = System.err;
         ByteArrayOutputStream outBytes = new ByteArrayOutputStream();
@@ -33,7 +33,7 @@
             System.setOut(new PrintStream(outBytes, true, StandardCharsets.UTF_8));
             System.setErr(new PrintStream(errBytes, true, StandardCharsets.UTF_8));
             int code = Cli.run(args);
-            return new Ended(
+            return new CommandResult(
                     code, outBytes.toString(StandardCharsets.UTF_8), errBytes.toString(StandardCharsets.UTF_8));
         } finally {
             System.setOut(out);
@@ -41,7 +41,7 @@
         }
     }
 
-    private Ended expect(String config, String file) {
+    private CommandResult expect(String config, String file) {
         return run(
                 "expect",
                 "--cases",
@@ -53,15 +53,15 @@
                 EXAMPLES + file);
     }
 
-    /** Guards: the example that a new user starts from holds. */
+    /** The example configuration satisfies its expectations. */
     @Test
-    void theStationKeepsToItsExpectations() {
-        Ended e = expect("station.json", "station.hcl");
-        assertEquals(0, e.code(), e.out() + e.err());
-        assertTrue(e.out().contains("covered: 54 orders of up to 1 of 88 events"), e.out());
+    void exampleSatisfiesItsExpectations() {
+        CommandResult result = expect("station.json", "station.hcl");
+        assertEquals(0, result.code(), result.out() + result.err());
+        assertTrue(result.out().contains("covered: 54 orders of up to 1 of 88 events"), result.out());
     }
 
-    /** Guards: each configuration that is wrong on purpose is caught, with what is wrong about it. */
+    /** Each deliberately wrong configuration is refuted, and the message names the violation. */
     @ParameterizedTest(name = "{0}")
     @CsvSource(
             delimiter = '|',
@@ -74,30 +74,30 @@
         wrong-attempts          | station.hcl:14: settings.most_attempts = <= 8 does not hold; it is 50.0
         wrong-purge-grace       | station.hcl:13: settings.purge_grace = <= 1s does not hold; it is 8000.0
         """)
-    void aWrongConfigurationIsCaught(String config, String said) {
-        Ended e = expect(config + ".json", "station.hcl");
-        assertEquals(1, e.code(), e.out() + e.err());
-        assertTrue(e.out().contains(said), e.out());
+    void wrongConfigurationIsRefuted(String config, String message) {
+        CommandResult result = expect(config + ".json", "station.hcl");
+        assertEquals(1, result.code(), result.out() + result.err());
+        assertTrue(result.out().contains(message), result.out());
     }
 
-    /** Guards: a wrong expectation is refuted too, and its trace tells the same each time it is replayed. */
+    /** A wrong expectation is refuted, and each replay of its trace prints the same. */
     @Test
-    void aCounterexampleIsReplayed() throws IOException {
-        Ended e = expect("station.json", "wrong-expectation.hcl");
-        assertEquals(1, e.code(), e.out() + e.err());
+    void counterexampleIsReplayed() throws IOException {
+        CommandResult result = expect("station.json", "wrong-expectation.hcl");
+        assertEquals(1, result.code(), result.out() + result.err());
         String trace =
                 folder.resolve("nothing-ever-from-the-head-office.trace.json").toString();
-        Ended once = run("explain", trace);
+        CommandResult once = run("explain", trace);
         assertEquals(1, once.code(), once.out() + once.err());
         assertTrue(once.out().contains("NOT as expected by \"nothing ever from the head office\""), once.out());
         assertEquals(once, run("explain", trace));
-        // A module that holds to it now says so: the same trace with the expectation mended.
+        // The same trace with a corrected expectation passes.
         String mended = Files.readString(Path.of(trace)).replace("never { source", "must { source");
         Files.writeString(folder.resolve("mended.json"), mended);
         assertEquals(0, run("explain", folder.resolve("mended.json").toString()).code());
     }
 
-    /** Guards: input that can't be used ends with 2 and names file, line and key. */
+    /** Invalid input results in exit code 2 and a message that names file, line and key. */
     @ParameterizedTest(name = "{0}")
     @CsvSource(
             delimiter = '|',
@@ -108,13 +108,13 @@
         station.json | missing.hcl | missing.hcl
         missing.json | station.hcl | missing.json can't be read
         """)
-    void unusableInputIsNamed(String config, String file, String said) {
-        Ended e = expect(config, file);
-        assertEquals(2, e.code(), e.out() + e.err());
-        assertTrue(e.err().contains(said), e.err());
+    void invalidInputIsNamed(String config, String file, String message) {
+        CommandResult result = expect(config, file);
+        assertEquals(2, result.code(), result.out() + result.err());
+        assertTrue(result.err().contains(message), result.err());
     }
 
-    /** Guards: files include others by paths of their own, share what those define, and name what is missing. */
+    /** Included files are found relative to the including file, share their definitions, and are named if missing. */
     @Test
     void filesIncludeOthers() throws IOException {
         Files.createDirectories(folder.resolve("shared"));
@@ -131,27 +131,27 @@
         String[] args = {"expect", "--cases", "1", "--config", EXAMPLES + "station.json", main.toString()};
         assertEquals(0, run(args).code());
         Files.writeString(main, Files.readString(main).replace("names.hcl", "nmaes.hcl"));
-        Ended missing = run(args);
+        CommandResult missing = run(args);
         assertEquals(2, missing.code());
         assertTrue(missing.err().contains("main.hcl:1: file " + folder.resolve("shared/nmaes.hcl")), missing.err());
     }
 
-    /** Guards: a trace that is none is turned down. */
+    /** A file that isn't a trace is rejected. */
     @Test
-    void aTraceThatIsNone() {
-        Ended e = run("explain", EXAMPLES + "station.json");
-        assertEquals(2, e.code());
-        assertTrue(e.err().contains("key barleyspur_trace is not 1"), e.err());
+    void fileThatIsNoTraceIsRejected() {
+        CommandResult result = run("explain", EXAMPLES + "station.json");
+        assertEquals(2, result.code());
+        assertTrue(result.err().contains("key barleyspur_trace is not 1"), result.err());
     }
 
-    /** Guards: the same configuration routes the same, and another one's differences are told by request. */
+    /** Comparing a configuration with itself shows no difference; others are printed request by request. */
     @Test
-    void theDifferenceOfTwoConfigurations() {
+    void differencesOfConfigurationsArePrinted() {
         String station = EXAMPLES + "station.json";
-        Ended none = run("expect", "--cases", "4", "--diff", station, station, EXAMPLES + "station.hcl");
+        CommandResult none = run("expect", "--cases", "4", "--diff", station, station, EXAMPLES + "station.hcl");
         assertEquals(0, none.code(), none.out() + none.err());
         assertTrue(none.out().contains("0 of "), none.out());
-        Ended some = run(
+        CommandResult some = run(
                 "expect",
                 "--cases",
                 "12",
@@ -161,8 +161,8 @@
                 EXAMPLES + "station.hcl");
         assertEquals(1, some.code(), some.out() + some.err());
         assertTrue(some.out().contains("(swap-record"), some.out());
-        // A box less is a difference too, and only where that box had a part.
-        Ended fewer = run(
+        // A missing box makes a difference only for the requests that used it.
+        CommandResult fewer = run(
                 "expect",
                 "--cases",
                 "4",
@@ -174,7 +174,7 @@
         assertTrue(fewer.out().contains("source=d-0000"), fewer.out());
     }
 
-    /** Guards: wrong options end with 2 and say where help is; each command has help of its own. */
+    /** Invalid options result in exit code 2 and a pointer to the help, which each command has. */
     @Test
     void optionsAndHelp() {
         assertEquals(2, run("expect").code());
@@ -183,7 +183,7 @@
                 .err()
                 .contains("--seed is not a whole number"));
         for (String command : new String[] {"serve", "check", "expect", "explain", "rehearse", "simhost", "version"}) {
-            Ended help = run(command, "--help");
+            CommandResult help = run(command, "--help");
             assertEquals(0, help.code());
             assertTrue(help.out().contains("barleyspur " + command), help.out());
         }
--- a/doorman/src/test/java/barleyspur/front/thrift/EndingsTest.java
+++ b/doorman/src/test/java/barleyspur/front/thrift/ConnectionFailureTest.java
@@ -26,9 +26,12 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** How things end on real sockets, with every crossing forced: see {@code docs/design/endings.md}. */
+/**
+ * Closes, cancels, time-outs and failures on real sockets, with each race forced by the test: see
+ * {@code docs/design/endings.md}.
+ */
 @Timeout(60)
-class EndingsTest {
+class ConnectionFailureTest {
 
     private static final String DONE = "how=h,digest=4be0c1927d55a6f3,dated=1000";
     private static final int SERVED = 0;
@@ -45,7 +48,10 @@
         return doorman;
     }
 
-    /** What is presumed to be lost at a request's end: a quarter of the 1,500 ms that it has after it is wanted. */
+    /**
+     * The margin before the deadline by which the final response is sent: a quarter of the 1,500 ms between the time at
+     * which the response is wanted and the deadline.
+     */
     private static final int MARGIN_MS = 375;
 
     private static byte[] dispatch(int seqid, String className, String id) {
@@ -64,32 +70,32 @@
     }
 
     private static byte[] alive(int seqid) {
-        ByteBuf out = Unpooled.buffer()
+        ByteBuf buffer = Unpooled.buffer()
                 .writeInt(0)
-                .writeInt(Thrift.VERSION | Thrift.CALL)
+                .writeInt(ThriftProtocol.VERSION | ThriftProtocol.CALL)
                 .writeInt(5);
-        out.writeCharSequence("alive", StandardCharsets.US_ASCII);
-        out.writeInt(seqid).writeByte(Thrift.STOP);
-        return Cuts.take(out.setInt(0, out.readableBytes() - Integer.BYTES));
+        buffer.writeCharSequence("alive", StandardCharsets.US_ASCII);
+        buffer.writeInt(seqid).writeByte(ThriftProtocol.STOP);
+        return Cuts.take(buffer.setInt(0, buffer.readableBytes() - Integer.BYTES));
     }
 
-    /** Which of a service's answers came: served, refused, failed, or as an application exception, -1. */
-    private static int answer(Wire client, int seqid) throws IOException {
+    /** Returns which response was received: served, refused or failed, or -1 for an application exception. */
+    private static int readOutcome(Wire client, int seqid) throws IOException {
         byte[] frame = client.frame();
-        assertNotNull(frame, "the connection has ended without an answer");
+        assertNotNull(frame, "the connection has ended without a response");
         ByteBuf in = Unpooled.wrappedBuffer(frame);
         int type = in.readInt() & 0xFF;
         in.skipBytes(in.readInt());
         assertEquals(seqid, in.readInt());
-        return type == Thrift.EXCEPTION ? -1 : in.getShort(in.readerIndex() + 1);
+        return type == ThriftProtocol.EXCEPTION ? -1 : in.getShort(in.readerIndex() + 1);
     }
 
-    private static byte[] part(byte[] bytes, int from, int to) {
+    private static byte[] slice(byte[] bytes, int from, int to) {
         return Arrays.copyOfRange(bytes, from, to);
     }
 
-    /** A request that must be the next at the box: nothing else has been sent on before it. */
-    private static void assertNextIs(Loopback doorman, String id) throws Exception {
+    /** Asserts that the box receives this request next, so nothing else was sent before it, and responds to it. */
+    private static void assertNextAndServe(Loopback doorman, String id) throws Exception {
         Request next = doorman.box.next();
         assertEquals(List.of("serve", id), next.words().subList(0, 2));
         next.answer("DONE", DONE, new byte[10]);
@@ -98,118 +104,126 @@
     private static void assertStillServes(Loopback doorman, String id) throws Exception {
         try (Wire client = doorman.client()) {
             client.write(dispatch(1, id));
-            assertNextIs(doorman, id);
-            assertEquals(SERVED, answer(client, 1));
+            assertNextAndServe(doorman, id);
+            assertEquals(SERVED, readOutcome(client, 1));
         }
     }
 
-    // ---- a request that is late, or comes slowly -----------------------------------------------------------
+    // ---- requests that are read late or received slowly ------------------------------------------------
 
-    /** A busy loop reads a request late: its time counts from before that, so its final answer comes in time all the same. */
+    /**
+     * A busy event loop may read a request late. Its time must count from its earliest possible arrival, so that the
+     * final response is still sent before the deadline.
+     */
     @Test
-    void aRequestThatWaitedToBeReadEndsInItsOwnTime() throws Exception {
+    void requestReadLateIsAnsweredBeforeItsDeadline() throws Exception {
         try (Loopback doorman = start();
                 Wire client = doorman.client()) {
             client.write(alive(1));
-            assertEquals(SERVED, answer(client, 1));
+            assertEquals(SERVED, readOutcome(client, 1));
             Runnable release = doorman.hold();
             client.write(dispatch(2, id(1)));
             doorman.passHeld(1_500);
             release.run();
             assertEquals(id(1), doorman.box.next().id());
             doorman.pass(999);
-            assertEquals(REFUSED, answer(client, 2), "2,499 of its 2,500 ms are over");
+            assertEquals(REFUSED, readOutcome(client, 2), "2,499 of its 2,500 ms are over");
         }
     }
 
-    /** One that comes as soon as the loop looks has all its time but what is presumed to be lost at its end. */
+    /** A request that is read on arrival may take until its deadline minus the margin. */
     @Test
-    void aRequestThatIsReadAtOnceHasAllItsTimeButTheMargin() throws Exception {
+    void requestReadAtOnceMayTakeUntilTheMargin() throws Exception {
         try (Loopback doorman = start();
                 Wire client = doorman.client()) {
             client.write(alive(1));
-            assertEquals(SERVED, answer(client, 1));
+            assertEquals(SERVED, readOutcome(client, 1));
             doorman.pass(1_500);
             client.write(dispatch(2, id(1)));
             Request request = doorman.box.next();
             doorman.pass(2_500 - MARGIN_MS - 10);
             request.answer("DONE", DONE, new byte[10]);
-            assertEquals(SERVED, answer(client, 2));
+            assertEquals(SERVED, readOutcome(client, 2));
         }
     }
 
-    /** Guards against the first standstill, which nothing announces: the final answer goes out while time is left for one. */
+    /**
+     * The process may be suspended without warning, so the final response is sent early enough to be in time even then.
+     */
     @Test
-    void theFinalAnswerLeavesTimeForAStandstill() throws Exception {
+    void finalResponseLeavesTimeForASuspension() throws Exception {
         try (Loopback doorman = start();
                 Wire client = doorman.client()) {
             client.write(dispatch(1, id(1)));
             doorman.box.next();
             doorman.pass(2_500 - MARGIN_MS);
-            assertEquals(REFUSED, answer(client, 1));
+            assertEquals(REFUSED, readOutcome(client, 1));
         }
     }
 
-    /** A first request in pieces is taken when it is whole, however slowly it comes, while it goes on coming. */
+    /** A first request that arrives slowly in parts is served, as long as further parts keep arriving. */
     @Test
-    void aFirstRequestThatComesSlowlyIsServed() throws Exception {
+    void slowFirstRequestIsServed() throws Exception {
         try (Loopback doorman = start();
                 Wire client = doorman.client()) {
             byte[] request = dispatch(1, id(1));
             for (int i = 0; i < 4; i++) {
-                client.write(part(request, request.length * i / 4, request.length * (i + 1) / 4));
+                client.write(slice(request, request.length * i / 4, request.length * (i + 1) / 4));
                 doorman.awaitRead(client);
                 doorman.pass(i < 3 ? 1_500 : 0);
             }
-            assertNextIs(doorman, id(1));
-            assertEquals(SERVED, answer(client, 1));
+            assertNextAndServe(doorman, id(1));
+            assertEquals(SERVED, readOutcome(client, 1));
         }
     }
 
-    /** But no longer than any request may take. */
+    /** A request that isn't complete within the longest deadline of any class is given up. */
     @Test
-    void aRequestThatNeverBecomesWholeIsGivenUp() throws Exception {
+    void incompleteRequestTimesOut() throws Exception {
         try (Loopback doorman = start();
                 Wire client = doorman.client()) {
             byte[] request = dispatch(1, id(1));
             for (int i = 0; i < 4; i++) {
-                client.write(part(request, i, i + 1));
+                client.write(slice(request, i, i + 1));
                 doorman.awaitRead(client);
                 doorman.pass(1_500);
             }
-            assertEquals(-1, answer(client, 0), "6 s are more than the longest deadline, 5 s");
+            assertEquals(-1, readOutcome(client, 0), "6 s are more than the longest deadline, 5 s");
             assertNull(client.frame());
         }
     }
 
-    // ---- a client that has gone ---------------------------------------------------------------------------
+    // ---- clients that have disconnected ----------------------------------------------------------------
 
-    /** The connect hangs to the end of its time: the request has never gone out, so it is refused, and never run later. */
+    /**
+     * A request that must not run twice is refused, not failed, if its connect hangs until the deadline: it was never
+     * sent, and must not be sent later.
+     */
     @Test
-    void anUnsafeRequestWhoseConnectHungIsRefused() throws Exception {
+    void unsafeRequestWithHungConnectIsRefused() throws Exception {
         try (Loopback doorman = new Loopback(folder, c -> {}, 1);
                 Wire client = doorman.client()) {
-            List<Wire> crowd = doorman.box.fillQueue();
+            List<Wire> queueFillers = doorman.box.fillQueue();
             client.write(dispatch(1, "order", id(1)));
             assertAlive(client, 2);
             doorman.pass(2_500);
-            assertEquals(REFUSED, answer(client, 1));
-            for (Wire one : crowd) {
-                one.close();
+            assertEquals(REFUSED, readOutcome(client, 1));
+            for (Wire filler : queueFillers) {
+                filler.close();
             }
         }
     }
 
-    /** FIN, RST and a cancel that have come by the time in which their requests are read: no first attempt begins. */
+    /** No attempt starts for requests that are read together with a FIN, an RST or a cancel of their client. */
     @Test
-    void noAttemptBeginsForWhoHasGoneInTheSameTurn() throws Exception {
+    void noAttemptStartsAfterCloseInTheSameIteration() throws Exception {
         try (Loopback doorman = start();
-                Wire cancels = doorman.client()) {
+                Wire cancellingClient = doorman.client()) {
             List<Wire> burst = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
                 Wire client = doorman.client();
                 client.write(alive(1));
-                assertEquals(SERVED, answer(client, 1));
+                assertEquals(SERVED, readOutcome(client, 1));
                 burst.add(client);
             }
             Runnable release = doorman.hold();
@@ -224,102 +238,108 @@
                 }
                 doorman.awaitEnded(burst.get(i));
             }
-            cancels.write(dispatch(1, id(9_001)));
-            cancels.write(Cuts.take(ThriftCalls.cancelRequest(2, 1)));
-            cancels.write(dispatch(3, id(9_002)));
+            cancellingClient.write(dispatch(1, id(9_001)));
+            cancellingClient.write(Cuts.take(ThriftCalls.cancelRequest(2, 1)));
+            cancellingClient.write(dispatch(3, id(9_002)));
             release.run();
-            assertNextIs(doorman, id(9_002));
-            assertEquals(SERVED, answer(cancels, 3));
+            assertNextAndServe(doorman, id(9_002));
+            assertEquals(SERVED, readOutcome(cancellingClient, 3));
             assertStillServes(doorman, id(9_003));
         }
     }
 
-    /** The same while the request waits for a connection to the box that comes up late. */
+    /** The same for requests that wait for a slow connect to the box when their client disconnects or cancels. */
     @Test
-    void noAttemptBeginsForWhoHasGoneWhileItWaitedForAConnect() throws Exception {
+    void noAttemptStartsAfterCloseDuringConnect() throws Exception {
         try (Loopback doorman = new Loopback(folder, c -> {}, 1);
-                Wire fin = doorman.client();
-                Wire rst = doorman.client();
-                Wire cancels = doorman.client();
+                Wire closedClient = doorman.client();
+                Wire resetClient = doorman.client();
+                Wire cancellingClient = doorman.client();
                 Wire probe = doorman.client()) {
-            // The listener's queue is full, so that the doorman's connects come up only once it is emptied.
-            List<Wire> crowd = doorman.box.fillQueue();
-            fin.write(dispatch(1, id(1)));
-            rst.write(dispatch(1, id(2)));
-            cancels.write(dispatch(1, id(3)));
+            // The box's accept queue is full, so the doorman's connects complete only when it is emptied.
+            List<Wire> queueFillers = doorman.box.fillQueue();
+            closedClient.write(dispatch(1, id(1)));
+            resetClient.write(dispatch(1, id(2)));
+            cancellingClient.write(dispatch(1, id(3)));
             assertAlive(probe, 1);
-            fin.end();
-            rst.reset();
-            doorman.awaitEnded(fin);
-            doorman.awaitEnded(rst);
-            cancels.write(Cuts.take(ThriftCalls.cancelRequest(2, 1)));
-            cancels.write(dispatch(3, id(4)));
+            closedClient.end();
+            resetClient.reset();
+            doorman.awaitEnded(closedClient);
+            doorman.awaitEnded(resetClient);
+            cancellingClient.write(Cuts.take(ThriftCalls.cancelRequest(2, 1)));
+            cancellingClient.write(dispatch(3, id(4)));
             assertAlive(probe, 2);
             doorman.box.serve();
-            assertNextIs(doorman, id(4));
-            assertEquals(SERVED, answer(cancels, 3));
-            for (Wire one : crowd) {
-                one.close();
+            assertNextAndServe(doorman, id(4));
+            assertEquals(SERVED, readOutcome(cancellingClient, 3));
+            for (Wire filler : queueFillers) {
+                filler.close();
             }
         }
     }
 
-    /** By now the doorman has read all that was written to it before. */
+    /** Asserts that the doorman responds, which means that it has read all data that was written before. */
     private static void assertAlive(Wire probe, int seqid) throws IOException {
         probe.write(alive(seqid));
-        assertEquals(SERVED, answer(probe, seqid));
+        assertEquals(SERVED, readOutcome(probe, seqid));
     }
 
-    /** Lets the loop turn often enough to read and write all that it can. */
-    private static void turn(Wire probe) throws IOException {
+    /** Lets the event loop iterate often enough to read and write as much as possible. */
+    private static void iterateEventLoop(Wire probe) throws IOException {
         for (int i = 1; i <= 500; i++) {
             assertAlive(probe, i);
         }
     }
 
-    /** A client that takes no answers is heard all the same: its cancel gives up what is out, and nothing is tried again. */
+    /**
+     * A cancel must be processed even if the client doesn't read its responses: the attempt is cancelled and not
+     * retried.
+     */
     @Test
-    void aCancelBehindUnreadAnswersIsHeard() throws Exception {
+    void cancelIsProcessedWhileResponsesAreUnread() throws Exception {
         try (Loopback doorman =
                         new Loopback(folder, c -> c.getJSONObject("limits").put("memory_mb", 2_000));
                 Wire client = doorman.narrowClient();
                 Wire probe = doorman.client()) {
             doorman.box.serve();
             client.write(dispatch(1, id(1)));
-            Request waits = doorman.box.next();
-            // More than the sockets hold between them, so that the doorman can't write on.
+            Request waiting = doorman.box.next();
+            // More than the socket buffers hold, so that the doorman can't write any more.
             for (int i = 2; i < 32; i++) {
                 client.write(dispatch(i, id(i)));
                 doorman.box.next().answer("DONE", DONE, new byte[240_000]);
             }
-            turn(probe);
+            iterateEventLoop(probe);
             client.write(Cuts.take(ThriftCalls.cancelRequest(40, 1)));
             assertEquals(List.of("cancel", id(1)), doorman.box.next().words());
-            waits.answer("WAIT", "-", null);
+            waiting.answer("WAIT", "-", null);
             assertStillServes(doorman, id(50));
         }
     }
 
-    /** A client that shuts its side has gone: the protocol knows no half-closed clients. */
+    /** A client that shuts down its sending side counts as disconnected: the protocol has no half-closed clients. */
     @Test
-    void whoShutsItsSideHasGone() throws Exception {
+    void halfClosedClientCountsAsDisconnected() throws Exception {
         try (Loopback doorman = start();
                 Wire client = doorman.client()) {
             client.write(dispatch(1, id(1)));
-            Request out = doorman.box.next();
+            Request sent = doorman.box.next();
             client.shutOutput();
             assertEquals(List.of("cancel", id(1)), doorman.box.next().words());
-            out.answer("WAIT", "-", null);
+            sent.answer("WAIT", "-", null);
             assertNull(client.frame());
             assertStillServes(doorman, id(2));
         }
     }
 
-    // ---- connections that the doorman ends ----------------------------------------------------------------
+    // ---- connections that the doorman closes -----------------------------------------------------------
 
-    /** All places taken by idle clients, discovery down: a newcomer is let in, and the channel and the box are reached. */
+    /**
+     * When idle clients use all connections and discovery is unreachable, a new client must still be accepted, and the
+     * doorman must have file descriptors left for the command channel and the box.
+     */
     @Test
-    void idleClientsMakeRoomWhileDiscoveryIsDown() throws Exception {
+    void idleClientsAreEvictedWhileDiscoveryIsDown() throws Exception {
         try (Loopback doorman =
                 new Loopback(folder, c -> c.getJSONObject("limits").put("sockets", 96))) {
             doorman.box.serve();
@@ -328,14 +348,14 @@
             for (int i = 0; i < 60; i++) {
                 Wire client = doorman.client();
                 client.write(alive(1));
-                assertEquals(SERVED, answer(client, 1));
+                assertEquals(SERVED, readOutcome(client, 1));
                 idle.add(client);
             }
-            assertNull(idle.get(0).frame(), "the longest idle one has made room, and was not reset");
+            assertNull(idle.get(0).frame(), "the longest idle connection was evicted without a reset");
             assertStillServes(doorman, id(1));
             doorman.pass(300);
-            Wire again = doorman.channel.accept();
-            assertEquals("resume 1", again.line());
+            Wire retried = doorman.channel.accept();
+            assertEquals("resume 1", retried.line());
             for (Wire client : idle) {
                 client.close();
             }
@@ -343,39 +363,39 @@
     }
 
     /**
-     * Bytes that arrive in the very turn in which an idle connection is shut for a newcomer: half a request is thrown away
-     * and the connection ends without a reset, so that the answer before it survives.
+     * Part of a request may arrive in the same event loop iteration in which its idle connection is evicted. It must be
+     * discarded without resetting the connection, so that the client still receives the previous response.
      */
     @Test
-    void bytesThatCrossAnEvictionDoNotResetTheConnection() throws Exception {
+    void inputDuringAnEvictionDoesNotResetTheConnection() throws Exception {
         try (Loopback doorman =
                 new Loopback(folder, c -> c.getJSONObject("limits").put("sockets", 96))) {
             doorman.box.serve();
             List<Wire> idle = new ArrayList<>();
             Wire oldest = doorman.client();
-            // Its answer is left unread.
+            // Its response is left unread.
             oldest.write(alive(1));
             for (int i = 0; i < 32; i++) {
                 Wire client = doorman.client();
                 client.write(alive(1));
-                assertEquals(SERVED, answer(client, 1));
+                assertEquals(SERVED, readOutcome(client, 1));
                 idle.add(client);
             }
             byte[] request = dispatch(2, id(1));
             doorman.whenTheTimeIsNextAsked(() -> {
                 try {
-                    oldest.write(part(request, 0, 50));
+                    oldest.write(slice(request, 0, 50));
                 } catch (IOException e) {
                     throw new IllegalStateException(e);
                 }
             });
-            Wire newcomer = doorman.client();
-            newcomer.write(alive(1));
-            assertEquals(SERVED, answer(newcomer, 1));
-            idle.add(newcomer);
-            oldest.write(part(request, 50, request.length));
-            assertEquals(SERVED, answer(oldest, 1));
-            assertNull(oldest.frame(), "shut, and not reset");
+            Wire newClient = doorman.client();
+            newClient.write(alive(1));
+            assertEquals(SERVED, readOutcome(newClient, 1));
+            idle.add(newClient);
+            oldest.write(slice(request, 50, request.length));
+            assertEquals(SERVED, readOutcome(oldest, 1));
+            assertNull(oldest.frame(), "closed without a reset");
             assertStillServes(doorman, id(2));
             for (Wire client : idle) {
                 client.close();
@@ -384,52 +404,53 @@
     }
 
     /**
-     * Crowds that send garbage, endless frames, half a request, half a frame's length or nothing are let go within 2.5 s of
-     * the doorman's time, more of them than there are places; somebody else's request is answered meanwhile.
+     * Clients that send garbage, endless frames, part of a request, part of a frame length or nothing, more of them
+     * than connections are allowed, are disconnected within 2.5 s of virtual time, and other requests are served
+     * meanwhile.
      */
     @Test
-    void badClientsAreLetGoAndHarmNobody() throws Exception {
+    void invalidClientsAreDisconnectedWithoutAffectingOthers() throws Exception {
         try (Loopback doorman =
                         new Loopback(folder, c -> c.getJSONObject("limits").put("sockets", 160));
-                Wire good = doorman.client()) {
+                Wire validClient = doorman.client()) {
             doorman.box.serve();
-            good.write(dispatch(1, id(1)));
-            Request out = doorman.box.next();
-            List<Wire> bad = new ArrayList<>();
+            validClient.write(dispatch(1, id(1)));
+            Request sent = doorman.box.next();
+            List<Wire> invalidClients = new ArrayList<>();
             byte[] request = dispatch(1, id(2));
             byte[] flood = new byte[400_000];
             for (int i = 0; i < 200; i++) {
                 Wire client = doorman.client();
-                bad.add(client);
+                invalidClients.add(client);
                 switch (i % 5) {
                     case 0 -> client.write("GET / HTTP/1.1\r\n\r\n");
-                    case 1 -> client.write(part(request, 0, request.length - 1));
-                    case 2 -> client.write(part(request, 0, 3));
+                    case 1 -> client.write(slice(request, 0, request.length - 1));
+                    case 2 -> client.write(slice(request, 0, 3));
                     case 3 -> client.writeWhatGoes(flood);
                     default -> {}
                 }
             }
             try (Wire last = doorman.client()) {
-                // Connections are accepted in their order, and read in the next turn.
+                // Connections are accepted in order and read in the next iteration of the event loop.
                 assertAlive(last, 1);
                 assertAlive(last, 2);
             }
             doorman.pass(300);
-            out.answer("DONE", DONE, new byte[10]);
-            assertEquals(SERVED, answer(good, 1));
+            sent.answer("DONE", DONE, new byte[10]);
+            assertEquals(SERVED, readOutcome(validClient, 1));
             doorman.pass(2_500);
-            for (Wire client : bad) {
+            for (Wire client : invalidClients) {
                 client.awaitEnd();
             }
-            good.write(dispatch(2, id(3)));
-            assertNextIs(doorman, id(3));
-            assertEquals(SERVED, answer(good, 2));
+            validClient.write(dispatch(2, id(3)));
+            assertNextAndServe(doorman, id(3));
+            assertEquals(SERVED, readOutcome(validClient, 2));
         }
     }
 
-    /** A whole request in the very turn in which its idle connection would be shut keeps the connection. */
+    /** A complete request in the event loop iteration of its connection's eviction prevents the eviction. */
     @Test
-    void aRequestInTheTurnOfItsEvictionIsServed() throws Exception {
+    void requestInTheIterationOfItsEvictionIsServed() throws Exception {
         try (Loopback doorman =
                 new Loopback(folder, c -> c.getJSONObject("limits").put("sockets", 96))) {
             doorman.box.serve();
@@ -437,7 +458,7 @@
             for (int i = 0; i < 30; i++) {
                 Wire client = doorman.client();
                 client.write(alive(1));
-                assertEquals(SERVED, answer(client, 1));
+                assertEquals(SERVED, readOutcome(client, 1));
                 idle.add(client);
             }
             Runnable release = doorman.hold();
@@ -446,43 +467,43 @@
                 idle.add(doorman.client());
             }
             release.run();
-            assertNextIs(doorman, id(1));
-            assertEquals(SERVED, answer(idle.get(0), 2));
+            assertNextAndServe(doorman, id(1));
+            assertEquals(SERVED, readOutcome(idle.get(0), 2));
             for (Wire client : idle) {
                 client.close();
             }
         }
     }
 
-    // ---- SIGTERM ------------------------------------------------------------------------------------------
+    // ---- SIGTERM ---------------------------------------------------------------------------------------
 
-    /** Whatever is between its first and last byte at SIGTERM is served, and idle clients end without a reset. */
+    /** A request that is partly received at SIGTERM is served, and idle connections close without a reset. */
     @Test
-    void aRequestCutBySigtermIsServed() throws Exception {
+    void partlyReceivedRequestIsServedAfterSigterm() throws Exception {
         Loopback doorman = start();
         Wire client = doorman.client();
         Wire idle = doorman.client();
         idle.write(alive(1));
         byte[] request = dispatch(1, id(1));
-        client.write(part(request, 0, 60));
-        assertEquals(SERVED, answer(idle, 1));
+        client.write(slice(request, 0, 60));
+        assertEquals(SERVED, readOutcome(idle, 1));
         doorman.node.drain();
         doorman.node.drain();
         doorman.pass(700);
         assertAlive(idle, 2);
-        client.write(part(request, 60, request.length));
-        Request out = doorman.box.next();
+        client.write(slice(request, 60, request.length));
+        Request sent = doorman.box.next();
         doorman.pass(1_000);
-        assertNull(idle.frame(), "idle, and nothing more is to come");
-        out.answer("DONE", DONE, new byte[10]);
-        assertEquals(SERVED, answer(client, 1));
+        assertNull(idle.frame(), "idle connections are closed at the end of the grace period");
+        sent.answer("DONE", DONE, new byte[10]);
+        assertEquals(SERVED, readOutcome(client, 1));
         assertNull(client.frame());
         doorman.close();
     }
 
-    /** A depot that hangs past the last moment before SIGKILL: its request is failed while there is time. */
+    /** A request whose depot doesn't respond is failed before SIGKILL may end the process. */
     @Test
-    void aHungDepotIsHeldNoLongerThanSigkillLeaves() throws Exception {
+    void requestAtAHungDepotFailsBeforeSigkill() throws Exception {
         Loopback doorman = new Loopback(folder, c -> ((JSONObject)
                         c.getJSONObject("settings").getJSONArray("grades").get(0))
                 .put("hardLimitMs", 60_000));
@@ -496,14 +517,14 @@
         doorman.node.drain();
         doorman.pass(3_499);
         doorman.pass(2);
-        assertEquals(FAILED, answer(client, 1), "SIGKILL may come after 3.7 s");
+        assertEquals(FAILED, readOutcome(client, 1), "SIGKILL may come after 3.7 s");
         assertNull(client.frame());
         doorman.close();
     }
 
-    /** A client that reads slowly gets its answers whole for as long as SIGKILL can't come. */
+    /** A client that reads slowly receives complete responses until SIGKILL may end the process. */
     @Test
-    void aSlowReaderGetsItsAnswersUntilSigkillMayCome() throws Exception {
+    void slowReaderReceivesResponsesUntilSigkill() throws Exception {
         Loopback doorman = new Loopback(folder, c -> c.getJSONObject("limits").put("memory_mb", 2_000));
         doorman.box.serve();
         Wire client = doorman.narrowClient();
@@ -514,7 +535,7 @@
             doorman.box.next().answer("DONE", DONE, bytes);
         }
         try (Wire probe = doorman.client()) {
-            turn(probe);
+            iterateEventLoop(probe);
         }
         doorman.node.drain();
         doorman.pass(3_400);
@@ -523,17 +544,20 @@
             in.skipBytes(4).skipBytes(in.readInt()).skipBytes(4 + 3 + 3);
             byte[] got = new byte[in.readInt()];
             in.readBytes(got);
-            assertArrayEquals(bytes, got, "answer " + i);
+            assertArrayEquals(bytes, got, "response " + i);
         }
         assertNull(client.frame());
         doorman.close();
     }
 
-    // ---- what must not run twice ----------------------------------------------------------------------------
+    // ---- requests that must not run twice --------------------------------------------------------------
 
-    /** A box that reads so much of an unsafe request and resets: it is failed, and never sent again, whatever its class is called. */
+    /**
+     * A box may reset the connection after reading any part of a request that must not run twice. The request is then
+     * failed and never sent again.
+     */
     @Test
-    void anUnsafeRequestNeverGoesOutTwice() throws Exception {
+    void unsafeRequestIsNeverSentTwice() throws Exception {
         try (Loopback doorman = new Loopback(folder, c -> {});
                 Wire client = doorman.client()) {
             for (int read = 1; read < 110; read++) {
@@ -541,16 +565,19 @@
                 Wire at = doorman.box.accept();
                 at.bytes(read);
                 at.reset();
-                assertEquals(FAILED, answer(client, read), "reset after " + read + " bytes");
+                assertEquals(FAILED, readOutcome(client, read), "reset after " + read + " bytes");
             }
             doorman.box.serve();
             assertStillServes(doorman, id(200));
         }
     }
 
-    /** Guards keyed requests: depots drop repeats by the key that the client gave, so each attempt carries it, and no other does. */
+    /**
+     * Depots detect repeated requests by the client's idempotency key, so each attempt of such a request carries it,
+     * and a request without a key has none.
+     */
     @Test
-    void aKeyedRequestCarriesItsKeyWithEachAttempt() throws Exception {
+    void eachAttemptCarriesTheIdempotencyKey() throws Exception {
         try (Loopback doorman = start();
                 Wire client = doorman.client()) {
             client.write(Cuts.take(ThriftCalls.dispatch(
@@ -573,52 +600,52 @@
                     new byte[4])));
             Request first = doorman.box.next();
             first.answer("BROKE", "-", null);
-            Request again = doorman.box.next();
-            for (Request attempt : List.of(first, again)) {
+            Request retried = doorman.box.next();
+            for (Request attempt : List.of(first, retried)) {
                 assertEquals(id(1), attempt.id());
                 assertTrue(
                         attempt.words().get(2).contains(",once=645b707de91bf3071eae83015509ede1"),
                         attempt.words().get(2));
             }
-            again.answer("DONE", DONE, new byte[10]);
-            assertEquals(SERVED, answer(client, 1));
+            retried.answer("DONE", DONE, new byte[10]);
+            assertEquals(SERVED, readOutcome(client, 1));
             client.write(dispatch(2, "stamp", id(2)));
             Request without = doorman.box.next();
             assertFalse(
                     without.words().get(2).contains("once="), without.words().get(2));
             without.answer("DONE", DONE, new byte[10]);
-            assertEquals(SERVED, answer(client, 2));
+            assertEquals(SERVED, readOutcome(client, 2));
         }
     }
 
-    /** A request keeps the effect of the class that it was taken under, also where a reload changes it meanwhile. */
+    /** A pending request keeps its class's rule on repeats even if a reload changes the rule. */
     @Test
-    void anOpenRequestKeepsItsEffectThroughAReload() throws Exception {
+    void pendingRequestKeepsItsRepeatRuleDuringAReload() throws Exception {
         try (Loopback doorman = start();
                 Wire client = doorman.client()) {
             Wire channel = doorman.channel.accept();
             assertEquals("resume 1", channel.line());
             client.write(dispatch(1, "order", id(1)));
-            Request out = doorman.box.next();
+            Request sent = doorman.box.next();
             doorman.reload(c -> {
                 JSONArray grades = c.getJSONObject("settings").getJSONArray("grades");
                 grades.getJSONObject(1).put("repeat", "repeatable");
-                // It moves the channel too, which shows when it has been read.
+                // The reload also moves the command channel, which shows when it has been applied.
                 c.put("channel", c.getString("channel").replace("127.0.0.1", "127.0.0.2"));
             });
             assertNull(channel.line(), "the channel has moved");
-            out.wire().reset();
-            assertEquals(FAILED, answer(client, 1));
+            sent.wire().reset();
+            assertEquals(FAILED, readOutcome(client, 1));
             client.write(dispatch(2, "order", id(2)));
             doorman.box.next().wire().reset();
-            Request again = doorman.box.next();
-            assertEquals(id(2), again.id(), "taken under the new effect it is tried again");
-            again.answer("DONE", DONE, new byte[10]);
-            assertEquals(SERVED, answer(client, 2));
+            Request retried = doorman.box.next();
+            assertEquals(id(2), retried.id(), "a request accepted under the new rule is retried");
+            retried.answer("DONE", DONE, new byte[10]);
+            assertEquals(SERVED, readOutcome(client, 2));
         }
     }
 
-    // ---- the command channel ---------------------------------------------------------------------------------
+    // ---- the command channel ---------------------------------------------------------------------------
 
     private static String state(Loopback doorman, int cursor, String state) {
         return new JSONObject()
@@ -637,45 +664,48 @@
                 + "\n";
     }
 
-    /** Mute from its first second, mute after a reconnect, and mute after half a line: each time it is given up and asked anew. */
+    /**
+     * A command channel that sends nothing from the start, after a reconnect or after part of a line is closed and
+     * connected again.
+     */
     @Test
-    void aChannelThatSaysNothingIsGivenUp() throws Exception {
+    void silentChannelIsReconnected() throws Exception {
         try (Loopback doorman = start()) {
             for (String last :
                     List.of("", "1\n", state(doorman, 2, "terminating").substring(0, 40))) {
-                Wire mute = doorman.channel.accept();
-                assertEquals("resume 1", mute.line());
-                mute.write(last);
+                Wire silent = doorman.channel.accept();
+                assertEquals("resume 1", silent.line());
+                silent.write(last);
                 Wire probe = doorman.client();
                 assertAlive(probe, 1);
                 probe.close();
                 doorman.pass(2_000);
-                assertNull(mute.line(), "given up after: " + last);
+                assertNull(silent.line(), "closed after: " + last);
                 doorman.pass(300);
             }
-            Wire well = doorman.channel.accept();
-            assertEquals("resume 1", well.line());
-            well.write(state(doorman, 2, "terminating") + "2\n");
+            Wire healthy = doorman.channel.accept();
+            assertEquals("resume 1", healthy.line());
+            healthy.write(state(doorman, 2, "terminating") + "2\n");
             try (Wire client = doorman.client()) {
                 assertAlive(client, 1);
                 client.write(dispatch(2, id(2)));
                 Request elsewhere = doorman.origin.next();
                 assertEquals(id(2), elsewhere.id(), "the box drains");
                 elsewhere.answer("DONE", DONE, new byte[10]);
-                assertEquals(SERVED, answer(client, 2));
+                assertEquals(SERVED, readOutcome(client, 2));
                 assertNull(doorman.box.come());
             }
         }
     }
 
-    /** What waits for a connection to a box that is told to drain meanwhile goes elsewhere. */
+    /** A request that waits for a connect to a box goes elsewhere when the box starts to drain. */
     @Test
-    void aDrainOvertakesWhatWaitsForAConnect() throws Exception {
+    void drainRedirectsRequestsThatWaitForAConnect() throws Exception {
         try (Loopback doorman = new Loopback(folder, c -> {}, 1);
                 Wire client = doorman.client();
                 Wire probe = doorman.client()) {
             doorman.origin.serve();
-            List<Wire> crowd = doorman.box.fillQueue();
+            List<Wire> queueFillers = doorman.box.fillQueue();
             Wire channel = doorman.channel.accept();
             client.write(dispatch(1, id(1)));
             assertAlive(probe, 1);
@@ -683,38 +713,38 @@
             Request elsewhere = doorman.origin.next();
             assertEquals(id(1), elsewhere.id());
             elsewhere.answer("DONE", DONE, new byte[10]);
-            assertEquals(SERVED, answer(client, 1));
-            for (Wire one : crowd) {
-                one.close();
+            assertEquals(SERVED, readOutcome(client, 1));
+            for (Wire filler : queueFillers) {
+                filler.close();
             }
         }
     }
 
-    // ---- spoilt answers ------------------------------------------------------------------------------------------
+    // ---- invalid responses -----------------------------------------------------------------------------
 
     /**
-     * A second answer, one after the cancel, one without bytes, one cut off by the connection's end and one without end
-     * harm neither their request nor another.
+     * Invalid responses of a box affect neither their own request nor others: a second response, one after a cancel,
+     * one without a body, one that is cut off by a close, and one that is too long.
      */
     @Test
-    void aSpoiltAnswerHarmsNobody() throws Exception {
+    void invalidResponsesDoNotAffectOtherRequests() throws Exception {
         try (Loopback doorman = start();
                 Wire client = doorman.client()) {
             client.write(dispatch(1, id(1)));
             Request first = doorman.box.next();
             first.answer("DONE", DONE, new byte[10]);
             first.answer("DONE", DONE, new byte[11]);
-            assertEquals(SERVED, answer(client, 1));
+            assertEquals(SERVED, readOutcome(client, 1));
             client.write(dispatch(2, id(2)));
             Request second = doorman.box.next();
             second.answer("DONE", DONE, null);
-            Request again = doorman.box.next();
-            assertEquals(id(2), again.id());
-            again.answer("KEEP", DONE, null);
+            Request retried = doorman.box.next();
+            assertEquals(id(2), retried.id());
+            retried.answer("KEEP", DONE, null);
             Request third = doorman.box.next();
-            assertEquals(id(2), third.id(), "no copy may be called current that the client does not hold");
+            assertEquals(id(2), third.id(), "the client holds no copy that could be confirmed as current");
             third.answer("DONE", DONE, new byte[12]);
-            assertEquals(SERVED, answer(client, 2));
+            assertEquals(SERVED, readOutcome(client, 2));
             client.write(dispatch(3, id(3)));
             Request cancelled = doorman.box.next();
             client.write(Cuts.take(ThriftCalls.cancelRequest(4, 3)));
@@ -724,14 +754,14 @@
             Request cut = doorman.box.next();
             cut.wire().write("*4\r\n$16\r\n" + id(5) + "\r\n$4\r\nDONE\r\n$5\r\nhow=h\r\n$10\r\nhalf");
             cut.wire().end();
-            assertNextIs(doorman, id(5));
-            assertEquals(SERVED, answer(client, 5));
+            assertNextAndServe(doorman, id(5));
+            assertEquals(SERVED, readOutcome(client, 5));
             client.write(dispatch(6, id(6)));
             Request endless = doorman.box.next();
             endless.wire().write("*4\r\n$16\r\n" + id(6) + "\r\n$4\r\nDONE\r\n$5\r\nhow=h\r\n$99999999\r\n");
             endless.wire().writeWhatGoes(new byte[400_000]);
-            assertNextIs(doorman, id(6));
-            assertEquals(SERVED, answer(client, 6));
+            assertNextAndServe(doorman, id(6));
+            assertEquals(SERVED, readOutcome(client, 6));
             assertStillServes(doorman, id(7));
         }
     }
--- a/doorman/src/test/java/barleyspur/front/thrift/ConnectionRegistryTest.java
+++ b/doorman/src/test/java/barleyspur/front/thrift/ConnectionRegistryTest.java
@@ -5,32 +5,32 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Who makes room for a newcomer. */
+/** The order in which connections are evicted. */
 class ConnectionRegistryTest {
 
     private final ConnectionRegistry<String> registry = new ConnectionRegistry<>();
 
-    /** A connection on which part of a request has come goes last, the one that began first before the others. */
+    /** Connections with a partly received request are evicted last, the one that started first before the others. */
     @Test
-    void aRequestOnItsWayIsCutLast() {
-        registry.came("stranger", 0);
-        registry.came("begins", 0);
-        registry.arriving("begins");
-        registry.idle("idle", 0);
-        registry.arriving("begins later");
-        registry.arriving("begins");
-        assertEquals("stranger", registry.evictIdle(1_000));
-        assertEquals("idle", registry.evictIdle(1_000));
-        assertEquals("begins", registry.evictIdle(1_000));
-        assertEquals("begins later", registry.evictIdle(1_000));
-        assertNull(registry.evictIdle(1_000));
+    void receivingConnectionIsEvictedLast() {
+        registry.addNew("stranger", 0);
+        registry.addNew("begins", 0);
+        registry.markReceiving("begins");
+        registry.markIdle("idle", 0);
+        registry.markReceiving("begins later");
+        registry.markReceiving("begins");
+        assertEquals("stranger", registry.evictLeastActive(1_000));
+        assertEquals("idle", registry.evictLeastActive(1_000));
+        assertEquals("begins", registry.evictLeastActive(1_000));
+        assertEquals("begins later", registry.evictLeastActive(1_000));
+        assertNull(registry.evictLeastActive(1_000));
     }
 
-    /** Once its request is whole it is in use, and stays. */
+    /** A connection is not evicted while its request is pending. */
     @Test
-    void oneThatIsInUseStays() {
-        registry.arriving("busy");
-        registry.busy("busy");
-        assertNull(registry.evictIdle(1_000));
+    void busyConnectionIsNotEvicted() {
+        registry.markReceiving("busy");
+        registry.markBusy("busy");
+        assertNull(registry.evictLeastActive(1_000));
     }
 }
--- a/doorman/src/test/java/barleyspur/front/thrift/ThriftCalls.java
+++ b/doorman/src/test/java/barleyspur/front/thrift/ThriftCalls.java
@@ -6,49 +6,52 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Framed calls as clients write them, for tests. */
+/** Encodes framed calls of clients for tests. */
 final class ThriftCalls {
 
     private ThriftCalls() {}
 
-    /** A framed {@code dispatch}, with a field that this version does not know. */
+    /** Returns a framed {@code dispatch} that includes an unknown field, which the server has to skip. */
     static ByteBuf dispatch(int seqid, Map<String, String> fields, byte[] body) {
         ByteBuf out = Unpooled.buffer();
-        out.writeInt(0).writeInt(Thrift.VERSION | Thrift.CALL);
+        out.writeInt(0).writeInt(ThriftProtocol.VERSION | ThriftProtocol.CALL);
         string(out, "dispatch".getBytes(StandardCharsets.UTF_8));
         out.writeInt(seqid);
-        out.writeByte(Thrift.LIST)
+        out.writeByte(ThriftProtocol.LIST)
                 .writeShort(9)
-                .writeByte(Thrift.I32)
+                .writeByte(ThriftProtocol.I32)
                 .writeInt(2)
                 .writeInt(1)
                 .writeInt(2);
-        out.writeByte(Thrift.MAP).writeShort(1).writeByte(Thrift.STRING).writeByte(Thrift.STRING);
+        out.writeByte(ThriftProtocol.MAP)
+                .writeShort(1)
+                .writeByte(ThriftProtocol.STRING)
+                .writeByte(ThriftProtocol.STRING);
         out.writeInt(fields.size());
         fields.forEach((name, value) -> {
             string(out, name.getBytes(StandardCharsets.UTF_8));
             string(out, value.getBytes(StandardCharsets.UTF_8));
         });
-        out.writeByte(Thrift.STRING).writeShort(2);
+        out.writeByte(ThriftProtocol.STRING).writeShort(2);
         string(out, body);
-        out.writeByte(Thrift.STOP);
+        out.writeByte(ThriftProtocol.STOP);
         return out.setInt(0, out.readableBytes() - Integer.BYTES);
     }
 
-    /** A framed {@code cancelRequest} of the call with the other number. */
+    /** Returns a framed {@code cancelRequest} for the call with sequence number {@code cancelled}. */
     static ByteBuf cancelRequest(int seqid, int cancelled) {
         ByteBuf out = Unpooled.buffer();
-        out.writeInt(0).writeInt(Thrift.VERSION | Thrift.ONEWAY);
+        out.writeInt(0).writeInt(ThriftProtocol.VERSION | ThriftProtocol.ONEWAY);
         string(out, "cancelRequest".getBytes(StandardCharsets.UTF_8));
         out.writeInt(seqid)
-                .writeByte(Thrift.I32)
+                .writeByte(ThriftProtocol.I32)
                 .writeShort(1)
                 .writeInt(cancelled)
-                .writeByte(Thrift.STOP);
+                .writeByte(ThriftProtocol.STOP);
         return out.setInt(0, out.readableBytes() - Integer.BYTES);
     }
 
-    /** The fields of a request for one part, with 1,500 ms left; to be changed at will. */
+    /** Returns a mutable map with the fields of a request for one part and 1,500 ms remaining. */
     static Map<String, String> fields(String className, String id) {
         return new HashMap<>(
                 Map.of("c", className, "i", id, "d", "1500", "o", "7f3a9c21e0b4d655", "seg", "3", "bucket", "17"));
