--- a/decision/src/main/java/barleyspur/decision/AlarmToken.java
+++ b/decision/src/main/java/barleyspur/decision/AlarmToken.java
@@ -1,8 +1,9 @@
 package barleyspur.decision;
 
 /**
- * What an alarm is for, as the one number that a host gives back: the subscription to the list, a request's last moment (its
- * id, which is below 2^32), an attempt's aim, or the moment for a request's backup copy.
+ * Encodes the purpose of an alarm in the one number that the host gives back: a new subscription to the list of
+ * nodes, the deadline of a request (its id, which is below 2^32), the latency target of an attempt, or the time for
+ * the backup attempt of a request.
  */
 final class AlarmToken {
 
@@ -12,15 +13,17 @@
 
     private AlarmToken() {}
 
-    /** For the attempt of a request that is its {@code count}-th, from 1. */
+    /** Returns the token for the latency target of a request's {@code count}-th attempt, counted from 1. */
     static long attempt(long request, int count) {
         return request + count * ATTEMPT;
     }
 
+    /** Returns the token for the backup attempt of a request. */
     static long backup(long request) {
         return request + BACKUP;
     }
 
+    /** Returns the request that a token belongs to. */
     static long request(long token) {
         return token % ATTEMPT;
     }
@@ -29,7 +32,7 @@
         return token >= BACKUP;
     }
 
-    /** The attempt's place in its request's list; -1: the alarm is for the whole request. */
+    /** Returns the attempt's index within its request, or -1 if the alarm is for the deadline of the request. */
     static int attempt(long token) {
         return (int) (token / ATTEMPT) - 1;
     }
--- a/decision/src/main/java/barleyspur/decision/Attempt.java
+++ b/decision/src/main/java/barleyspur/decision/Attempt.java
@@ -1,30 +1,37 @@
 package barleyspur.decision;
 
-/** One attempt of a request, as it was sent. */
+/** One attempt of a request, with what the policy knew when it was sent. */
 final class Attempt {
 
     Server target;
     Server source;
+    /** Whether the target is expected to fetch the object, because it holds no copy. */
     boolean fill;
-    /** Joins a fill of ours: it holds a place at the cache, but adds nothing on the way to the source. */
+    /** Joins a fill of this doorman: it takes a slot at the cache, but adds no load on the path to the source. */
     boolean joined;
-    /** Believed held, and of no class whose copies may have to be renewed first. */
+    /** The target is believed to hold a copy, and the copies of this class don't expire. */
     boolean surelyHeld;
-
+    /** Whether {@link Gate limits} have been adapted to its latency. */
     boolean learned;
+    /** Whether the attempt is a trial of an excluded target. */
     boolean trial;
+    /** Whether the attempt is a trial of an excluded source. */
     boolean sourceTrial;
+    /** Whether the outcome is known. */
     boolean back;
+
     double sentAt;
+    /** The estimated work, in milliseconds. */
     double work;
+    /** The rank at which the cache keeps the copy; 0: not kept. */
     int rank;
 
-    /** Whether it asks for bytes from its source on its own account: a fill, or what goes past the caches. */
+    /** Returns whether the attempt itself fetches from its source: as a fill, or past the caches. */
     boolean fetches() {
         return fill && !joined && source != null;
     }
 
-    /** Whether it is expected to reach its source by way of a cache, as a fill of its own. */
+    /** Returns whether the attempt is expected to reach its source through a cache, as a fill of its own. */
     boolean reaches() {
         return fetches() && source != target;
     }
--- a/decision/src/main/java/barleyspur/decision/Bounded.java
+++ b/decision/src/main/java/barleyspur/decision/Bounded.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** A map that forgets its least recently used entry beyond a size, so that no stream of keys can grow it. */
+/** A map of limited size that evicts its least recently used entry, so that no stream of keys can exhaust memory. */
 final class Bounded<K, V> extends LinkedHashMap<K, V> {
 
     private static final long serialVersionUID = 1L;
--- a/decision/src/main/java/barleyspur/decision/Carried.java
+++ b/decision/src/main/java/barleyspur/decision/Carried.java
@@ -1,6 +1,9 @@
 package barleyspur.decision;
 
-/** What peers carry for us: lately in all, and at most for one of them, for when all are cold. */
+/**
+ * The work that the nodes of one role serve for this doorman: their recent rate in all, and the highest average for
+ * one of them, which is still known when all are cold.
+ */
 final class Carried {
 
     private final Rate rate;
@@ -10,13 +13,13 @@
         rate = new Rate(overMs);
     }
 
-    /** One of so many peers has done this work. */
+    /** Adds work that one of so many peers has served. */
     void add(double work, int peers, double now) {
         rate.add(work, now);
         best = Math.max(best, rate.perMs(now) / Math.max(1, peers));
     }
 
-    /** The most work in a millisecond that one peer has done for us on average. */
+    /** Returns the highest average work in a millisecond that one peer has served for this doorman. */
     double best() {
         return best;
     }
--- a/decision/src/main/java/barleyspur/decision/ColdBudget.java
+++ b/decision/src/main/java/barleyspur/decision/ColdBudget.java
@@ -1,35 +1,37 @@
 package barleyspur.decision;
 
 /**
- * What may be sent to a node that has just started, in work: earned with time, from a debt on, and saved up to a bound.
+ * The work that may be sent to a node that has just started: a token bucket that starts with a debt and accrues with
+ * time up to a bound.
  */
 final class ColdBudget {
 
     private double saved;
     private double earnedUntil;
 
-    /** The node has started: what comes first pays the debt. */
+    /** Resets the budget to a debt, which is paid first, when the node has started. */
     void start(double debt, double now) {
         saved = -debt;
         earnedUntil = now;
     }
 
-    /** Earns at a rate since this was last called, and keeps {@code most} at most. */
+    /** Accrues at a rate since the last call, up to a bound. */
     void earn(double perMs, double most, double now) {
         saved = Math.min(most, saved + perMs * (now - earnedUntil));
         earnedUntil = now;
     }
 
+    /** Returns whether the budget covers this work. */
     boolean covers(double work) {
         return saved >= work;
     }
 
-    /** Also where it doesn't cover it: what is sent all the same is owed. */
+    /** Spends this work. Work that the budget does not cover becomes debt. */
     void spend(double work) {
         saved -= work;
     }
 
-    /** What was spent never reached the node. */
+    /** Returns work that was spent but never reached the node. */
     void giveBack(double work) {
         saved += work;
     }
--- a/decision/src/main/java/barleyspur/decision/Copies.java
+++ b/decision/src/main/java/barleyspur/decision/Copies.java
@@ -2,10 +2,14 @@
 
 import java.util.TreeMap;
 
-/** What is believed of one part's copies: by cache, when a sign of it was last seen; and the open fill. */
+/** Where copies of one object part are believed to be, and the fill of it that is in progress. */
 final class Copies {
 
+    /** When the last sign of a copy was seen at each cache, by node id. */
     final TreeMap<Long, Double> seen = new TreeMap<>();
+
+    /** The cache at which the newest fill was started. */
     long fillAt = Director.NO_NODE;
+    /** The number of this doorman's attempts in flight that fill the part or join its fill. */
     int fillsOpen;
 }
--- a/decision/src/main/java/barleyspur/decision/Decide.java
+++ b/decision/src/main/java/barleyspur/decision/Decide.java
@@ -9,74 +9,97 @@
 import java.util.stream.Collectors;
 
 /**
- * All decisions of one director: which cache serves a request, where a miss is filled from, what is kept.
- * The ordinary path, {@link #route}, is least-recently-lost (LRL) replication from "Adaptive Content
- * Replication in Edge-Assisted CDNs (loss-network model)": objects gain copies where requests for them find
- * every believed holder busy. The guards around it each say what they guard against.
+ * The routing policy of one doorman: it decides which cache serves a request, where a miss is filled from
+ * and which copies are kept.
+ *
+ * <p>The ordinary path, {@link #route}, is least-recently-lost (LRL) replication from "Adaptive Content
+ * Replication in Edge-Assisted CDNs (loss-network model)": an object gains a copy when a request for it
+ * finds all caches that are believed to hold it busy. This is called a loss. Each guard around the ordinary
+ * path documents the failure that it prevents and the case in which it could do harm.
+ *
+ * <p>Comments refer to five rules by number: (1) one final answer to each request before its deadline, (2)
+ * no effect of a request twice, (3) no new work for a node that is not ready, (4) no more work for a cold
+ * node than its budget, (5) no copy from before a purge.
  */
 public final class Decide implements Director {
 
-    // ---- Tuned values: all of them, each with what it trades. Times in milliseconds. -------------------
+    // ---- Tuned values. Times are in milliseconds. -------------------------------------------------------
 
-    /** A belief lapses this long after the last sign of the copy; about as long as pooled caches keep. */
+    /**
+     * How long after its last sign a copy is believed to be held: about as long as caches with pooled
+     * storage keep one.
+     */
     private static final double BELIEF_MS = 10_000;
-    /** Parts that beliefs are held about. */
+    /** The most object parts whose copies are tracked. */
     private static final int MOST_BELIEFS = 20_000;
-    /** Objects on the list of recently lost ones, whose copies take the top rank. */
+    /** The most objects remembered as recently lost. Their copies take the top rank. */
     private static final int LOST_LIST = 64;
-    /** Ranks of copies made by a loss, and of first fills and hits. */
+    /** The rank of copies of objects on the list of recently lost ones. */
     private static final int RANK_LOST = 3;
-
+    /** The rank of all other copies: first fills and hits. */
     private static final int RANK_PLAIN = 2;
-    /** Weight of the newest sample in a node's error share and slowness. */
+    /** The weight of the newest sample in a node's error share and share of late hits. */
     private static final double NEWEST = 1 / 6.0;
-    /** Error share beyond which a node is left out, unless its peers do no better. */
+    /** The error share above which a node is excluded, unless its peers do no better. */
     private static final double BAD_SHARE = 0.4;
-    /** Fills turned away in a row, each the first in a row at its cache, that leave their source out. */
+    /**
+     * The number of refused fills in a row after which their source is excluded. Only the first refusal in
+     * a row of each cache counts.
+     */
     private static final int REFUSALS = 3;
-    /** Fills overdue in a row, none served between, that leave a source out which is later than its peers. */
+    /**
+     * The number of overdue fills in a row, with none served in between, after which their source is
+     * excluded if it is also late more often than its peers.
+     */
     private static final int SILENT = 5;
-    /** First and longest time that a node is left out before it is tried again. */
+    /**
+     * How long a node is excluded at first before it is tried again. The time doubles with each failure.
+     */
     private static final double OUT_FIRST_MS = 500;
-
+    /** The longest time that a node is excluded before it is tried again. */
     private static final double OUT_MOST_MS = 2_000;
-    /** Trials in a row that must succeed before a node is back. */
+    /** The number of trials in a row that must succeed to end the exclusion of a node. */
     private static final int TRIALS = 3;
-    /** With fewer than this share of the location's caches in use, exclusions are ignored. */
+    /** If fewer than this share of the location's caches is usable, exclusions are ignored. */
     private static final double LEAST_IN_USE = 0.34;
-    /** Further attempts earned by each request, and the most that are saved up. */
+    /** Retry tokens that each request adds. A further attempt costs one. */
     private static final double RETRY_EARNED = 0.3;
-
+    /** The most retry tokens that are saved up. */
     private static final double RETRY_SAVED = 30;
-    /** Backup copies earned by a hit whose answer never came, or lost by a late one; the most saved up. */
+    /**
+     * Backup tokens added by a hit that is unanswered past its latency target, or taken by a hit answered
+     * late. A backup attempt costs one token.
+     */
     private static final double BACKUP_EARNED = 3;
-
+    /** The most backup tokens that are saved up. */
     private static final double BACKUP_SAVED = 10;
-    /** Share of late answers beyond which fewer are let in, what a cut leaves, its pace, the least let in. */
+    /** The share of late answers above which a concurrency limit is decreased. */
     private static final double LATE_SHARE = 0.25;
-
+    /** The factor by which a concurrency limit is decreased. */
     private static final double CUT_TO = 0.85;
+    /** The shortest time between two decreases of the same limit. */
     private static final double CUT_EVERY_MS = 500;
+    /** The lowest value of a limit. Under 1 a limit admits only a share of the requests. */
     private static final double LEAST_INSIDE = 0.1;
-    /** How many are let past the caches until answers that came that way in time let in more. */
+    /** The initial limit on requests that bypass the caches. Answers in time raise it. */
     private static final double PAST_FIRST = 2;
-    /** How busy a cache may report to be for a backup: the report is written by the whole fleet. */
+    /** The load report field with the load of a cache under the traffic of all doormans. */
     private static final String BUSY_FIELD = "load_share";
-
+    /** The reported load from which on a cache gets no backup attempts. */
     private static final double BUSY = 0.85;
-    /** Least time left that is worth another attempt, in ticks. */
+    /** The least remaining time, in ticks, in which another attempt is still made. */
     private static final double LEAST_TICKS = 5;
-    /** How far a request's worth for its work may stretch or shrink a limit for it. */
+    /** The factor by which the priority of a request may at most raise or lower a limit for it. */
     private static final double FAVOUR_MOST = 4;
-    /** Weight of the newest sample in the worth and work asked for. */
+    /** The weight of the newest request in the mean worth and the mean work of requests. */
     private static final double WORK_DOWN = 0.02;
-    /** Time over which the work that nodes carry is averaged. */
+    /** The time constant of the average work that nodes serve. */
     private static final double CARRIED_MS = 10_000;
-    /** The part used of a cold node's budget, which leaves it about as much as it can do in time. */
+    /** The share of a cold node's budget that is used: about as much as the node can answer in time. */
     private static final double BUDGET_USED = 0.25;
-    /** Objects and groups whose purges are remembered. */
+    /** The most objects, and the most groups, whose purges are remembered. */
     private static final int MOST_PURGES = 4_096;
-    /** How long to wait before a failed subscription is asked for again. */
+    /** The delay before a subscription to the list of nodes is requested again after a failure. */
     private static final double ASK_AGAIN_MS = 1_000;
 
     // ---- State -----------------------------------------------------------------------------------------
@@ -84,7 +107,10 @@
     private Settings settings;
     private final SplittableRandom random;
     private final Fleet fleet;
-    /** Looked up only, never walked. An entry goes when the request is over and its attempts are back. */
+    /**
+     * Pending requests by id. It is never iterated, as its order is undefined. An entry is removed once the
+     * request is closed and all its attempts have ended.
+     */
     private final Map<Long, Open> open = new HashMap<>();
 
     private final Bounded<Part, Copies> beliefs = new Bounded<>(MOST_BELIEFS);
@@ -96,22 +122,30 @@
     private final Carried byParents = new Carried(CARRIED_MS);
     private double retryTokens = RETRY_SAVED;
     private double backupTokens;
+    /** The limit on fills through the caches of this location. */
     private final Gate fills = new Gate();
-    /** What goes past the caches, straight to a parent or the origin: not tried yet, it opens by answers. */
+    /**
+     * The limit on requests that bypass the caches and go straight to a parent or the origin. It starts
+     * low, as nothing is known about this path, and grows with answers in time.
+     */
     private final Gate past = new Gate(PAST_FIRST);
 
     private boolean watching;
+    /** The mean worth of recent requests. */
     private double worthAsked;
+    /** The mean work of recent requests, in milliseconds. */
     private double workAsked;
-    /** How much the request being routed is favoured where limits bind. */
+    /** The priority of the request that is being routed, by which limits are multiplied. */
     private double favour = 1;
-    /** Where the request being routed stands among those that a limit under one lets in. */
+    /** {@link Open#draw} of the request that is being routed. */
     private double draw;
 
     private double now;
     private Consumer<Action> out;
 
-    /** Creates the decisions of one director, which start with nothing but their settings. */
+    /**
+     * Creates a policy that knows nothing but its settings. The seed makes its random choices repeatable.
+     */
     public Decide(Settings settings, long seed) {
         this.settings = settings;
         this.random = new SplittableRandom(seed);
@@ -123,22 +157,22 @@
     public void handle(double nowMs, Event event, Consumer<Action> sink) {
         now = nowMs;
         out = sink;
-        if (event instanceof Request e) {
-            onRequest(e);
-        } else if (event instanceof Outcome e) {
-            onOutcome(e);
-        } else if (event instanceof Alarm e) {
-            onAlarm(e.token());
-        } else if (event instanceof Gone e && open.containsKey(e.request())) {
-            end(open.get(e.request()));
-        } else if (event instanceof Members e) {
-            onMembers(e);
-        } else if (event instanceof Purged e) {
-            onPurged(e);
-        } else if (event instanceof FirstByte e && open.containsKey(e.request())) {
-            open.get(e.request()).over = true;
-        } else if (event instanceof Retuned e) {
-            settings = e.settings();
+        if (event instanceof Request request) {
+            onRequest(request);
+        } else if (event instanceof Outcome outcome) {
+            onOutcome(outcome);
+        } else if (event instanceof Alarm alarm) {
+            onAlarm(alarm.token());
+        } else if (event instanceof Gone gone && open.containsKey(gone.request())) {
+            end(open.get(gone.request()));
+        } else if (event instanceof Members members) {
+            onMembers(members);
+        } else if (event instanceof Purged purge) {
+            onPurged(purge);
+        } else if (event instanceof FirstByte firstByte && open.containsKey(firstByte.request())) {
+            open.get(firstByte.request()).over = true;
+        } else if (event instanceof Retuned retune) {
+            settings = retune.settings();
             meanWork.retune(settings.classes());
         }
     }
@@ -155,7 +189,7 @@
         workAsked += (sizeOf(r) - workAsked) * newest;
         Open o = new Open(r, now + r.remainingMs(), random.nextDouble());
         open.put(r.id(), o);
-        // Rule 1: the clock moves in ticks, so the last moment to answer in time is two of them early.
+        // Rule 1: the clock advances in ticks, so an alarm that is surely in time is set two ticks early.
         out.accept(new WakeAt(o.deadline - 2 * settings.tickMs(), r.id()));
         route(o);
         if (settings.mayDuplicate() && settings.classes().get(r.category()).effect() == Effect.SAFE) {
@@ -164,8 +198,10 @@
     }
 
     /**
-     * At half its aim a request goes on elsewhere from a cache silent since; else a copy goes to another
-     * holder or where the first went, earned by hits never answered and lost by late ones, against jams.
+     * Handles the backup timer, which is due at half the latency target. If the cache has answered nothing
+     * since the attempt was sent, the request is retried elsewhere. Otherwise a backup attempt goes to
+     * another free holder, or to the first target again. Backup tokens, which unanswered hits add and late
+     * hits take away, keep backups from feeding congestion.
      */
     private void backUp(Open o) {
         Attempt first = o.attempts.size() == 1 ? o.attempts.get(0) : null;
@@ -190,7 +226,10 @@
         }
     }
 
-    /** Sends a request where LRL replication says: a free holder, else a keeping fill at the next cache. */
+    /**
+     * Routes a request by LRL replication: to a cache that holds the object and is free, otherwise as a
+     * fill that is kept at the next cache.
+     */
     private void route(Open o) {
         favour = favour(o.request);
         draw = o.draw;
@@ -214,7 +253,7 @@
         } else if (!free.isEmpty()) {
             send(o, pick(free), rank(o.request), false);
         } else if (caches.contains(filling)) {
-            // A fill under way is no loss: the request joins it where it runs.
+            // A fill in progress is no loss: the request joins it at its cache.
             send(o, filling, rank(o.request), true);
         } else {
             lose(o, caches, holders);
@@ -222,15 +261,20 @@
     }
 
     /**
-     * While many answers come late, lets in only so many as came in time. Guards against jams of a cache, a
-     * location's link, a parent or the origin: in them open fills hold the caches' places,
-     * and hits are turned away. Covers slowness of any cause. Could harm where answers are late for a
-     * reason other than their number.
+     * Returns whether a limit is reached for the request that is being routed. While many answers are late,
+     * a limit admits only as many attempts as were answered in time. It guards against congestion of a
+     * cache, the location's link, a parent or the origin, during which open fills occupy the slots of the
+     * caches and hits are refused. It reacts to slowness of any cause, and could do harm where answers are
+     * late for a reason other than their number.
      */
     private boolean shut(Gate g) {
         return g.inside + draw >= g.limit * favour;
     }
 
+    /**
+     * Adapts a limit to an answer: additive increase after an answer in time, multiplicative decrease once
+     * too many answers are late.
+     */
     private void learn(Gate g, boolean late, boolean mayCut) {
         g.lateShare += ((late ? 1 : 0) - g.lateShare) * NEWEST / 2;
         if (!late) {
@@ -242,9 +286,11 @@
     }
 
     /**
-     * A late hit is its cache's; a late fill also the node's that is late far more than its peers. Learned
-     * once for an attempt, at its aim where it is still out. Guards against nodes that swallow requests: they
-     * show no later so than slow ones; other fills stay let in. Could harm where an aim is too short.
+     * Records once for each attempt whether it was late: at its latency target if it is still in flight
+     * then, otherwise when it ends. A late hit counts against its cache. A late fill counts against the
+     * node that is late far more often than its peers, or else against the path that it took. It guards
+     * against nodes that take requests and never answer: they are noticed as early as slow ones, and fills
+     * by way of other nodes stay admitted. It could do harm where a latency target is too short.
      */
     private void learnLateness(Attempt a, boolean late, boolean byTarget, boolean bySource) {
         if (a.learned) {
@@ -252,22 +298,26 @@
         }
         a.learned = true;
         a.target.hitLate += a.fill ? 0 : ((late ? 1 : 0) - a.target.hitLate) * NEWEST;
-        // A cache whose hits are late too is crowded itself: there a late fill tells nothing of its way.
-        boolean crowded = a.target.hitLate > LATE_SHARE;
-        learn(a.target.gate, late, byTarget || crowded);
+        // If a cache's hits are late too, the cache itself is overloaded: its late fills say nothing of the
+        // path.
+        boolean overloaded = a.target.hitLate > LATE_SHARE;
+        learn(a.target.gate, late, byTarget || overloaded);
         if (a.fetches()) {
             learn(a.source.sourceGate, late, bySource);
         }
-        if (a.fill && !a.joined && !(late && (bySource || crowded))) {
+        if (a.fill && !a.joined && !(late && (bySource || overloaded))) {
             learn(way(a), late, true);
         }
     }
 
-    /** The gate of the way that an attempt's bytes come by, beside the node's own. */
+    /**
+     * Returns the limit of the path that an attempt takes, which applies besides the limits of its nodes.
+     */
     private Gate way(Attempt a) {
         return fleet.isCache(a.target) ? fills : past;
     }
 
+    /** Handles an attempt that has reached its latency target or the deadline of its request. */
     private void overdue(Attempt a) {
         if (!a.back) {
             learnLateness(a, true, a.surelyHeld || lateTarget(a), lateSource(a));
@@ -281,7 +331,10 @@
         return worse(a.target, s -> s.gate.lateShare);
     }
 
-    /** A source is late by the measure of others in use: one that is out is never late, and shows none. */
+    /**
+     * Returns whether an attempt's source is late far more often than its peers. At least one peer must not
+     * be excluded, as an excluded node serves nothing, is never late and so gives no measure.
+     */
     private boolean lateSource(Attempt a) {
         return a.source != null
                 && worse(a.source, s -> s.sourceGate.lateShare)
@@ -307,15 +360,19 @@
         return settings.classes().get(o.request.category()).wantedWithinMs(sizeOf(o.request));
     }
 
-    /** While limits bind, what is worth most for its work goes first: its share of a limit, around 1. */
+    /**
+     * Returns the factor, around 1, by which limits are multiplied for a request: its worth for its work
+     * against the mean. Where limits are reached, the requests worth most for their work are admitted
+     * first.
+     */
     private double favour(Request r) {
         double density = settings.classes().get(r.category()).worth() / Math.max(1, sizeOf(r));
         return Math.max(1 / FAVOUR_MOST, Math.min(FAVOUR_MOST, density * workAsked / worthAsked));
     }
 
-    /** A loss: every believed holder is busy, or there is none. */
+    /** Handles a loss: all believed holders are busy, or there are none. */
     private void lose(Open o, List<Server> caches, List<Server> holders) {
-        // A client's repeat or our own further attempt is no new demand and adds no copy.
+        // A client's repeat or a retry of this policy is no new demand and adds no copy.
         boolean demand = !o.request.repeat() && o.attempts.isEmpty();
         if (!holders.isEmpty()) {
             if (!demand) {
@@ -344,7 +401,8 @@
         } else if (shut(next.gate) || cold(next)) {
             bypass(o);
         } else {
-            // No fill is let in, but where directors meet, not talking, others have often filled it.
+            // No fill is admitted. Another doorman may have filled the object at the same cache, as all of
+            // them choose it by the same hash, so the cache is asked for a copy without a fill.
             attempt(o, next, next, rank(o.request), false);
         }
     }
@@ -364,7 +422,10 @@
         });
     }
 
-    /** A holder is free while ours in flight to it stay under one more than our mean to a cache here. */
+    /**
+     * Returns whether a holder is free: below its limit, and with fewer hits in flight from this doorman
+     * than the mean over the location's caches plus one.
+     */
     private boolean free(Server s) {
         return !shut(s.gate) && s.serving < 1 + (double) fleet.serving / fleet.caches.size();
     }
@@ -382,8 +443,9 @@
     // ---- Candidates ------------------------------------------------------------------------------------
 
     /**
-     * The location's caches that may take this request: first those in use and not yet tried. One out of
-     * reach is none, however few are left: where a whole location is lost, requests pass it by.
+     * Returns the location's caches that may take this request. Usable caches that the request has not
+     * tried come first. An unreachable cache is never a candidate, however few are left: if a whole
+     * location is lost, its requests bypass it.
      */
     private List<Server> candidates(Open o) {
         double work = meanWork.of(o.request.category());
@@ -399,7 +461,10 @@
         return untried.isEmpty() ? good : untried;
     }
 
-    /** Rule 2: once a keyed request may have run, it stays in the group that drops its repeats. */
+    /**
+     * Rule 2: returns whether a node may take this request. An unsafe request that may have run is not sent
+     * again, and a keyed one only within its key window and to the group of nodes that drops its repeats.
+     */
     private boolean mayTake(Open o, Server s) {
         RequestClass c = settings.classes().get(o.request.category());
         if (c.effect() == Effect.SAFE || !o.maybeRan) {
@@ -419,11 +484,13 @@
     }
 
     /**
-     * The source of a fill: the next parent in the object's hash, the origin when no parent is up. What is
-     * believed held may turn into a fill after all, beside every budget: it names no cold parent.
+     * Returns the source of a fill: the parent with the highest rendezvous score for the object, or the
+     * origin if no parent is usable. A request that is expected to hit may still turn into a fill that no
+     * budget covers, so for it ({@code fill} false) no cold parent is named.
      */
     private Server source(Open o, boolean fill) {
-        // With the origin failing more, a parent is not at fault for what it lacks, and serves what it holds.
+        // While the origin fails more often than a parent, the parent is not at fault for what it lacks and
+        // still serves what it holds, so it is named although it is excluded.
         double failing = fleet.origin == null ? 0 : fleet.origin.failShare;
         double blameless = failing > BAD_SHARE ? failing : 0;
         double work = meanWork.of(o.request.category());
@@ -456,8 +523,9 @@
     }
 
     /**
-     * No cache may take it, or none is let: straight to a parent, else to the origin, else refused. The bytes
-     * come by the location's link but load no cache: each of these ways is shut by its own late answers.
+     * Sends a request straight to a parent, else to the origin, as no cache may take it or all are at their
+     * limits; refuses it if that is impossible. The answer takes the location's link but loads no cache, so
+     * this path has a limit of its own, which its own late answers lower.
      */
     private void bypass(Open o) {
         Server source = settings.direct() ? source(o, true) : null;
@@ -471,7 +539,10 @@
 
     // ---- Attempts and answers --------------------------------------------------------------------------
 
-    /** Also a repeat, a joined fill or a further attempt finds a shut cache shut. */
+    /**
+     * Sends a request to a cache, or past the caches if the cache is at its limit. The limit holds for
+     * repeats, joined fills and retries too.
+     */
     private void send(Open o, Server target, int rank, boolean fill) {
         if (shut(target.gate)) {
             bypass(o);
@@ -510,7 +581,7 @@
         return settings.joins() && c != null && c.fillsOpen > 0 && c.fillAt == target.id();
     }
 
-    /** Counts an attempt in, or with {@code change} -1 out. */
+    /** Adds an attempt to the counts of attempts in flight, or with {@code change} -1 removes it. */
     private void enter(Request r, Attempt a, int change) {
         a.target.gate.inside += change;
         if (!a.fill) {
@@ -564,7 +635,10 @@
         forgetIfDone(o);
     }
 
-    /** Further attempts come out of a budget, not to feed overload; a look in vain is the last at caches. */
+    /**
+     * Makes a further attempt if the retry budget covers it, so that retries don't feed an overload. After
+     * a lookup at a cache that had no copy, the request bypasses the caches at no cost.
+     */
     private void tryAgain(Open o, boolean inVain) {
         if (inVain) {
             bypass(o);
@@ -576,8 +650,9 @@
         }
     }
 
+    /** Updates which caches are believed to hold the part that was requested. */
     private void believe(Request r, Attempt a, Outcome e) {
-        // What was sent before a restart tells nothing of what the new process holds.
+        // An attempt from before a restart doesn't show what the new process holds.
         boolean current = a.sentAt >= a.target.forgetBefore;
         boolean kept = e.result() == Result.OK && a.rank > 0 && fleet.isCache(a.target) && current;
         if (kept) {
@@ -611,7 +686,10 @@
         giveUp(o);
     }
 
-    /** The final answer for what we can't serve: at once, and with advice where a repeat is harmless. */
+    /**
+     * Gives the final answer to a request that can't be served, without waiting for the deadline: a refusal
+     * that says when to come back where a repeat is harmless, otherwise a failure.
+     */
     private void giveUp(Open o) {
         RequestClass c = settings.classes().get(o.request.category());
         boolean mayRun = o.maybeRan || o.waiting();
@@ -621,6 +699,7 @@
         end(o);
     }
 
+    /** Closes a request and cancels its attempts in flight. */
     private void end(Open o) {
         o.over = true;
         for (int i = 0; i < o.attempts.size(); i++) {
@@ -639,6 +718,10 @@
 
     // ---- Work and cold nodes (rule 4) ------------------------------------------------------------------
 
+    /**
+     * Returns the work of a request in milliseconds: by its size if that is known, else the mean of its
+     * class.
+     */
     private double sizeOf(Request r) {
         return r.sizeKb() > 0 ? r.sizeKb() / settings.paceKbPerMs() : meanWork.of(r.category());
     }
@@ -659,11 +742,12 @@
     }
 
     /**
-     * A cold node takes from us a share of what a warm peer carries for us: about as much as it can do, and
-     * under the rule's budget when summed over all directors, since peers carry no more than they can. It
-     * accrues with time, from a debt that differs from director to director, so that few send at once however
-     * many there are. Guards rule 4 and against late answers of a node that is still cold. Could harm where
-     * peers carried little before: the node warms slowly.
+     * Rule 4: returns whether the budget of a cold node covers this work. A cold node gets a share of the
+     * work that a warm peer serves for this doorman: about as much as it can do, and summed over all
+     * doormans less than the rule's budget, since peers serve no more than they can. The budget accrues
+     * with time from a debt that differs from doorman to doorman, so that few send at once however many
+     * there are. It also guards against late answers of a node that is still cold. It could do harm where
+     * peers served little before: the node then warms up slowly.
      */
     private boolean coldAllows(Server s, double work) {
         if (!cold(s)) {
@@ -676,13 +760,16 @@
         return s.cold.covers(work);
     }
 
-    /** The debt that a cold node starts with: spread evenly over the directors, up to one request. */
+    /** Sets the debt of a node that has started: up to one request, spread evenly over the doormans. */
     private void startCold(Server s) {
         double turn = (double) settings.me() / settings.directors() + Rendezvous.unit(s.id());
         s.cold.start(meanWork.most() * (turn - Math.floor(turn)), now);
     }
 
-    /** What a warm peer of this node has carried for us at most, in work a millisecond. */
+    /**
+     * Returns the work in a millisecond that a warm peer of a cold node serves for this doorman: the
+     * highest average seen, or this doorman's share of the node's size if that is more.
+     */
     private double warmRate(Server cold) {
         boolean cache = fleet.isCache(cold);
         int sharers = cache ? settings.zoneDirectors().get(settings.zone()) : settings.directors();
@@ -692,10 +779,12 @@
 
     // ---- Health ----------------------------------------------------------------------------------------
 
+    /** Returns whether a node may get new work: it is not excluded, or is due for a trial. */
     private boolean inUse(Server s) {
         return !s.isOut || now >= s.outUntil && !s.onTrial;
     }
 
+    /** Starts a trial of an excluded node if one is due. Only one is in flight at a time. */
     private boolean takeTrial(Server s) {
         if (s.isOut && now >= s.outUntil && !s.onTrial) {
             s.onTrial = true;
@@ -704,7 +793,7 @@
         return false;
     }
 
-    /** Books an outcome to the node that caused it: the target, or the source of its fill. */
+    /** Attributes an outcome to the node that caused it: the target, or the source of its fill. */
     private void judge(Open o, Attempt a, Outcome e) {
         if (a.trial) {
             a.target.onTrial = false;
@@ -729,10 +818,11 @@
     }
 
     /**
-     * Notes tell a failed source from a failed cache. Without them a failed fill counts against both, and
-     * the comparison with peers clears the one that merely stood beside the other. Who turned a fill away is
-     * told by who else does: a cache that drains, which the list tells late, turns away all that comes, and
-     * its sources are well; a source that is gone fails at every cache.
+     * Attributes a failure to the target or to the source. Notes distinguish a failed source from a failed
+     * cache. Without them a failed fill counts against both, and the comparison with their peers clears the
+     * one that is not at fault. For a refused fill, other refusals show which one it is: a draining cache,
+     * of which the list reports late, refuses everything while its sources are healthy, and a source that
+     * is gone fails at every cache.
      */
     private void blame(Attempt a, Outcome e, boolean sourced) {
         boolean untold = sourced && settings.notes() != Notes.ALL;
@@ -782,9 +872,10 @@
     }
 
     /**
-     * A node that was not there and answers again has most likely restarted: it is cold and empty, and the
-     * list tells late. Guards against pushing it over before that, which no rule counts but which lasts.
-     * Could harm where a path and no process was down: the node takes less for a while.
+     * Treats a node as restarted. One that was unreachable and answers again most likely has restarted: it
+     * is cold and empty, and the list reports that late. It guards against overloading the node until then;
+     * no rule counts that, but its effects last. It could do harm where the network path and not the
+     * process was down: the node gets less work for a while.
      */
     private void presumeRestart(Server s) {
         s.presumedStart = now;
@@ -793,6 +884,10 @@
         startCold(s);
     }
 
+    /**
+     * Records a failure of a node and excludes it if it is unreachable, or fails too often and more than
+     * its peers. Attempts from before an exclusion don't prolong it.
+     */
     private void failed(Server s, Attempt a, boolean hard) {
         s.failShare += (1 - s.failShare) * NEWEST;
         s.unreachable |= hard;
@@ -803,11 +898,15 @@
         }
     }
 
-    /** Whether a node does far worse than its median peer: what troubles all alike is not a node's fault. */
+    /**
+     * Returns whether a node does far worse than its median peer. What affects all alike is no node's
+     * fault.
+     */
     private boolean worse(Server s, ToDoubleFunction<Server> measure) {
         return Lists.overTwiceMedian(s, fleet.peers(s), measure);
     }
 
+    /** Excludes a node for a time that doubles with each exclusion. The origin is never excluded. */
     private void leaveOut(Server s, String why) {
         if (s.node.kind() == settings.originKind()) {
             return;
@@ -858,7 +957,7 @@
         }
         if (n.startedAtMs() > s.node.startedAtMs()) {
             startCold(s);
-            // A restarted process is cold and empty: beliefs about it are void, and so is its record.
+            // A restarted process is cold and empty: its believed copies and its error record are void.
             s.restarted(now);
             log(s, "has restarted: cold");
         }
@@ -884,15 +983,20 @@
     }
 
     /**
-     * Whether a copy past its fresh time is worth more than the fill in its place, as fills have gone lately:
-     * then it will do, and is renewed behind. Guards against all that keeps fills out; it costs worth.
+     * Returns whether a stale copy is accepted, as it is worth more than the fill in its place given the
+     * recent share of late fills. The copy is then renewed in the background. It guards against all causes
+     * that keep fills from being admitted, at the cost of the lower worth of stale answers. A lookup
+     * without a fill always accepts a stale copy.
      */
     private boolean risky(Attempt a, RequestClass c) {
         double served = 1 - (a.source == null ? 0 : Math.max(a.source.sourceGate.lateShare, fills.lateShare));
         return !a.fill && a.source == a.target || served < c.staleWorth();
     }
 
-    /** The oldest copy that will do: while older ones may still be about, none from before the purge. */
+    /**
+     * Rule 5: returns the highest age of a copy that is accepted, or 0 where it is not bounded. While
+     * copies from before a purge may still exist, none of them is accepted.
+     */
     private double maxAge(Request r, boolean risky) {
         RequestClass c = settings.classes().get(r.category());
         double fresh = risky && c.freshMs() > 0 ? c.freshMs() + c.graceMs() : c.freshMs();
--- a/decision/src/main/java/barleyspur/decision/Director.java
+++ b/decision/src/main/java/barleyspur/decision/Director.java
@@ -4,22 +4,22 @@
 import java.util.function.Consumer;
 
 /**
- * What a request router's host and its decision module say to each other.
+ * A policy that routes requests to caches, with the settings, events and actions that it exchanges with its host.
  *
- * <p>All times are milliseconds on the host's own clock, which only advances. A director has no clock,
- * no I/O and no randomness of its own: the same settings, seed and events give the same actions.
+ * <p>All times are in milliseconds on the host's clock, which only advances. A policy has no clock, no I/O and no
+ * source of randomness but its seed: the same settings, seed and events give the same actions.
  */
 public interface Director {
 
-    /** Node id that stands for "no node". Real ids are never negative. */
+    /** The id that means "no node". Ids of nodes are never negative. */
     long NO_NODE = -1;
 
-    /** Handles one event at {@code nowMs}; actions go to {@code out} in the order to carry them out. */
+    /** Handles one event at {@code nowMs}. The actions are passed to {@code out} in the order to carry them out. */
     void handle(double nowMs, Event event, Consumer<Action> out);
 
-    // ---- settings, given once at the start ------------------------------------------------------------
+    // ---- settings, given at the start and with a retune --------------------------------------------
 
-    /** May a request run twice: freely, only within a group that drops repeats, or never. */
+    /** Whether a request may run twice: freely, only within a group of nodes that drops repeats, or never. */
     enum Effect {
         SAFE,
         KEYED,
@@ -33,28 +33,42 @@
         CELL
     }
 
-    /** Which caches may be the source of a fill. */
+    /** Which other caches may be the source of a fill. */
     enum Siblings {
         NONE,
         LOCATION,
         ANY
     }
 
-    /** Which notes come with outcomes. */
+    /** Which notes come with the outcomes of attempts. */
     enum Notes {
         ALL,
         HIT,
         NONE
     }
 
-    /** How load reports reach the director. */
+    /** How load reports reach the policy. */
     enum Reports {
         WITH_ANSWERS,
         WITH_PROBES,
         NONE
     }
 
-    /** One class of request; {@code freshMs} 0: fresh until purged. */
+    /**
+     * One class of requests.
+     *
+     * @param keyWindowMs how long a group of nodes drops repeats of a keyed request
+     * @param aimMs the latency target of an answer, without the time that sending it takes
+     * @param aimStretch how much the latency target grows with each millisecond of work
+     * @param worth the worth of an answer within the latency target
+     * @param lateWorth the worth of a later answer
+     * @param stream whether answers are streamed
+     * @param parts whether objects are requested in parts
+     * @param write whether requests write, so that no copy is kept
+     * @param freshMs how long a copy stays fresh; 0: until it is purged
+     * @param graceMs how long after {@code freshMs} a stale copy may still be used
+     * @param staleWorth the worth of a stale answer, as a share of a fresh one's
+     */
     record RequestClass(
             Effect effect,
             Scope scope,
@@ -71,22 +85,44 @@
             double graceMs,
             double staleWorth) {
 
-        /** By when a request whose answer takes so long to send is wanted, from when it came. */
+        /** Returns the latency target, from the arrival of a request, of an answer that takes this long to send. */
         public double wantedWithinMs(double workMs) {
             return aimMs + aimStretch * workMs;
         }
     }
 
-    /** How a newly started node gains capacity, and what pushes it over. */
+    /**
+     * How the capacity of a node grows after its start, and what overloads it.
+     *
+     * @param fromShare the share of its capacity that it has at its start
+     * @param warmAfterMs the time from its start until it has all of its capacity
+     * @param fallMultiple the multiple of its current capacity that overloads it
+     */
     record ColdRule(double fromShare, double warmAfterMs, double fallMultiple) {
 
-        /** The part of its capacity that a node has so long after its start. */
+        /** Returns the share of its capacity that a node has at this age. */
         public double shareAt(double ageMs) {
             return fromShare + (1 - fromShare) * (Math.max(0, ageMs) / warmAfterMs);
         }
     }
 
-    /** What a director is told at its start. {@code zoneDirectors} has one figure for each zone. */
+    /**
+     * The settings of a policy.
+     *
+     * @param me the index of this doorman in its fleet
+     * @param directors the number of doormans in the fleet
+     * @param zoneDirectors the number of doormans that serve each zone
+     * @param sizesCount whether the sizes of listed nodes are stable and serve as weights
+     * @param mustAsk whether the list of nodes has to be subscribed to
+     * @param tickMs the resolution of the host's clock
+     * @param fallSpanMs the time over which the load on a cold node is summed
+     * @param purgeGraceMs the time within which a purge must be obeyed
+     * @param purgeDoneMs the time after which no copy from before a purge is left
+     * @param direct whether requests may bypass the caches
+     * @param joins whether a request may join a fill that is in progress
+     * @param paceKbPerMs the throughput at which answers are sent
+     * @param reportFields the names of the values in a load report, in their order
+     */
     record Settings(
             List<RequestClass> classes,
             int me,
@@ -120,7 +156,7 @@
             boolean mayTell,
             double maxRetryAfterMs) {
 
-        /** These settings with other classes and another cap on attempts: all that a retune changes. */
+        /** Returns these settings with other classes and another limit on attempts, all that a retune can change. */
         public Settings retuned(List<RequestClass> nextClasses, int nextMaxAttempts) {
             return new Settings(
                     List.copyOf(nextClasses),
@@ -159,17 +195,17 @@
 
     // ---- events ---------------------------------------------------------------------------------------
 
-    /** What the list says of a node. */
+    /** The state of a listed node. */
     enum State {
         READY,
         DRAINING,
         GONE
     }
 
-    /** One node as listed; {@code startedAtMs} 0: long ago. */
+    /** One listed node; {@code startedAtMs} 0: started long ago. */
     record Node(long id, int zone, int kind, int cell, State state, double size, double startedAtMs) {}
 
-    /** How a list of nodes is to be read. */
+    /** How a list of nodes is to be interpreted. */
     enum ListKind {
         FULL,
         CACHED,
@@ -189,7 +225,7 @@
         MOOT,
         MISS;
 
-        /** False where the outcome proves that the request never ran. */
+        /** Returns false if the outcome proves that the request never ran. */
         public boolean mayHaveRun() {
             return switch (this) {
                 case FULL, CONNECT_FAILED, MOOT, MISS -> false;
@@ -198,7 +234,7 @@
         }
     }
 
-    /** What an outcome says about the copy or its fill. */
+    /** What an outcome reports about the copy or its fill. */
     enum Note {
         NONE,
         HIT,
@@ -213,13 +249,13 @@
         ORIGIN_FAILED
     }
 
-    /** All that a director can be told. */
+    /** The events that a policy handles. */
     sealed interface Event permits Members, Request, FirstByte, Outcome, Gone, Alarm, Probed, Told, Purged, Retuned {}
 
-    /** The list of nodes, whole or changed. */
+    /** The list of nodes, complete or as a change. */
     record Members(ListKind kind, List<Node> nodes) implements Event {}
 
-    /** A client's request for a part of an object; {@code sizeKb} 0: not told. */
+    /** A client's request for a part of an object; {@code sizeKb} 0: unknown. */
     record Request(
             long id,
             int category,
@@ -233,10 +269,10 @@
             boolean write)
             implements Event {}
 
-    /** A streamed answer has begun; it belongs to the client from here on. */
+    /** A streamed answer has begun, so the request can't be answered otherwise from now on. */
     record FirstByte(long request, int attempt, long node) implements Event {}
 
-    /** How an attempt ended; {@code closed}: the request is over. */
+    /** The outcome of an attempt; {@code closed}: the request is over. */
     record Outcome(
             long request,
             int attempt,
@@ -249,38 +285,45 @@
             List<Float> load)
             implements Event {}
 
-    /** The client left. */
+    /** The client has left and needs no answer. */
     record Gone(long request) implements Event {}
 
-    /** A timer of ours is due. */
+    /** A timer that the policy ordered with {@link WakeAt} is due. */
     record Alarm(long token) implements Event {}
 
     /** The answer to a probe. */
     record Probed(long node, Result result, double latencyMs, List<Float> load) implements Event {}
 
-    /** A peer's message. */
+    /** A message from another doorman. */
     record Told(int from, byte[] body) implements Event {}
 
-    /** An object, or with {@code object} 0 a whole group, was purged {@code ageMs} ago. */
+    /** An object, or with {@code object} 0 all of its group, was purged {@code ageMs} ago. */
     record Purged(int group, long object, double ageMs) implements Event {}
 
     /**
-     * The settings have changed while the director runs. Classes keep their numbers: a changed or added class comes
-     * behind those before, so that open requests keep the class that they were taken under.
+     * The settings have changed while the policy runs. Classes keep their numbers: a changed or added class is
+     * appended to those before, so that pending requests keep the class with which they were accepted.
      */
     record Retuned(Settings settings) implements Event {}
 
     // ---- actions --------------------------------------------------------------------------------------
 
-    /** All that a director can order. */
+    /** The actions that a policy orders from its host. */
     sealed interface Action permits Send, Get, Cancel, Refuse, Fail, WakeAt, Probe, HangUp, Tell, Log, Watch, Fetch {}
 
-    /** An attempt that asks a node for what it holds. */
+    /** Sends an attempt that leaves the choice of a source to the node. */
     record Send(long request, long node, double timeoutMs) implements Action {}
 
     /**
-     * An attempt that also says where a miss is filled from ({@code source} = {@code node}: no fill), at
-     * which rank the copy is kept (0: passed through) and how old it may be (0: as its class says).
+     * Sends an attempt with instructions for a miss and for the copy.
+     *
+     * @param source the node that a miss is filled from; equal to {@code node}: no fill
+     * @param rank the rank at which the copy is kept; 0: it is not kept
+     * @param maxAgeMs the highest age of a copy that is accepted; 0: as its class allows
+     * @param join whether the attempt may join a fill that is in progress
+     * @param onlyHeld whether the source may answer only with a copy that it holds
+     * @param parentKeepsNone whether the parent keeps no copy
+     * @param renew whether the node renews a stale copy in the background
      */
     record Get(
             long request,
@@ -295,7 +338,7 @@
             boolean renew)
             implements Action {
 
-        /** One that a source may fill from elsewhere, and a parent may keep. */
+        /** Returns an attempt whose source may fill from elsewhere and whose parent may keep a copy. */
         public static Get of(
                 long request,
                 long node,
@@ -309,33 +352,33 @@
         }
     }
 
-    /** Stop waiting for an attempt. */
+    /** Cancels an attempt. */
     record Cancel(long request, int attempt) implements Action {}
 
-    /** Final answer: turned away, come back after {@code pauseMs}. */
+    /** Gives the final answer that the request is refused and may be repeated after {@code pauseMs}. */
     record Refuse(long request, double pauseMs) implements Action {}
 
-    /** Final answer: failed, with no promise about its effect. */
+    /** Gives the final answer that the request has failed and may or may not have taken effect. */
     record Fail(long request) implements Action {}
 
-    /** Ask for an {@link Alarm} at {@code atMs}. */
+    /** Orders an {@link Alarm} at {@code atMs}. */
     record WakeAt(double atMs, long token) implements Action {}
 
-    /** Check a node. */
+    /** Sends a health check to a node. */
     record Probe(long node) implements Action {}
 
-    /** Close idle connections to a node. */
+    /** Closes the idle connections to a node. */
     record HangUp(long node) implements Action {}
 
-    /** A message to a peer, or with {@code to} -1 to all. */
+    /** Sends a message to another doorman, or with {@code to} -1 to all. */
     record Tell(int to, byte[] body) implements Action {}
 
-    /** A line for on-call staff. */
+    /** Writes a line to the log. */
     record Log(String line) implements Action {}
 
-    /** Subscribe to changes of the list. */
+    /** Subscribes to changes of the list of nodes, or unsubscribes. */
     record Watch(boolean on) implements Action {}
 
-    /** Ask for the whole list once. */
+    /** Requests the complete list of nodes once. */
     record Fetch() implements Action {}
 }
--- a/decision/src/main/java/barleyspur/decision/Gate.java
+++ b/decision/src/main/java/barleyspur/decision/Gate.java
@@ -1,18 +1,26 @@
 package barleyspur.decision;
 
-/** How late answers by one way have come lately, and how many attempts are let in by it. */
+/**
+ * An adaptive limit on the attempts in flight to a node or by a path, with the recent share of late answers that it
+ * is adapted by.
+ */
 final class Gate {
 
+    /** The number of attempts in flight. */
     int inside;
+    /** The most attempts in flight that are admitted. Under 1 it admits a share of the requests. */
     double limit;
+    /** The moving share of late answers. */
     double lateShare;
+    /** When the limit was last decreased. */
     double cutAt = Double.NEGATIVE_INFINITY;
 
-    /** Lets all in until answers come late. */
+    /** Creates a limit that admits everything until answers are late. */
     Gate() {
         this(1e9);
     }
 
+    /** Creates a limit with an initial value. */
     Gate(double limit) {
         this.limit = limit;
     }
--- a/decision/src/main/java/barleyspur/decision/Lists.java
+++ b/decision/src/main/java/barleyspur/decision/Lists.java
@@ -5,12 +5,15 @@
 import java.util.function.Predicate;
 import java.util.function.ToDoubleFunction;
 
-/** Plain loops where streams would be shorter: each request walks a dozen lists, and a start has to compile it all. */
+/**
+ * List operations as plain loops. Streams would be shorter, but each request walks a dozen lists, and after a start
+ * all of the code has to be compiled.
+ */
 final class Lists {
 
     private Lists() {}
 
-    /** Those that pass, in their order. */
+    /** Returns the items that match, in their order. */
     static <T> List<T> where(List<T> from, Predicate<T> test) {
         List<T> passed = new ArrayList<>(from.size());
         for (int i = 0; i < from.size(); i++) {
@@ -22,8 +25,8 @@
     }
 
     /**
-     * Whether one measures over twice the lower median of the others, or is alone. Counts those under half of it,
-     * which says the same as sorting them and takes no memory.
+     * Returns whether the measure of one item exceeds twice the lower median of the others, or there are no others.
+     * Counts the others under half of its measure, which gives the same result as sorting them and takes no memory.
      */
     static <T> boolean overTwiceMedian(T one, List<T> all, ToDoubleFunction<T> measure) {
         double half = measure.applyAsDouble(one) / 2;
--- a/decision/src/main/java/barleyspur/decision/Part.java
+++ b/decision/src/main/java/barleyspur/decision/Part.java
@@ -1,11 +1,12 @@
 package barleyspur.decision;
 
 /**
- * One part of an object: what caches keep by itself. Looked up several times a request, so it compares and hashes
- * by itself; what records bring along is linked at run time and far slower.
+ * One part of an object, the unit that caches store. As a map key it is looked up several times a request, so it
+ * implements equals and hashCode itself: the generated methods of records are linked at run time and are far slower.
  */
 record Part(long object, int part) {
 
+    /** Returns the part that a request asks for. */
     static Part of(Director.Request r) {
         return new Part(r.object(), r.part());
     }
--- a/decision/src/main/java/barleyspur/decision/Rate.java
+++ b/decision/src/main/java/barleyspur/decision/Rate.java
@@ -1,9 +1,11 @@
 package barleyspur.decision;
 
-/** How much came in a millisecond, averaged over about a given time, from the first amount on. */
+/** Estimates a rate by exponentially decaying the amounts added, from the first amount on. */
 final class Rate {
 
+    /** The time after which an amount has decayed to 1/e. */
     private final double overMs;
+
     private double sum;
     private double startedAt = Double.NaN;
     private double at;
@@ -12,6 +14,7 @@
         this.overMs = overMs;
     }
 
+    /** Adds an amount at the current time. */
     void add(double amount, double now) {
         if (Double.isNaN(startedAt)) {
             startedAt = now;
@@ -22,7 +25,7 @@
         at = now;
     }
 
-    /** Unbiased once a quarter of the time has passed, too low before. */
+    /** Returns the rate per millisecond: unbiased once a quarter of the time constant has passed, too low before. */
     double perMs(double now) {
         if (Double.isNaN(startedAt)) {
             return 0;
--- a/decision/src/main/java/barleyspur/decision/Rendezvous.java
+++ b/decision/src/main/java/barleyspur/decision/Rendezvous.java
@@ -1,8 +1,8 @@
 package barleyspur.decision;
 
 /**
- * Rendezvous hashing weighted by size: of all nodes the one with the highest score for an object comes first, and
- * the order of the others does not change when one goes (Thaler and Ravishankar 1998; weights as by Schindelhauer and
+ * Weighted rendezvous hashing: an object belongs to the node with the highest score for it, and the order of the
+ * other nodes does not change when one is removed (Thaler and Ravishankar 1998; weights as by Schindelhauer and
  * Schomaker 2005).
  */
 final class Rendezvous {
@@ -10,8 +10,8 @@
     private Rendezvous() {}
 
     /**
-     * The score for an object of a node with this {@link #hash}, over 0; or 0 where it can't come to more than {@code beyond}. That is seen
-     * without a logarithm in most cases, as -log(u) is over 1 - u.
+     * Returns the score, above 0, of a node with this {@link #hash} for an object; or 0 if the score can't exceed the
+     * threshold. Most such scores are recognized without a logarithm, as -log(u) is at least 1 - u.
      */
     static double score(long object, long hash, double size, double beyond) {
         long h = mix(object * 0x9E3779B97F4A7C15L ^ hash);
@@ -19,17 +19,17 @@
         return size > beyond * (1 - u) * (1 - 1e-9) ? -size / Math.log(u) : 0;
     }
 
-    /** A node's own part in its scores. */
+    /** Returns the hash of a node's id that its scores are computed from. */
     static long hash(long node) {
         return mix(node + 0x632BE59BD9B4E019L);
     }
 
-    /** A number from 0 to 1, the same for the same id, that tells nothing of its order. */
+    /** Returns a pseudorandom number from 0 to 1 that depends on the id only. */
     static double unit(long id) {
         return (mix(id) >>> 11) * 0x1p-53;
     }
 
-    /** Spreads the bits of a number: what is near each other is so no more. */
+    /** Mixes the bits of a number (the finalizer of SplitMix64), so that near values give unrelated results. */
     static long mix(long z) {
         long a = (z ^ (z >>> 30)) * 0xBF58476D1CE4E5B9L;
         long b = (a ^ (a >>> 27)) * 0x94D049BB133111EBL;
--- a/decision/src/main/java/barleyspur/decision/Ring.java
+++ b/decision/src/main/java/barleyspur/decision/Ring.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * What rendezvous scores need of a list of nodes, side by side: every request scores all parents, and of hundreds most
- * are done with after a look at two numbers each.
+ * Computes rendezvous scores for a list of nodes. It keeps their hashes and weights in arrays, as each request scores
+ * all parents, and of hundreds most are discarded after comparing two numbers each.
  */
 final class Ring {
 
     private long[] hashes = {};
     private double[] weights = {};
 
-    /** Takes the place of the list before. */
+    /** Replaces the list of nodes. */
     void set(List<Server> nodes) {
         hashes = new long[nodes.size()];
         weights = new double[nodes.size()];
@@ -21,7 +21,7 @@
         }
     }
 
-    /** The score for an object of the node at a place of the list, as {@link Rendezvous#score} says. */
+    /** Returns the score for an object of the node at an index of the list; see {@link Rendezvous#score}. */
     double score(int place, long object, double beyond) {
         return Rendezvous.score(object, hashes[place], weights[place], beyond);
     }
--- a/decision/src/main/java/barleyspur/decision/Server.java
+++ b/decision/src/main/java/barleyspur/decision/Server.java
@@ -1,44 +1,58 @@
 package barleyspur.decision;
 
-/** What is known of one node, as target and as source. */
+/**
+ * The state that the policy tracks about one listed node, as a target of requests and as a source of fills.
+ */
 final class Server {
 
+    /** The node as last listed. */
     Director.Node node;
-    /** Its part in rendezvous scores: by its id, and by its size where sizes are told. */
+    /** The hash of the node's id in rendezvous scores. */
     final long hash;
-
+    /** The node's weight in rendezvous scores: its size, or 1 where sizes are not known. */
     double weight = 1;
+    /** Signs of copies from before this time are void, since the process has restarted. */
     double forgetBefore = Double.NEGATIVE_INFINITY;
+    /** This doorman's attempts in flight that are expected to hit. */
     int serving;
-    /** Share of what it should have held that came late. */
+    /** The share of late answers among expected hits. */
     double hitLate;
-
+    /** The limit on attempts to the node. */
     final Gate gate = new Gate();
+    /** The limit on fills that name the node as their source. */
     final Gate sourceGate = new Gate();
-    /** How busy it reported to be, and when it last answered anything. */
+    /** The load that the node last reported. */
     double busy;
-
+    /** When the node last answered an attempt. */
     double heardAt;
+    /** The moving share of failures among its outcomes. */
     double failShare;
-    /** No connection came up, or no cache could fill by way of it; a reset may have struck one only. */
+    /**
+     * No connection could be opened, or no cache could fill from the node. A reset does not count, as it may
+     * affect a single connection.
+     */
     boolean unreachable;
-    /** Attempts it turned away since it last answered one, and fills by way of it that caches did. */
+    /** Attempts that the node refused in a row. */
     int turnedAway;
-
+    /** Fills that caches refused in a row and that named the node as their source. */
     int refused;
-    /** Fills by way of it that were still out at their aim since it last served one. */
+    /** Fills from the node that were unanswered at their latency target, since it last served one. */
     int silent;
-
+    /** Whether the node gets no requests but trials. */
     boolean isOut;
+    /** Whether a trial of the excluded node is in flight. */
     boolean onTrial;
+    /** When the next trial of the excluded node may start. */
     double outUntil;
+    /** The length of the last exclusion. */
     double outFor;
+    /** The number of successful trials that are still needed to end the exclusion. */
     int trialsLeft;
-    /** What may be sent while it is cold. */
+    /** The work that may be sent to the node while it is cold. */
     final ColdBudget cold = new ColdBudget();
-    /** A restart that the list has not told, and until when it is believed without that. */
+    /** When the node was presumed to have restarted although the list does not report it. */
     double presumedStart;
-
+    /** Until when the node is treated as cold because of the presumed restart. */
     double presumedUntil;
 
     Server(Director.Node node) {
@@ -46,7 +60,7 @@
         this.hash = Rendezvous.hash(node.id());
     }
 
-    /** What was known of the process before is void. */
+    /** Resets what was known about the process before its restart. */
     void restarted(double now) {
         forgetBefore = now;
         presumedUntil = 0;
--- a/decision/src/main/java/barleyspur/decision/Work.java
+++ b/decision/src/main/java/barleyspur/decision/Work.java
@@ -4,15 +4,16 @@
 import java.util.List;
 
 /**
- * The mean sending time of each class, in milliseconds, learned from sizes where they are told and else from answers.
- * It starts at half the class's aim; a class that a retune adds starts so too, and those before keep what they
- * learned, since a class keeps its number for as long as the director runs.
+ * Estimates the mean time in which an answer of each class is sent, in milliseconds, from the sizes of requests where
+ * they are known, else from the latency of answers. An estimate starts at half the latency target of its class. A
+ * retune adds classes and keeps the estimates of those before, since a class keeps its number for as long as the
+ * policy runs.
  */
 final class Work {
 
-    /** Weights of the newest sample; answers also wait, so it rises the slower. */
+    /** The weight of a sample above the mean. It is the lower one, as the latency of answers includes waiting. */
     private static final double UP = 0.001;
-
+    /** The weight of a sample below the mean. */
     private static final double DOWN = 0.02;
 
     private double[] mean = new double[0];
@@ -21,7 +22,7 @@
         retune(classes);
     }
 
-    /** Classes have been added behind those before. */
+    /** Adds estimates for classes that were appended to those before. */
     void retune(List<Director.RequestClass> classes) {
         int before = mean.length;
         mean = Arrays.copyOf(mean, Math.max(before, classes.size()));
@@ -30,16 +31,18 @@
         }
     }
 
+    /** Returns the estimate of a class. */
     double of(int category) {
         return mean[category];
     }
 
+    /** Adds a sample of a class. */
     void learn(int category, double sample) {
         double rate = sample > mean[category] ? UP : DOWN;
         mean[category] += (sample - mean[category]) * rate;
     }
 
-    /** The longest of all classes. */
+    /** Returns the highest estimate of all classes. */
     double most() {
         return Arrays.stream(mean).max().orElse(0);
     }
--- a/decision/src/test/java/barleyspur/decision/Bench.java
+++ b/decision/src/test/java/barleyspur/decision/Bench.java
@@ -13,7 +13,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A director with a clock for tests: feeds it events and collects what it orders. */
+/** A test harness that gives a policy a clock, passes it events and collects the actions that it orders. */
 final class Bench {
 
     static final int CACHE = 0;
@@ -38,12 +38,12 @@
                 effect, Director.Scope.CELL, 2_000, 400, 2, 5_000, 1, 0.2, false, false, false, freshMs, 0, 0.7);
     }
 
-    /** Class 0 is fresh until purged, class 1 for 8 s, class 2 unsafe, class 3 keyed within a cell. */
+    /** Returns settings with four classes: 0 fresh until purged, 1 fresh for 8 s, 2 unsafe, 3 keyed within a cell. */
     static Director.Settings settings() {
         return settings(0, 2);
     }
 
-    /** Fresh for 8 s, and for 20 s more at most of its worth. */
+    /** Returns a class whose copies are fresh for 8 s and may be used stale for 20 s more, at 0.7 of their worth. */
     static Director.RequestClass staleClass() {
         return new Director.RequestClass(
                 Effect.SAFE, Director.Scope.ALL, 0, 400, 2, 5_000, 1, 0.2, false, false, false, 8_000, 20_000, 0.7);
@@ -65,7 +65,9 @@
                 requestClass(Effect.KEYED, 0));
     }
 
-    /** Answers tell of hits only, as the platform's do: a fill that was turned away doesn't say by whom. */
+    /**
+     * Returns settings where notes report hits only, as on the platform: a refused fill doesn't say who refused it.
+     */
     static Director.Settings tellsHits() {
         return settings(0, 2, classes(), Director.Notes.HIT);
     }
@@ -118,7 +120,7 @@
         return node(id, kind, State.READY, 0);
     }
 
-    /** Caches 1 to n, parents 11 and 12, the origin 20. */
+    /** Lists caches 1 to {@code caches}, parents 11 and 12 and origin 20. */
     Bench list(int caches) {
         List<Node> nodes = new ArrayList<>();
         for (int i = 1; i <= caches; i++) {
@@ -147,7 +149,7 @@
         return tell(new Director.Request(++lastRequest, category, 0, object, 0, 5, remainingMs, sizeKb, false, false));
     }
 
-    /** The attempt that a new request of class 0 for {@code object} leads to. */
+    /** Sends a new request of class 0 for an object and returns the attempt that it leads to. */
     Get get(long object) {
         return only(request(0, object, 4_000), Get.class);
     }
@@ -161,12 +163,13 @@
                 get.request(), attempt, get.node(), result, latencyMs, result == Result.OK, note, 10, List.of()));
     }
 
+    /** Ends the first attempt of a request with a successful fill. */
     Get served(Get get) {
         outcome(get, 0, Result.OK, Note.FILLED);
         return get;
     }
 
-    /** The timer ahead of the client's deadline: the first one of a request. */
+    /** Returns the timer ahead of the client's deadline, which is the first one of a request. */
     static Director.WakeAt deadline(List<Action> actions) {
         return all(actions, Director.WakeAt.class).get(0);
     }
@@ -178,7 +181,7 @@
     static <T> T only(List<Action> actions, Class<T> type) {
         List<T> found = all(actions, type);
         if (found.size() != 1) {
-            throw new AssertionError("wanted one " + type.getSimpleName() + " in " + actions);
+            throw new AssertionError("expected one " + type.getSimpleName() + " in " + actions);
         }
         return found.get(0);
     }
--- a/decision/src/test/java/barleyspur/decision/ColdRampTest.java
+++ b/decision/src/test/java/barleyspur/decision/ColdRampTest.java
@@ -17,10 +17,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * What all directors of a fleet together send a box or a parent that has just started, in random schedules: directors of
- * unequal traffic, silence and then a burst, directors that restart and forget, two cold at once, a list that comes late.
- * The bound is the operators': N calls in the span that the settings name, N being what they allow then, and
- * 2 root(N) + 2 for chance; see {@code docs/design/acceptance.md}.
+ * Tests how much work all doormans of a fleet together send to a cache or a parent that has just started. The random
+ * schedules have doormans with unequal traffic, silence followed by a burst, doormans that restart and lose their
+ * state, two cold caches at once and a list that is delayed. The bound in the span of the settings is N calls, which
+ * the settings allow at that time, plus 2 sqrt(N) + 2 for chance; see {@code docs/design/acceptance.md}.
  */
 class ColdRampTest {
 
@@ -34,7 +34,7 @@
     private static final int OTHER_COLD_CACHE = 2;
     private static final int COLD_PARENT = 11;
 
-    /** One schedule: what the settings allow, and how traffic and the directors behave. */
+    /** One schedule: the budget by the settings, and the behaviour of the traffic and the doormans. */
     private static final class Schedule {
         final SplittableRandom random;
         final int directors;
@@ -44,16 +44,19 @@
         final boolean sizes;
         /** Calls of mean work that a warm cache can serve in a millisecond; a parent can serve twice that. */
         final double perMs;
-
+        /** The mean traffic, as a share of the capacity of the caches. */
         final double load;
+        /** Each doorman's share of the traffic. */
         final double[] weight;
-        /** How long from burst to burst, up to the time that a node takes to be warm; 0: traffic is even. */
+        /** The period of bursts, at most the time until a node is warm; 0: even traffic. */
         final double burstsMs;
 
         final boolean twoCold;
         final double restartsPerMs;
         final List<Bench> benches = new ArrayList<>();
+        /** When the list reports the restarts to each doorman. */
         final double[] told;
+
         double now = 100_000;
         final double bootAt = now + WARM_UP_MS;
         long lastObject;
@@ -142,7 +145,7 @@
             return nodes;
         }
 
-        /** How much of the mean traffic there is now: with bursts nothing, and then four times as much for a quarter of a period. */
+        /** Returns the factor of the mean traffic: with bursts 0, and 4 in the last quarter of each period. */
         private double swing() {
             return burstsMs == 0 ? 1 : now % burstsMs < 0.75 * burstsMs ? 0 : 4;
         }
@@ -155,7 +158,10 @@
             return count;
         }
 
-        /** Plays it; the most that a cold node got over what it bears, as a share of that; and what it got of its budget in all. */
+        /**
+         * Plays the schedule. Returns the highest load of a cold node in a span as a share of its bound, and adds the
+         * share of its budget that was used in all to {@code used}, for the cache and for the parent.
+         */
         double play(double[] used) {
             Span toCache = new Span(cache, perMs);
             Span toParent = new Span(parent, 2 * perMs);
@@ -196,7 +202,7 @@
             return gets.isEmpty() ? null : gets.get(0);
         }
 
-        /** What came in the span that ends now, against what the settings allow. */
+        /** Compares the calls to a cold node in a sliding span with what the settings allow. */
         private final class Span {
             final Director.ColdRule rule;
             final double perMs;
@@ -247,12 +253,12 @@
         double[] used = new double[2];
         for (int i = 0; i < SCHEDULES; i++) {
             double one = new Schedule(directors, 1_000L * directors + i).play(used);
-            assertTrue(one <= 1, "schedule " + i + " of " + directors + " directors: " + one + " of what is borne");
+            assertTrue(one <= 1, "schedule " + i + " of " + directors + " doormans: " + one + " of the bound");
             worst = Math.max(worst, one);
         }
         System.out.printf(
-                "cold ramp, %d directors: at most %.2f of the bound; of the budget %.2f at caches, %.2f at parents%n",
+                "cold ramp, %d doormans: at most %.2f of the bound; budget used: caches %.2f, parents %.2f%n",
                 directors, worst, used[0] / SCHEDULES, used[1] / SCHEDULES);
-        assertTrue(used[0] > 0.02 * SCHEDULES, "cold caches are starved");
+        assertTrue(used[0] > 0.02 * SCHEDULES, "cold caches get hardly any work");
     }
 }
--- a/decision/src/test/java/barleyspur/decision/HistoriesTest.java
+++ b/decision/src/test/java/barleyspur/decision/HistoriesTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Seeded random histories: whatever happens, the rules' invariants hold, and the same history repeats itself. */
+/** Checks the five rules on random event histories, and that the same seed repeats the same actions. */
 class HistoriesTest {
 
     private static final int STEPS = 4_000;
@@ -40,7 +40,7 @@
         Result.MISS
     };
 
-    /** One history, played against a director, with every action checked as it is ordered. */
+    /** A random history of events that is played against a policy. Each action is checked when it is ordered. */
     private static final class History {
         private final SplittableRandom random;
         private final Bench bench = new Bench(Bench.settings()).list(4);
@@ -70,7 +70,10 @@
                     case 2, 3, 4, 5, 6 -> request();
                     default -> answer();
                 }
-                deadlines.values().forEach(d -> assertTrue(d + 8 >= bench.now - 40, "a request is overdue"));
+                deadlines
+                        .values()
+                        .forEach(d -> assertTrue(
+                                d + 8 >= bench.now - 40, "a request has no final answer after its deadline"));
             }
             return ordered;
         }
@@ -134,15 +137,17 @@
         }
 
         private void checkGet(Get g) {
-            assertTrue(deadlines.containsKey(g.request()), "sent after its end");
+            assertTrue(deadlines.containsKey(g.request()), "an attempt was sent after the final answer");
             assertEquals(State.READY, states.getOrDefault(g.node(), State.READY));
             assertEquals(State.READY, states.getOrDefault(g.source(), State.READY));
             double since = bench.now - purged.getOrDefault(objects.get(g.request()), -1e9);
             if (since < 6_000) {
-                assertTrue(g.maxAgeMs() > 0 && g.maxAgeMs() <= Math.max(since, 0.1), "a purged copy would do");
+                assertTrue(g.maxAgeMs() > 0 && g.maxAgeMs() <= Math.max(since, 0.1), "a purged copy would be accepted");
             }
             boolean unsafe = category.get(g.request()) == 2;
-            assertFalse(unsafe && maybeRan.getOrDefault(g.request(), false), "an effect could happen twice");
+            assertFalse(
+                    unsafe && maybeRan.getOrDefault(g.request(), false),
+                    "an unsafe request that may have run was sent again");
             maybeRan.put(g.request(), true);
             int attempt = attempts.merge(g.request(), 1, Integer::sum) - 1;
             Result result = RESULTS[random.nextInt(RESULTS.length)];
--- a/decision/src/test/java/barleyspur/decision/LimitsTest.java
+++ b/decision/src/test/java/barleyspur/decision/LimitsTest.java
@@ -16,7 +16,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The failures found on the bench, each told in a few events. */
+/** Tests the concurrency limits on failures found in simulations, each reduced to a few events. */
 class LimitsTest {
 
     private static final double LATE_MS = 3_000;
@@ -27,7 +27,10 @@
         lateFills(count, 100);
     }
 
-    /** New objects whose fills come late, one after another; looks find nothing, past the caches it takes so long. */
+    /**
+     * Requests new objects one after another. Their fills are late, lookups find no copy, and requests that bypass
+     * the caches take {@code pastMs}.
+     */
     private void lateFills(int count, double pastMs) {
         for (int i = 0; i < count; i++) {
             List<Get> sent = Bench.all(bench.request(0, 10_000 + i, 4_000), Get.class);
@@ -42,12 +45,15 @@
         return get.source() == get.node();
     }
 
-    /** The attempt itself, or what follows a look that has found nothing: an attempt past the caches, or none. */
+    /**
+     * Returns the attempt itself, or if it is a lookup without a fill, what follows when it finds no copy: an attempt
+     * past the caches, or none.
+     */
     private List<Get> pastLook(Get get) {
         return isLook(get) ? Bench.all(bench.outcome(get, 0, Result.MISS, Note.NONE), Get.class) : List.of(get);
     }
 
-    /** Of new objects' fills, those that are not let in: refused at once, looked for, or sent past the caches. */
+    /** Returns how many fills of new objects are not admitted, but refused, looked up or sent past the caches. */
     private long refusedOf(int fills) {
         long refused = 0;
         for (int i = 0; i < fills; i++) {
@@ -72,8 +78,8 @@
     }
 
     /**
-     * What caches can't take goes past them, by the location's link alone, and is not refused while what went that
-     * way came in time. Guards against a station whose last cache is jammed turning clients away beside an idle link.
+     * Guards against a station whose last cache is overloaded refusing clients although its link is idle: requests
+     * that the caches can't take bypass them as long as answers by that path are in time.
      */
     @Test
     void whileFillsAreKeptOutRequestsGoPastTheCaches() {
@@ -83,16 +89,18 @@
             List<Action> actions = bench.request(0, 20_000 + i, 4_000);
             for (Get get : Bench.all(actions, Get.class)) {
                 List<Get> last = pastLook(get);
-                assertEquals(1, last.size(), "no look in vain ends in a refusal");
+                assertEquals(1, last.size(), "a lookup that finds no copy must not end in a refusal");
                 past += last.get(0).node() >= 11 ? 1 : 0;
                 bench.outcome(last.get(0), last.get(0) == get ? 0 : 1, Result.OK, Note.FILLED, 100);
             }
             assertEquals(0, Bench.all(actions, Refuse.class).size());
         }
-        assertTrue(past >= 5, past + " went past");
+        assertTrue(past >= 5, past + " bypassed the caches");
     }
 
-    /** The way past the caches is shut by its own late answers: a jammed link is not fed by both ways. */
+    /**
+     * Guards against feeding a congested link past the caches: that path has a limit, lowered by its late answers.
+     */
     @Test
     void whilePastTheCachesAnswersComeLateRequestsAreRefused() {
         for (int i = 0; i < 60; i++) {
@@ -113,8 +121,8 @@
     }
 
     /**
-     * A cache whose hits are late is crowded itself. Guards against charging its late fills to the way they come by:
-     * that shut the fills of all caches, also of those that had room.
+     * Guards against blaming the path for the late fills of a cache that is overloaded itself, as its late hits show:
+     * that limited the fills of all caches, also of those with free capacity.
      */
     @Test
     void lateFillsOfACrowdedCacheKeepNoOthersOut() {
@@ -132,7 +140,7 @@
                     .filter(get -> !isLook(get) && get.node() > 1 && get.node() <= 4)
                     .count();
         }
-        assertTrue(others >= 16, others + " filled");
+        assertTrue(others >= 16, others + " fills by other caches");
     }
 
     @Test
@@ -169,7 +177,7 @@
         assertTrue(refusedOf(5) >= 4);
     }
 
-    /** A hung parent once kept out the fills by way of the others, too. */
+    /** Guards against a hung parent limiting the fills from other parents too. */
     @Test
     void aParentThatAloneIsLateKeepsOutNoFillsByOthers() {
         long bad = bench.get(1).source();
@@ -181,7 +189,7 @@
         assertEquals(0, refusedOf(20));
     }
 
-    /** A hung parent once drew fills until the first of them had timed out. */
+    /** Guards against a hung parent getting fills until the first of them has timed out. */
     @Test
     void aParentThatServesNothingInTimeIsLeftOutBeforeItsFillsTimeOut() {
         long bad = bench.get(1).source();
@@ -264,7 +272,10 @@
         return fill ? 1 : 0;
     }
 
-    /** Without a floor for each director, a cache that is late for all is left to its hits' own pace. */
+    /**
+     * Guards against a lower bound of one attempt for each doorman, which kept a cache overloaded that was late for
+     * all of them.
+     */
     @Test
     void aCacheThatIsAlwaysLateGetsLessThanOneAttemptAtATime() {
         long crowded = bench.get(1).node();
@@ -275,7 +286,7 @@
             bench.outcome(get, 0, Result.OK, Note.HIT, get.node() == crowded ? LATE_MS : 100);
             sent += i >= 200 && get.node() == crowded ? 1 : 0;
         }
-        assertTrue(sent < 12, "of the last 100, where a quarter is its share: " + sent);
+        assertTrue(sent < 12, "attempts of the last 100, where its even share is 25: " + sent);
     }
 
     @Test
@@ -302,7 +313,7 @@
         assertTrue(source == 11 || source == 12, "source " + source);
     }
 
-    /** A hit whose answer never came: still out when the timer ahead of the deadline ends the request. */
+    /** Lets hits stay unanswered until the timer ahead of the deadline closes their requests. */
     private void loseAnswers(int count) {
         Get held = bench.served(bench.get(42));
         for (int i = 0; i < count; i++) {
@@ -333,7 +344,7 @@
         assertEquals(0, Bench.only(won, Director.Cancel.class).attempt());
     }
 
-    /** A cache that hangs or has vanished answers nothing: its requests must not wait for their deadlines. */
+    /** Guards against requests to a cache that hangs or has vanished waiting for their deadlines. */
     @Test
     void fromACacheThatAnswersNothingARequestGoesOnElsewhere() {
         List<Action> sent = bench.request(0, 90_000, 4_000);
@@ -345,9 +356,9 @@
         Get answers = Bench.only(other, Get.class);
         bench.now += 1;
         while (bench.served(bench.get(++object)).node() != answers.node()) {
-            assertTrue(object < 92_000, "that cache gets nothing else");
+            assertTrue(object < 92_000, "that cache gets no other request");
         }
-        assertEquals(List.of(), atHalfItsAim(other), "it has answered since");
+        assertEquals(List.of(), atHalfItsAim(other), "the cache has answered since the attempt was sent");
     }
 
     @Test
--- a/decision/src/test/java/barleyspur/decision/LossesTest.java
+++ b/decision/src/test/java/barleyspur/decision/LossesTest.java
@@ -16,13 +16,16 @@
 import java.util.function.Predicate;
 import org.junit.jupiter.api.Test;
 
-/** Caches and sources that go before the list tells: what a doorman with few requests makes of single failures. */
+/** Tests how a doorman with few requests handles caches and sources that fail before the list reports them. */
 class LossesTest {
 
     private final Bench bench = new Bench(Bench.tellsHits()).list(4);
     private long object = 1_000;
 
-    /** Sends {@code count} new objects, ends their first attempts so, and gives the sources that were named. */
+    /**
+     * Requests {@code count} new objects, refuses the attempts that match and serves the others. Returns the sources
+     * that the attempts named.
+     */
     private Set<Long> sources(int count, Predicate<Get> turnsAway) {
         Set<Long> named = new HashSet<>();
         for (int i = 0; i < count; i++) {
@@ -41,8 +44,9 @@
     }
 
     /**
-     * A cache that drains before the list tells turns all away, fills included. Guards against taking its sources
-     * for dead: one such answer left a parent out, and all doormans' fills went to the origin.
+     * Guards against blaming the sources of a draining cache, which refuses everything including fills before the
+     * list reports that it drains: a single refusal excluded a parent, and the fills of all doormans went to the
+     * origin.
      */
     @Test
     void aCacheThatTurnsAllAwayLeavesItsSourcesIn() {
@@ -50,7 +54,7 @@
         assertEquals(Set.of(11L, 12L), named);
     }
 
-    /** The other side: a source that can't be reached is known by failing at one cache after another. */
+    /** The opposite case: a source that can't be reached fails at one cache after another and is excluded. */
     @Test
     void aSourceWhoseFillsAllCachesTurnAwayIsLeftOut() {
         sources(20, get -> get.source() == 11);
@@ -58,9 +62,8 @@
     }
 
     /**
-     * With its only peer out, a parent whose fills are late stays in use: late or not, it is the best there is. Guards
-     * against measuring it by the one that is out, which serves nothing and so is never late: with both out,
-     * all fills went to the origin and were refused.
+     * Guards against comparing a late parent with its only peer while that is excluded, serves nothing and so is
+     * never late: both parents were excluded, and all fills went to the origin and were refused.
      */
     @Test
     void theLastParentInUseIsNotLeftOutForLateness() {
@@ -74,7 +77,7 @@
         slow.forEach(get -> bench.tell(new Director.Alarm(get.request() + (1L << 32))));
         slow.forEach(get -> bench.outcome(get, 0, Result.OK, Note.FILLED, 450));
         Set<Long> named = sources(10, get -> get.source() == 11);
-        assertTrue(named.contains(12L) && !named.contains(20L), "named " + named);
+        assertTrue(named.contains(12L) && !named.contains(20L), "sources " + named);
     }
 
     private void loseAllCaches() {
@@ -97,9 +100,9 @@
     }
 
     /**
-     * Where no cache of the location can be reached, requests go straight to a parent at once and none is refused.
-     * Guards against trying the dead ones over and over because few are left, at a connect's time each, until the
-     * budget of further attempts is gone.
+     * Guards against retrying unreachable caches over and over because few are left, with a connect timeout each,
+     * until the retry budget is spent. If no cache of the location can be reached, requests go straight to a parent
+     * and none is refused.
      */
     @Test
     void aLostLocationIsPassedBy() {
@@ -117,8 +120,8 @@
     }
 
     /**
-     * The way past the caches opens by answers in time, as a link's share is found that others use too. Guards
-     * against a crowd sent to the one parent that is left when another hangs, before the first late answer tells.
+     * Guards against overloading the one parent that is left when another hangs, before the first late answer is
+     * known: the limit on requests that bypass the caches starts low and grows with answers in time.
      */
     @Test
     void theWayPastTheCachesOpensByItsAnswers() {
@@ -127,7 +130,7 @@
         for (int i = 0; i < 20; i++) {
             first.addAll(Bench.all(bench.request(0, ++object, 4_000), Get.class));
         }
-        assertTrue(first.size() <= 8, first.size() + " at once");
+        assertTrue(first.size() <= 8, first.size() + " requests at once");
         for (int i = 0; i < 60; i++) {
             Bench.all(bench.request(0, ++object, 4_000), Get.class)
                     .forEach(get -> bench.outcome(get, 0, Result.OK, Note.FILLED, 100));
@@ -137,10 +140,10 @@
         for (int i = 0; i < 20; i++) {
             later.addAll(Bench.all(bench.request(0, ++object, 4_000), Get.class));
         }
-        assertTrue(later.size() > first.size() + 2, later.size() + " after " + first.size());
+        assertTrue(later.size() > first.size() + 2, later.size() + " requests, at first " + first.size());
     }
 
-    /** A parent that failed a request that passes the caches by is not tried for it again: the next one is. */
+    /** A request that bypasses the caches and fails at one parent goes to the next one. */
     @Test
     void pastTheCachesAFailedParentIsNotTriedAgain() {
         loseAllCaches();
@@ -151,8 +154,8 @@
     }
 
     /**
-     * A cache that failed for long is tried again within 2 s, so it is of use soon after it is well. Guards against
-     * a quarter of a location's caches standing idle for 8 s while the others turn requests away.
+     * Guards against long exclusions: a quarter of a location's caches stayed idle for 8 s after it had recovered,
+     * while the others refused requests. A cache that failed for long is tried again within 2 s.
      */
     @Test
     void aCacheThatWasIllForLongIsTriedWithinTwoSeconds() {
--- a/decision/src/test/java/barleyspur/decision/ManyDirectorsTest.java
+++ b/decision/src/test/java/barleyspur/decision/ManyDirectorsTest.java
@@ -10,7 +10,7 @@
 import java.util.function.Predicate;
 import org.junit.jupiter.api.Test;
 
-/** Hundreds of directors, each of which sees a few requests a second, and one node that has just started. */
+/** Tests hundreds of doormans, each with a few requests a second, and one node that has just started. */
 class ManyDirectorsTest {
 
     private static final int DIRECTORS = 200;
@@ -21,7 +21,7 @@
     private final SplittableRandom random = new SplittableRandom(3);
     private long lastObject;
 
-    /** What all send together in each step of half a second, one request each; counts those that use the node. */
+    /** Lets each doorman serve one request in each step of half a second. Returns by step how many use the node. */
     private int[] sentTo(Predicate<Get> uses, int steps) {
         int[] sent = new int[steps];
         for (int step = 0; step < steps; step++) {
@@ -41,8 +41,8 @@
     }
 
     /**
-     * In every span all together send less than the rule allows a node that warm does what its peers did, and
-     * that is as cold as the settings say; yet work reaches it.
+     * Checks that in each span all doormans together send the cold node no more than its budget, given that a warm
+     * node serves what its peers did, and that some work reaches the node.
      */
     private void staysWithinItsBudget(long node, int kind, Predicate<Get> uses, Director.ColdRule rule, int peers) {
         start();
@@ -54,10 +54,10 @@
             int inSpan = sent[from] + sent[from + 1] + sent[from + 2];
             double share = rule.fromShare() + (1 - rule.fromShare()) * from * STEP_MS / rule.warmAfterMs();
             double budget = rule.fallMultiple() * share * warm;
-            assertTrue(inSpan <= budget, "from step " + from + ": " + inSpan + " of " + budget);
+            assertTrue(inSpan <= budget, "from step " + from + ": " + inSpan + " requests, budget " + budget);
             all += inSpan;
         }
-        assertTrue(all > 0, "nothing reaches the cold node");
+        assertTrue(all > 0, "no request reached the cold node");
     }
 
     @Test
--- a/decision/src/test/java/barleyspur/decision/OrdinaryPathTest.java
+++ b/decision/src/test/java/barleyspur/decision/OrdinaryPathTest.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** The ordinary path of the design, step by step. */
+/** Tests the ordinary path of least-recently-lost replication step by step. */
 class OrdinaryPathTest {
 
     private final Bench bench = new Bench(Bench.settings()).list(4);
@@ -63,7 +63,8 @@
         Get first = bench.served(bench.get(42));
         Get held = bench.get(42);
         assertEquals(first.node(), held.node());
-        // One in flight to the holder, a quarter a cache on average: still under 1 + 1/4. The next is not.
+        // One hit is in flight to the holder, and 1/4 on average to each cache: 1 is below 1 + 1/4. The next is
+        // above.
         assertEquals(first.node(), bench.get(42).node());
         Get lost = bench.get(42);
         assertNotEquals(first.node(), lost.node());
@@ -103,7 +104,7 @@
     void beliefsLapse() {
         bench.served(bench.get(42));
         bench.now += 60_000;
-        // With no belief left there is no holder to be busy, so many at once join the one new fill.
+        // No copies are believed to exist, so no holder can be busy: all requests join the new fill.
         Get again = bench.get(42);
         assertEquals(2, again.rank());
         assertEquals(again.node(), bench.get(42).node());
--- a/decision/src/test/java/barleyspur/decision/RetuneTest.java
+++ b/decision/src/test/java/barleyspur/decision/RetuneTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Settings that change while the director runs: classes behind those before, another cap on attempts. */
+/** Tests settings that change while the policy runs: appended classes and another limit on attempts. */
 class RetuneTest {
 
     private final Director.Settings before = Bench.settings();
@@ -23,7 +23,7 @@
         return before.retuned(classes, maxAttempts);
     }
 
-    /** Guards a class that a retune adds: without the event its number is out of every table of the director. */
+    /** Guards against a class that a retune adds but that is missing in the tables of the policy. */
     @Test
     void aNewClassIsRoutedOnceTold() {
         bench.tell(new Director.Retuned(withFifth(before.maxAttempts())));
@@ -31,12 +31,12 @@
         assertEquals(1, Bench.all(actions, Get.class).size(), actions.toString());
     }
 
-    /** Guards a lower cap on attempts: a request that fails is not tried again beyond it. */
+    /** Guards against a lower limit on attempts that is ignored: a failed request must not be retried beyond it. */
     @Test
     void aLowerCapOnAttemptsBindsNewRequests() {
         Get first = bench.get(42);
         List<Director.Action> again = bench.outcome(first, 0, Result.ERROR, Note.NONE);
-        assertEquals(1, Bench.all(again, Get.class).size(), "tried again under a cap of " + before.maxAttempts());
+        assertEquals(1, Bench.all(again, Get.class).size(), "retried with a limit of " + before.maxAttempts());
         bench.tell(new Director.Retuned(withFifth(1)));
         Get second = bench.get(43);
         List<Director.Action> after = bench.outcome(second, 0, Result.ERROR, Note.NONE);
--- a/decision/src/test/java/barleyspur/decision/RulesTest.java
+++ b/decision/src/test/java/barleyspur/decision/RulesTest.java
@@ -23,7 +23,7 @@
 import java.util.function.Predicate;
 import org.junit.jupiter.api.Test;
 
-/** The five rules, alone and in combination. */
+/** Tests the five rules of the policy, alone and in combination. */
 class RulesTest {
 
     private Bench bench = new Bench(Bench.settings()).list(4);
@@ -71,7 +71,7 @@
         assertEquals(1, one.get(43).node());
     }
 
-    /** A client that has gone is owed nothing: neither its timers nor what its attempts come back with begin another. */
+    /** After a client has left, neither its timers nor the outcomes of its attempts start another attempt. */
     @Test
     void nothingIsBegunForWhoHasGone() {
         for (int category = 0; category < 4; category++) {
@@ -158,7 +158,7 @@
 
     // ---- rule 4: cold nodes ------------------------------------------------------------------------------
 
-    /** Serves new objects, each {@code stepMs} after the one before; counts those that use a node. */
+    /** Serves {@code count} new objects, {@code stepMs} apart. Returns how many of the attempts match. */
     private long servedWith(Predicate<Get> uses, int count, double stepMs) {
         long found = 0;
         for (int i = 0; i < count; i++) {
@@ -174,7 +174,7 @@
         bench.change(Bench.node(1, Bench.CACHE, State.READY, bench.now));
         assertEquals(0, servedWith(g -> g.node() == 1, 100, 0));
         long toCold = servedWith(g -> g.node() == 1, 66, 60);
-        assertTrue(toCold >= 1 && toCold <= 8, "of 66, sent to the cold one of four caches: " + toCold);
+        assertTrue(toCold >= 1 && toCold <= 8, "of 66 requests, sent to the cold one of four caches: " + toCold);
     }
 
     @Test
@@ -205,12 +205,15 @@
         bench.now += 1_000;
         int tries = 0;
         while (bench.served(bench.get(++lastObject)).node() != get.node()) {
-            assertTrue(++tries < 100, "never tried again");
+            assertTrue(++tries < 100, "the cache is never tried again");
         }
         assertEquals(0, servedWith(g -> g.node() == get.node(), 100, 0));
     }
 
-    /** A reset may have struck one connection of a cache that is well: a spoilt answer ends in one. */
+    /**
+     * Guards against excluding a healthy cache for a reset, which may affect one connection: a corrupt answer ends
+     * so.
+     */
     @Test
     void aCacheStaysInUseAfterAReset() {
         servedWith(g -> true, 200, 60);
@@ -234,7 +237,7 @@
         bench.change(Bench.node(11, Bench.PARENT, State.READY, bench.now));
         assertEquals(0, servedWith(g -> g.source() == 11, 100, 0));
         long toCold = servedWith(g -> g.source() == 11, 200, 60);
-        assertTrue(toCold >= 1 && toCold < 35, "of 200, filled from the cold one of two parents: " + toCold);
+        assertTrue(toCold >= 1 && toCold < 35, "of 200 fills, from the cold one of two parents: " + toCold);
     }
 
     @Test
--- a/decision/src/test/java/barleyspur/decision/SameActionsTest.java
+++ b/decision/src/test/java/barleyspur/decision/SameActionsTest.java
@@ -18,10 +18,11 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * The same events lead to the same actions as they did before the module was made to scale: the checksums are those
- * of the module that sorted all peers, scored all parents by logarithms and walked the whole list on each change.
- * Log lines are left out: nodes that can't be named from here have none any more. Guards the rendezvous order over all listed parents and the comparison of a node with its median peer. A change of
- * what is decided, as against how fast, changes them and says so in its commit.
+ * Checks that the same events lead to the same actions as in a slower reference version, which sorted all peers,
+ * scored all parents by logarithms and walked all of the list on each change: the checksums are from that version.
+ * Guards the rendezvous order over all listed parents and the comparison of a node with its median peer. Log lines
+ * are excluded, since nodes that this doorman can't use are no longer logged. A commit that changes decisions and not
+ * only their speed changes the checksums and says so.
  */
 class SameActionsTest {
 
--- a/doorman/src/main/java/barleyspur/sim/Adapter.java
+++ b/doorman/src/main/java/barleyspur/sim/Adapter.java
@@ -11,8 +11,8 @@
 import java.util.Map;
 
 /**
- * Drives many directors from the bench's wire. Translation only: what is decided is decided in
- * {@link Decide}, one instance of which stands for each director, with nothing shared between them.
+ * Runs many routing policies for the simulator. It only translates between the {@link Wire simulator's protocol} and
+ * one {@link Decide} for each instance, which share nothing; all decisions are made there.
  */
 public final class Adapter {
 
@@ -20,7 +20,10 @@
 
     private final Map<Integer, Director> directors = new HashMap<>();
 
-    /** Answers batches until the input ends: 0 then, 1 after one line on standard error if malformed. */
+    /**
+     * Answers batches until the input ends. Returns the exit status: 0 at the end of the input, or 1 after an error,
+     * which is reported in one line on standard error.
+     */
     public static int run(InputStream rawIn, OutputStream rawOut) {
         try {
             InputStream in = new BufferedInputStream(rawIn, STREAM_BUFFER);
@@ -54,7 +57,7 @@
                 } else {
                     Director director = directors.get(instance);
                     if (director == null) {
-                        throw new Wire.Malformed("batch " + batch.number() + ": event for director " + instance
+                        throw new Wire.Malformed("batch " + batch.number() + ": event for instance " + instance
                                 + ", which was not started");
                     }
                     director.handle(batch.nowMs(), record.event(), action -> reply.add(instance, action));
--- a/doorman/src/main/java/barleyspur/sim/Wire.java
+++ b/doorman/src/main/java/barleyspur/sim/Wire.java
@@ -13,7 +13,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The bench's binary wire: batches of events in, replies of actions out, and hands the settings text on. */
+/**
+ * The simulator's binary protocol: decodes batches of events, including the text of settings, and encodes actions.
+ */
 final class Wire {
 
     private static final int BATCH_HEADER = 20;
@@ -22,7 +24,7 @@
 
     private Wire() {}
 
-    /** Input that the wire page does not allow; the message says what and where. */
+    /** Thrown for input that violates the protocol. The message says what is wrong and where. */
     static final class Malformed extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -31,15 +33,18 @@
         }
     }
 
-    /** What starts an instance. */
+    /** The seed and the settings with which an instance is started. */
     record Born(long seed, Director.Settings settings) {}
 
-    /** One record: a start ({@code born}), a stop (both null) or an event. */
+    /**
+     * One record of a batch: a start ({@code born} is set), an event ({@code event} is set) or a stop (both are
+     * null).
+     */
     record Record(int instance, Born born, Director.Event event) {}
 
     // ---- reading --------------------------------------------------------------------------------------
 
-    /** Reads one batch; null at a clean end of input. */
+    /** Reads one batch. Returns null if the input ends between two batches. */
     static Batch read(InputStream in) throws IOException, Malformed {
         byte[] header = in.readNBytes(BATCH_HEADER);
         if (header.length == 0) {
@@ -63,7 +68,7 @@
         return new Batch(number, nowMs, count, ByteBuffer.wrap(body).order(ByteOrder.LITTLE_ENDIAN));
     }
 
-    /** One batch, whose records are decoded as they are asked for. */
+    /** One batch. Its records are decoded one at a time by {@link #next}. */
     static final class Batch {
         private final long number;
         private final double nowMs;
@@ -86,16 +91,18 @@
             return nowMs;
         }
 
+        /** Returns whether there are more records. Throws if bytes are left after the last one. */
         boolean hasNext() throws Malformed {
             if (taken < count) {
                 return true;
             }
             if (body.hasRemaining()) {
-                throw new Malformed(place() + body.remaining() + " bytes are left over");
+                throw new Malformed(place() + body.remaining() + " bytes follow the last record");
             }
             return false;
         }
 
+        /** Decodes the next record. */
         Record next() throws Malformed {
             int start = body.position();
             try {
@@ -103,7 +110,7 @@
                 taken++;
                 return record;
             } catch (BufferUnderflowException e) {
-                throw new Malformed(place() + "the record at byte " + start + " is cut short");
+                throw new Malformed(place() + "the record at byte " + start + " is truncated");
             } catch (IllegalArgumentException e) {
                 throw new Malformed(place() + "the record at byte " + start + ": " + e.getMessage());
             }
@@ -146,7 +153,7 @@
                         case 1 -> Director.ListKind.CACHED;
                         case 2 -> Director.ListKind.FAILED;
                         case 3 -> Director.ListKind.DELTA;
-                        default -> throw new IllegalArgumentException("unknown kind of list");
+                        default -> throw new IllegalArgumentException("unknown list kind");
                     };
             body.getLong();
             long rows = u32(body);
@@ -245,7 +252,7 @@
             };
         }
 
-        /** Notes of later dialects read as no note: they advise, they don't bind. */
+        /** Decodes a note. Notes of later protocol versions are ignored, as notes are only advice. */
         private static Director.Note note(long code) {
             Director.Note[] notes = Director.Note.values();
             return code < notes.length ? notes[(int) code] : Director.Note.NONE;
@@ -289,51 +296,54 @@
             this.number = number;
         }
 
+        /** Encodes an action of an instance. */
         void add(int instance, Director.Action action) {
-            if (action instanceof Director.Send a) {
+            if (action instanceof Director.Send send) {
                 put(open(1, instance, 16)
-                        .putInt((int) a.request())
-                        .putInt((int) a.node())
-                        .putDouble(a.timeoutMs()));
-            } else if (action instanceof Director.Get a) {
+                        .putInt((int) send.request())
+                        .putInt((int) send.node())
+                        .putDouble(send.timeoutMs()));
+            } else if (action instanceof Director.Get get) {
                 put(open(7, instance, 30)
-                        .putInt((int) a.request())
-                        .putInt((int) a.node())
-                        .putDouble(a.timeoutMs())
-                        .putInt((int) a.source())
-                        .put((byte) a.rank())
-                        .putDouble(a.maxAgeMs())
-                        .put(bits(a)));
-            } else if (action instanceof Director.Cancel a) {
-                put(open(8, instance, 5).putInt((int) a.request()).put((byte) a.attempt()));
-            } else if (action instanceof Director.Refuse a) {
-                put(open(9, instance, 12).putInt((int) a.request()).putDouble(a.pauseMs()));
-            } else if (action instanceof Director.Fail a) {
-                put(open(11, instance, 4).putInt((int) a.request()));
-            } else if (action instanceof Director.WakeAt a) {
-                put(open(4, instance, 16).putDouble(a.atMs()).putLong(a.token()));
-            } else if (action instanceof Director.Probe a) {
-                put(open(13, instance, 4).putInt((int) a.node()));
-            } else if (action instanceof Director.HangUp a) {
-                put(open(6, instance, 4).putInt((int) a.node()));
-            } else if (action instanceof Director.Tell a) {
-                put(open(3, instance, 4 + a.body().length)
-                        .putShort((short) a.to())
-                        .putShort((short) a.body().length)
-                        .put(a.body()));
-            } else if (action instanceof Director.Log a) {
-                text(12, instance, a.line());
-            } else if (action instanceof Director.Watch a) {
-                put(open(10, instance, 1).put((byte) (a.on() ? 1 : 0)));
+                        .putInt((int) get.request())
+                        .putInt((int) get.node())
+                        .putDouble(get.timeoutMs())
+                        .putInt((int) get.source())
+                        .put((byte) get.rank())
+                        .putDouble(get.maxAgeMs())
+                        .put(bits(get)));
+            } else if (action instanceof Director.Cancel cancel) {
+                put(open(8, instance, 5).putInt((int) cancel.request()).put((byte) cancel.attempt()));
+            } else if (action instanceof Director.Refuse refusal) {
+                put(open(9, instance, 12).putInt((int) refusal.request()).putDouble(refusal.pauseMs()));
+            } else if (action instanceof Director.Fail failure) {
+                put(open(11, instance, 4).putInt((int) failure.request()));
+            } else if (action instanceof Director.WakeAt timer) {
+                put(open(4, instance, 16).putDouble(timer.atMs()).putLong(timer.token()));
+            } else if (action instanceof Director.Probe probe) {
+                put(open(13, instance, 4).putInt((int) probe.node()));
+            } else if (action instanceof Director.HangUp hangUp) {
+                put(open(6, instance, 4).putInt((int) hangUp.node()));
+            } else if (action instanceof Director.Tell message) {
+                put(open(3, instance, 4 + message.body().length)
+                        .putShort((short) message.to())
+                        .putShort((short) message.body().length)
+                        .put(message.body()));
+            } else if (action instanceof Director.Log log) {
+                text(12, instance, log.line());
+            } else if (action instanceof Director.Watch watch) {
+                put(open(10, instance, 1).put((byte) (watch.on() ? 1 : 0)));
             } else if (action instanceof Director.Fetch) {
                 put(open(5, instance, 0));
             }
         }
 
+        /** Encodes the failure of an instance. */
         void bailOut(int instance, String text) {
             text(2, instance, text);
         }
 
+        /** Writes the reply with its header. */
         void writeTo(OutputStream out) throws IOException {
             ByteBuffer header = ByteBuffer.allocate(12).order(ByteOrder.LITTLE_ENDIAN);
             out.write(header.putInt(count)
--- a/doorman/src/test/java/barleyspur/expect/Mutants.java
+++ b/doorman/src/test/java/barleyspur/expect/Mutants.java
@@ -14,14 +14,14 @@
 import javax.tools.JavaCompiler;
 import javax.tools.ToolProvider;
 
-/** Decision modules with one piece of their source changed, compiled beside the real one. */
+/** Compiles mutants of the decision module: copies with one piece of their source replaced. */
 final class Mutants {
 
     private static final Path SOURCES = Path.of("..", "decision", "src", "main", "java", "barleyspur", "decision");
 
     private Mutants() {}
 
-    /** The module with {@code from}, which its file must hold exactly once, made into {@code to}. */
+    /** Returns the module with {@code from}, which its file must hold exactly once, replaced by {@code to}. */
     static World.Maker mutant(Path folder, String file, String from, String to) throws IOException {
         Path sources = Files.createDirectories(folder.resolve("source"));
         Path classes = Files.createDirectories(folder.resolve("classes"));
@@ -32,11 +32,11 @@
                 String text = Files.readString(p);
                 if (p.endsWith(file)) {
                     if (text.split(java.util.regex.Pattern.quote(from), -1).length != 2) {
-                        throw new IllegalArgumentException(file + " does not hold this once: " + from);
+                        throw new IllegalArgumentException(file + " does not hold this exactly once: " + from);
                     }
                     text = text.replace(from, to);
                 }
-                // The interface stays the real one's, or the mutant could not be spoken to.
+                // The mutant shares the interface with the real module, so that both can be called in the same way.
                 if (!p.endsWith("Director.java")) {
                     Path copy = sources.resolve(p.getFileName().toString());
                     Files.writeString(copy, text);
--- a/doorman/src/test/java/barleyspur/expect/MutantsTest.java
+++ b/doorman/src/test/java/barleyspur/expect/MutantsTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * The deployment's file of expectations is worth what it catches: the module as it is keeps to all of it, and each
- * module with one guard taken out is refuted by the expectation that speaks of that guard.
+ * Mutation test of the deployment's expectations: the unchanged decision module meets all of them, and each mutant,
+ * which lacks one guard, is refuted by the expectation for that guard.
  */
 class MutantsTest {
 
--- a/doorman/src/test/java/barleyspur/sim/WireTest.java
+++ b/doorman/src/test/java/barleyspur/sim/WireTest.java
@@ -19,7 +19,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The codec against hand-made frames, and the settings text. */
+/** Tests the protocol's encoding by hand-made frames, and the text of settings. */
 class WireTest {
 
     static final String SETUP =
@@ -190,7 +190,7 @@
         assertEquals(1, run(batch(1, "63 0300"), out));
         assertEquals(1, run(batch(1, "06 0300 07"), out));
         assertEquals(1, run(batch(0, "00"), out));
-        assertEquals(1, run(batch(1, "06 0300 07000000"), out), "a director that was not started");
+        assertEquals(1, run(batch(1, "06 0300 07000000"), out), "an event for an instance that was not started");
     }
 
     @Test
