--- a/decision/src/main/java/barleyspur/decision/Attempt.java
+++ b/decision/src/main/java/barleyspur/decision/Attempt.java
@@ -3,36 +3,36 @@
 /** One attempt of a request, with what the policy knew when it was sent. */
 final class Attempt {
 
-    Server target;
-    Server source;
+    TrackedNode target;
+    TrackedNode source;
     /** Whether the target is expected to fetch the object, because it holds no copy. */
     boolean fill;
     /** Joins a fill of this doorman: it takes a slot at the cache, but adds no load on the path to the source. */
-    boolean joined;
+    boolean joinsOpenFill;
     /** The target is believed to hold a copy, and the copies of this class don't expire. */
-    boolean surelyHeld;
-    /** Whether {@link Gate limits} have been adapted to its latency. */
-    boolean learned;
+    boolean expectsHit;
+    /** Whether {@link ConcurrencyLimit limits} have been adapted to its latency. */
+    boolean latenessRecorded;
     /** Whether the attempt is a trial of an excluded target. */
-    boolean trial;
+    boolean isTrial;
     /** Whether the attempt is a trial of an excluded source. */
-    boolean sourceTrial;
+    boolean isSourceTrial;
     /** Whether the outcome is known. */
-    boolean back;
+    boolean ended;
 
-    double sentAt;
+    double sentAtMs;
     /** The estimated work, in milliseconds. */
-    double work;
+    double workMs;
     /** The rank at which the cache keeps the copy; 0: not kept. */
     int rank;
 
     /** Returns whether the attempt itself fetches from its source: as a fill, or past the caches. */
-    boolean fetches() {
-        return fill && !joined && source != null;
+    boolean fetchesFromSource() {
+        return fill && !joinsOpenFill && source != null;
     }
 
     /** Returns whether the attempt is expected to reach its source through a cache, as a fill of its own. */
-    boolean reaches() {
-        return fetches() && source != target;
+    boolean fillsThroughCache() {
+        return fetchesFromSource() && source != target;
     }
 }
--- a/decision/src/main/java/barleyspur/decision/ColdBudget.java
+++ b/decision/src/main/java/barleyspur/decision/ColdBudget.java
@@ -6,33 +6,33 @@
  */
 final class ColdBudget {
 
-    private double saved;
-    private double earnedUntil;
+    private double balance;
+    private double accruedUntilMs;
 
     /** Resets the budget to a debt, which is paid first, when the node has started. */
-    void start(double debt, double now) {
-        saved = -debt;
-        earnedUntil = now;
+    void reset(double debt, double nowMs) {
+        balance = -debt;
+        accruedUntilMs = nowMs;
     }
 
     /** Accrues at a rate since the last call, up to a bound. */
-    void earn(double perMs, double most, double now) {
-        saved = Math.min(most, saved + perMs * (now - earnedUntil));
-        earnedUntil = now;
+    void accrue(double perMs, double maxBalance, double nowMs) {
+        balance = Math.min(maxBalance, balance + perMs * (nowMs - accruedUntilMs));
+        accruedUntilMs = nowMs;
     }
 
     /** Returns whether the budget covers this work. */
     boolean covers(double work) {
-        return saved >= work;
+        return balance >= work;
     }
 
     /** Spends this work. Work that the budget does not cover becomes debt. */
     void spend(double work) {
-        saved -= work;
+        balance -= work;
     }
 
     /** Returns work that was spent but never reached the node. */
-    void giveBack(double work) {
-        saved += work;
+    void refund(double work) {
+        balance += work;
     }
 }
--- a/decision/src/main/java/barleyspur/decision/Lists.java
+++ b/decision/src/main/java/barleyspur/decision/ListUtils.java
@@ -9,26 +9,26 @@
  * List operations as plain loops. Streams would be shorter, but each request walks a dozen lists, and after a start
  * all of the code has to be compiled.
  */
-final class Lists {
+final class ListUtils {
 
-    private Lists() {}
+    private ListUtils() {}
 
     /** Returns the items that match, in their order. */
-    static <T> List<T> where(List<T> from, Predicate<T> test) {
-        List<T> passed = new ArrayList<>(from.size());
-        for (int i = 0; i < from.size(); i++) {
-            if (test.test(from.get(i))) {
-                passed.add(from.get(i));
+    static <T> List<T> filter(List<T> items, Predicate<T> test) {
+        List<T> matching = new ArrayList<>(items.size());
+        for (int i = 0; i < items.size(); i++) {
+            if (test.test(items.get(i))) {
+                matching.add(items.get(i));
             }
         }
-        return passed;
+        return matching;
     }
 
     /**
      * Returns whether the measure of one item exceeds twice the lower median of the others, or there are no others.
      * Counts the others under half of its measure, which gives the same result as sorting them and takes no memory.
      */
-    static <T> boolean overTwiceMedian(T one, List<T> all, ToDoubleFunction<T> measure) {
+    static <T> boolean exceedsTwiceMedian(T one, List<T> all, ToDoubleFunction<T> measure) {
         double half = measure.applyAsDouble(one) / 2;
         int others = 0;
         int under = 0;
--- a/decision/src/main/java/barleyspur/decision/Open.java
+++ b/decision/src/main/java/barleyspur/decision/OpenRequest.java
@@ -4,34 +4,34 @@
 import java.util.List;
 
 /** A request that is not closed yet, or that still has attempts in flight. */
-final class Open {
+final class OpenRequest {
 
-    final Director.Request request;
-    final double deadline;
+    final RoutingPolicy.Request request;
+    final double deadlineMs;
     /**
      * A random number from 0 to 1 that is added to the attempts in flight when a limit is checked, so that a limit
      * under 1 admits that share of the requests.
      */
-    final double draw;
+    final double admissionPosition;
     /** All attempts in the order in which they were sent. */
     final List<Attempt> attempts = new ArrayList<>(2);
     /** Whether the final answer was given or has begun. */
-    boolean over;
+    boolean closed;
     /** Whether an attempt that has ended may have taken effect. */
-    boolean maybeRan;
+    boolean mayHaveRun;
     /** The number of attempts that have ended. */
-    int back;
+    int endedAttempts;
 
-    Open(Director.Request request, double deadline, double draw) {
-        this.draw = draw;
+    OpenRequest(RoutingPolicy.Request request, double deadlineMs, double admissionPosition) {
+        this.admissionPosition = admissionPosition;
         this.request = request;
-        this.deadline = deadline;
+        this.deadlineMs = deadlineMs;
     }
 
     /** Returns whether an attempt was sent to a node. */
-    boolean tried(Server s) {
-        for (Attempt a : attempts) {
-            if (a.target == s) {
+    boolean hasTried(TrackedNode node) {
+        for (Attempt attempt : attempts) {
+            if (attempt.target == node) {
                 return true;
             }
         }
@@ -39,9 +39,9 @@
     }
 
     /** Returns whether an attempt that named a node as its source has ended. */
-    boolean failedFrom(Server s) {
-        for (Attempt a : attempts) {
-            if (a.source == s && a.back) {
+    boolean hasFailedFrom(TrackedNode node) {
+        for (Attempt attempt : attempts) {
+            if (attempt.source == node && attempt.ended) {
                 return true;
             }
         }
@@ -49,7 +49,7 @@
     }
 
     /** Returns whether attempts are in flight. */
-    boolean waiting() {
-        return back < attempts.size();
+    boolean hasAttemptsInFlight() {
+        return endedAttempts < attempts.size();
     }
 }
--- a/decision/src/main/java/barleyspur/decision/Part.java
+++ b/decision/src/main/java/barleyspur/decision/PartKey.java
@@ -4,16 +4,16 @@
  * One part of an object, the unit that caches store. As a map key it is looked up several times a request, so it
  * implements equals and hashCode itself: the generated methods of records are linked at run time and are far slower.
  */
-record Part(long object, int part) {
+record PartKey(long object, int part) {
 
     /** Returns the part that a request asks for. */
-    static Part of(Director.Request r) {
-        return new Part(r.object(), r.part());
+    static PartKey of(RoutingPolicy.Request request) {
+        return new PartKey(request.object(), request.part());
     }
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof Part p && p.object == object && p.part == part;
+        return other instanceof PartKey that && that.object == object && that.part == part;
     }
 
     @Override
--- a/decision/src/main/java/barleyspur/decision/Ring.java
+++ b/decision/src/main/java/barleyspur/decision/RendezvousScorer.java
@@ -6,13 +6,13 @@
  * Computes rendezvous scores for a list of nodes. It keeps their hashes and weights in arrays, as each request scores
  * all parents, and of hundreds most are discarded after comparing two numbers each.
  */
-final class Ring {
+final class RendezvousScorer {
 
     private long[] hashes = {};
     private double[] weights = {};
 
     /** Replaces the list of nodes. */
-    void set(List<Server> nodes) {
+    void setNodes(List<TrackedNode> nodes) {
         hashes = new long[nodes.size()];
         weights = new double[nodes.size()];
         for (int i = 0; i < hashes.length; i++) {
@@ -22,7 +22,7 @@
     }
 
     /** Returns the score for an object of the node at an index of the list; see {@link Rendezvous#score}. */
-    double score(int place, long object, double beyond) {
-        return Rendezvous.score(object, hashes[place], weights[place], beyond);
+    double score(int index, long object, double threshold) {
+        return Rendezvous.score(object, hashes[index], weights[index], threshold);
     }
 }
--- a/decision/src/main/java/barleyspur/decision/Director.java
+++ b/decision/src/main/java/barleyspur/decision/RoutingPolicy.java
@@ -9,7 +9,7 @@
  * <p>All times are in milliseconds on the host's clock, which only advances. A policy has no clock, no I/O and no
  * source of randomness but its seed: the same settings, seed and events give the same actions.
  */
-public interface Director {
+public interface RoutingPolicy {
 
     /** The id that means "no node". Ids of nodes are never negative. */
     long NO_NODE = -1;
@@ -86,7 +86,7 @@
             double staleWorth) {
 
         /** Returns the latency target, from the arrival of a request, of an answer that takes this long to send. */
-        public double wantedWithinMs(double workMs) {
+        public double latencyTargetMs(double workMs) {
             return aimMs + aimStretch * workMs;
         }
     }
@@ -96,12 +96,12 @@
      *
      * @param fromShare the share of its capacity that it has at its start
      * @param warmAfterMs the time from its start until it has all of its capacity
-     * @param fallMultiple the multiple of its current capacity that overloads it
+     * @param overloadMultiple the multiple of its current capacity that overloads it
      */
-    record ColdRule(double fromShare, double warmAfterMs, double fallMultiple) {
+    record ColdRule(double fromShare, double warmAfterMs, double overloadMultiple) {
 
         /** Returns the share of its capacity that a node has at this age. */
-        public double shareAt(double ageMs) {
+        public double capacityShareAt(double ageMs) {
             return fromShare + (1 - fromShare) * (Math.max(0, ageMs) / warmAfterMs);
         }
     }
@@ -109,41 +109,41 @@
     /**
      * The settings of a policy.
      *
-     * @param me the index of this doorman in its fleet
-     * @param directors the number of doormans in the fleet
-     * @param zoneDirectors the number of doormans that serve each zone
-     * @param sizesCount whether the sizes of listed nodes are stable and serve as weights
-     * @param mustAsk whether the list of nodes has to be subscribed to
+     * @param doormanIndex the index of this doorman in its fleet
+     * @param doormanCount the number of doormans in the fleet
+     * @param doormansPerZone the number of doormans that serve each zone
+     * @param weighBySize whether the sizes of listed nodes are stable and serve as weights
+     * @param mustSubscribe whether the list of nodes has to be subscribed to
      * @param tickMs the resolution of the host's clock
-     * @param fallSpanMs the time over which the load on a cold node is summed
+     * @param overloadSpanMs the time over which the load on a cold node is summed
      * @param purgeGraceMs the time within which a purge must be obeyed
-     * @param purgeDoneMs the time after which no copy from before a purge is left
-     * @param direct whether requests may bypass the caches
-     * @param joins whether a request may join a fill that is in progress
+     * @param purgeCompleteMs the time after which no copy from before a purge is left
+     * @param mayBypassCaches whether requests may bypass the caches
+     * @param joinFills whether a request may join a fill that is in progress
      * @param paceKbPerMs the throughput at which answers are sent
      * @param reportFields the names of the values in a load report, in their order
      */
     record Settings(
             List<RequestClass> classes,
-            int me,
-            int directors,
+            int doormanIndex,
+            int doormanCount,
             int zone,
-            List<Integer> zoneDirectors,
+            List<Integer> doormansPerZone,
             int parentKind,
             int originKind,
-            boolean sizesCount,
-            boolean mustAsk,
-            double mustAskMs,
+            boolean weighBySize,
+            boolean mustSubscribe,
+            double mustSubscribeWithinMs,
             double tickMs,
             double answerSlackMs,
             double drainGraceMs,
             ColdRule coldCache,
             ColdRule coldParent,
-            double fallSpanMs,
+            double overloadSpanMs,
             double purgeGraceMs,
-            double purgeDoneMs,
-            boolean direct,
-            boolean joins,
+            double purgeCompleteMs,
+            boolean mayBypassCaches,
+            boolean joinFills,
             Siblings siblings,
             Notes notes,
             double paceKbPerMs,
@@ -153,32 +153,32 @@
             boolean mayDuplicate,
             boolean mayCancel,
             boolean mayProbe,
-            boolean mayTell,
+            boolean mayMessagePeers,
             double maxRetryAfterMs) {
 
         /** Returns these settings with other classes and another limit on attempts, all that a retune can change. */
         public Settings retuned(List<RequestClass> nextClasses, int nextMaxAttempts) {
             return new Settings(
                     List.copyOf(nextClasses),
-                    me,
-                    directors,
+                    doormanIndex,
+                    doormanCount,
                     zone,
-                    zoneDirectors,
+                    doormansPerZone,
                     parentKind,
                     originKind,
-                    sizesCount,
-                    mustAsk,
-                    mustAskMs,
+                    weighBySize,
+                    mustSubscribe,
+                    mustSubscribeWithinMs,
                     tickMs,
                     answerSlackMs,
                     drainGraceMs,
                     coldCache,
                     coldParent,
-                    fallSpanMs,
+                    overloadSpanMs,
                     purgeGraceMs,
-                    purgeDoneMs,
-                    direct,
-                    joins,
+                    purgeCompleteMs,
+                    mayBypassCaches,
+                    joinFills,
                     siblings,
                     notes,
                     paceKbPerMs,
@@ -188,7 +188,7 @@
                     mayDuplicate,
                     mayCancel,
                     mayProbe,
-                    mayTell,
+                    mayMessagePeers,
                     maxRetryAfterMs);
         }
     }
@@ -258,7 +258,7 @@
     /** A client's request for a part of an object; {@code sizeKb} 0: unknown. */
     record Request(
             long id,
-            int category,
+            int classIndex,
             long tenant,
             long object,
             int part,
--- a/decision/src/test/java/barleyspur/decision/SameActionsTest.java
+++ b/decision/src/test/java/barleyspur/decision/ActionChecksumTest.java
@@ -2,12 +2,12 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import barleyspur.decision.Director.Action;
-import barleyspur.decision.Director.Get;
-import barleyspur.decision.Director.ListKind;
-import barleyspur.decision.Director.Note;
-import barleyspur.decision.Director.Result;
-import barleyspur.decision.Director.State;
+import barleyspur.decision.RoutingPolicy.Action;
+import barleyspur.decision.RoutingPolicy.Get;
+import barleyspur.decision.RoutingPolicy.ListKind;
+import barleyspur.decision.RoutingPolicy.Note;
+import barleyspur.decision.RoutingPolicy.Result;
+import barleyspur.decision.RoutingPolicy.State;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
@@ -24,7 +24,7 @@
  * are excluded, since nodes that this doorman can't use are no longer logged. A commit that changes decisions and not
  * only their speed changes the checksums and says so.
  */
-class SameActionsTest {
+class ActionChecksumTest {
 
     private static final int STEPS = 6_000;
     private static final Result[] RESULTS = {
@@ -44,41 +44,41 @@
 
     private final CRC32 digest = new CRC32();
     private final TreeMap<Double, List<Long>> timers = new TreeMap<>();
-    private final List<Runnable> out = new ArrayList<>();
+    private final List<Runnable> unanswered = new ArrayList<>();
     private SplittableRandom random;
-    private Decide director;
-    private double now = 100_000;
+    private LeastRecentlyLostPolicy policy;
+    private double nowMs = 100_000;
     private int caches;
     private int parents;
 
-    private static Director.Settings settings(boolean sizes, Director.Notes notes) {
-        Director.Settings s = Bench.settings();
-        return new Director.Settings(
-                s.classes(),
+    private static RoutingPolicy.Settings settings(boolean sizes, RoutingPolicy.Notes notes) {
+        RoutingPolicy.Settings defaults = PolicyHarness.settings();
+        return new RoutingPolicy.Settings(
+                defaults.classes(),
                 0,
                 3,
                 1,
                 List.of(0, 3, 3),
-                Bench.PARENT,
-                Bench.ORIGIN,
+                PolicyHarness.PARENT,
+                PolicyHarness.ORIGIN,
                 sizes,
                 false,
                 0,
                 2,
                 8,
                 1_000,
-                s.coldCache(),
-                s.coldParent(),
+                defaults.coldCache(),
+                defaults.coldParent(),
                 1_500,
                 500,
                 6_000,
                 true,
                 true,
-                s.siblings(),
+                defaults.siblings(),
                 notes,
                 5,
-                s.reports(),
-                s.reportFields(),
+                defaults.reports(),
+                defaults.reportFields(),
                 6,
                 true,
                 true,
@@ -87,54 +87,54 @@
                 500);
     }
 
-    private Director.Node node(long id, boolean late) {
+    private RoutingPolicy.Node node(long id, boolean afterStart) {
         boolean cache = id <= caches;
         State state = random.nextInt(8) == 0 ? State.values()[random.nextInt(3)] : State.READY;
-        int kind = cache ? (int) (id % 2) : id <= caches + parents ? Bench.PARENT : Bench.ORIGIN;
-        return new Director.Node(
+        int kind = cache ? (int) (id % 2) : id <= caches + parents ? PolicyHarness.PARENT : PolicyHarness.ORIGIN;
+        return new RoutingPolicy.Node(
                 id,
                 cache ? 1 + (int) (id % 2) : 0,
                 kind,
                 (int) id % 2,
                 state,
                 0.5 + id % 7,
-                late && random.nextInt(3) == 0 ? now : 0);
+                afterStart && random.nextInt(3) == 0 ? nowMs : 0);
     }
 
-    private void list(ListKind kind, boolean late) {
-        List<Director.Node> nodes = new ArrayList<>();
+    private void listNodes(ListKind kind, boolean afterStart) {
+        List<RoutingPolicy.Node> nodes = new ArrayList<>();
         for (long id = 1; id <= caches + parents + 1; id++) {
-            if (!late || random.nextInt(20) > 0) {
-                nodes.add(node(id, late));
+            if (!afterStart || random.nextInt(20) > 0) {
+                nodes.add(node(id, afterStart));
             }
         }
-        tell(new Director.Members(kind, nodes));
+        handle(new RoutingPolicy.Members(kind, nodes));
     }
 
-    private void tell(Director.Event event) {
+    private void handle(RoutingPolicy.Event event) {
         List<Action> actions = new ArrayList<>();
-        director.handle(now, event, actions::add);
-        for (Action a : actions) {
-            if (!(a instanceof Director.Log)) {
-                digest.update(a.toString().getBytes(StandardCharsets.UTF_8));
+        policy.handle(nowMs, event, actions::add);
+        for (Action action : actions) {
+            if (!(action instanceof RoutingPolicy.Log)) {
+                digest.update(action.toString().getBytes(StandardCharsets.UTF_8));
             }
-            if (a instanceof Director.WakeAt w) {
-                timers.computeIfAbsent(w.atMs(), k -> new ArrayList<>()).add(w.token());
-            } else if (a instanceof Get g) {
-                out.add(() -> answer(g));
+            if (action instanceof RoutingPolicy.WakeAt timer) {
+                timers.computeIfAbsent(timer.atMs(), k -> new ArrayList<>()).add(timer.token());
+            } else if (action instanceof Get get) {
+                unanswered.add(() -> answer(get));
             }
         }
     }
 
     private final TreeMap<Long, Integer> attempts = new TreeMap<>();
 
-    private void answer(Get g) {
+    private void answer(Get get) {
         Result result = RESULTS[random.nextInt(RESULTS.length)];
         Note note = NOTES[random.nextInt(NOTES.length)];
-        tell(new Director.Outcome(
-                g.request(),
-                attempts.merge(g.request(), 1, Integer::sum) - 1,
-                g.node(),
+        handle(new RoutingPolicy.Outcome(
+                get.request(),
+                attempts.merge(get.request(), 1, Integer::sum) - 1,
+                get.node(),
                 result,
                 random.nextDouble(2_000),
                 result == Result.OK,
@@ -143,25 +143,25 @@
                 List.of((float) random.nextDouble())));
     }
 
-    private long play(long seed, boolean sizes, Director.Notes notes) {
+    private long play(long seed, boolean sizes, RoutingPolicy.Notes notes) {
         random = new SplittableRandom(seed);
-        director = new Decide(settings(sizes, notes), seed);
-        list(ListKind.CACHED, false);
+        policy = new LeastRecentlyLostPolicy(settings(sizes, notes), seed);
+        listNodes(ListKind.CACHED, false);
         for (int step = 1; step <= STEPS; step++) {
-            now += 2 * random.nextInt(10);
-            while (!timers.isEmpty() && timers.firstKey() <= now) {
-                timers.pollFirstEntry().getValue().forEach(token -> tell(new Director.Alarm(token)));
+            nowMs += 2 * random.nextInt(10);
+            while (!timers.isEmpty() && timers.firstKey() <= nowMs) {
+                timers.pollFirstEntry().getValue().forEach(token -> handle(new RoutingPolicy.Alarm(token)));
             }
-            int what = random.nextInt(60);
-            if (what == 0) {
-                list(ListKind.FULL, true);
-            } else if (what <= 3) {
-                tell(new Director.Members(
+            int choice = random.nextInt(60);
+            if (choice == 0) {
+                listNodes(ListKind.FULL, true);
+            } else if (choice <= 3) {
+                handle(new RoutingPolicy.Members(
                         ListKind.DELTA, List.of(node(1 + random.nextInt(caches + parents + 1), true))));
-            } else if (what == 4) {
-                tell(new Director.Purged(5, random.nextInt(40), random.nextDouble(400)));
-            } else if (what < 34) {
-                tell(new Director.Request(
+            } else if (choice == 4) {
+                handle(new RoutingPolicy.Purged(5, random.nextInt(40), random.nextDouble(400)));
+            } else if (choice < 34) {
+                handle(new RoutingPolicy.Request(
                         step,
                         random.nextInt(4),
                         0,
@@ -172,8 +172,8 @@
                         random.nextInt(2) * 400,
                         false,
                         false));
-            } else if (!out.isEmpty()) {
-                out.remove(random.nextInt(out.size())).run();
+            } else if (!unanswered.isEmpty()) {
+                unanswered.remove(random.nextInt(unanswered.size())).run();
             }
         }
         return digest.getValue();
@@ -188,7 +188,8 @@
         "5, 200, 60, true, ALL, 4046850814",
         "6, 200, 60, false, HIT, 2739098317"
     })
-    void asBefore(long seed, int caches, int parents, boolean sizes, Director.Notes notes, long checksum) {
+    void actionsMatchTheRecordedChecksum(
+            long seed, int caches, int parents, boolean sizes, RoutingPolicy.Notes notes, long checksum) {
         this.caches = caches;
         this.parents = parents;
         assertEquals(checksum, play(seed, sizes, notes));
--- a/decision/src/test/java/barleyspur/decision/ColdRampTest.java
+++ b/decision/src/test/java/barleyspur/decision/ColdRampTest.java
@@ -2,12 +2,12 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import barleyspur.decision.Director.Get;
-import barleyspur.decision.Director.ListKind;
-import barleyspur.decision.Director.Node;
-import barleyspur.decision.Director.Note;
-import barleyspur.decision.Director.Result;
-import barleyspur.decision.Director.State;
+import barleyspur.decision.RoutingPolicy.Get;
+import barleyspur.decision.RoutingPolicy.ListKind;
+import barleyspur.decision.RoutingPolicy.Node;
+import barleyspur.decision.RoutingPolicy.Note;
+import barleyspur.decision.RoutingPolicy.Result;
+import barleyspur.decision.RoutingPolicy.State;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -37,84 +37,97 @@
     /** One schedule: the budget by the settings, and the behaviour of the traffic and the doormans. */
     private static final class Schedule {
         final SplittableRandom random;
-        final int directors;
-        final double fallMs;
-        final Director.ColdRule cache;
-        final Director.ColdRule parent;
-        final boolean sizes;
+        final int doormanCount;
+        final double overloadSpanMs;
+        final RoutingPolicy.ColdRule cache;
+        final RoutingPolicy.ColdRule parent;
+        final boolean weighBySize;
         /** Calls of mean work that a warm cache can serve in a millisecond; a parent can serve twice that. */
-        final double perMs;
+        final double callsPerMs;
         /** The mean traffic, as a share of the capacity of the caches. */
         final double load;
         /** Each doorman's share of the traffic. */
         final double[] weight;
         /** The period of bursts, at most the time until a node is warm; 0: even traffic. */
-        final double burstsMs;
+        final double burstPeriodMs;
 
-        final boolean twoCold;
+        final boolean twoColdCaches;
         final double restartsPerMs;
-        final List<Bench> benches = new ArrayList<>();
+        final List<PolicyHarness> harnesses = new ArrayList<>();
         /** When the list reports the restarts to each doorman. */
-        final double[] told;
+        final double[] listedAtMs;
 
-        double now = 100_000;
-        final double bootAt = now + WARM_UP_MS;
+        double nowMs = 100_000;
+        final double bootAtMs = nowMs + WARM_UP_MS;
         long lastObject;
 
-        Schedule(int directors, long seed) {
-            this.directors = directors;
+        Schedule(int doormanCount, long seed) {
+            this.doormanCount = doormanCount;
             random = new SplittableRandom(seed);
-            fallMs = random.nextInt(2) == 0 ? 3_000 : 1_500;
-            cache = new Director.ColdRule(
+            overloadSpanMs = random.nextInt(2) == 0 ? 3_000 : 1_500;
+            cache = new RoutingPolicy.ColdRule(
                     random.nextDouble(0.16, 0.49), random.nextDouble(5_700, 21_000), random.nextDouble(2, 4));
-            parent = new Director.ColdRule(random.nextDouble(0.06, 0.15), random.nextDouble(12_000, 22_000), 2);
-            sizes = random.nextBoolean();
-            double most = Math.exp(random.nextDouble(Math.log(4), Math.log(500)));
-            perMs = most / (cache.fallMultiple() * fallMs);
+            parent = new RoutingPolicy.ColdRule(random.nextDouble(0.06, 0.15), random.nextDouble(12_000, 22_000), 2);
+            weighBySize = random.nextBoolean();
+            double budgetCalls = Math.exp(random.nextDouble(Math.log(4), Math.log(500)));
+            callsPerMs = budgetCalls / (cache.overloadMultiple() * overloadSpanMs);
             load = random.nextDouble(0.3, 1);
-            weight = random.doubles(directors).map(d -> -Math.log(1 - d)).toArray();
+            weight = random.doubles(doormanCount).map(d -> -Math.log(1 - d)).toArray();
             double sum = Arrays.stream(weight).sum();
-            for (int i = 0; i < directors; i++) {
+            for (int i = 0; i < doormanCount; i++) {
                 weight[i] /= sum;
             }
-            burstsMs = random.nextBoolean() ? 0 : random.nextDouble(2_000, parent.warmAfterMs());
-            twoCold = random.nextBoolean();
+            burstPeriodMs = random.nextBoolean() ? 0 : random.nextDouble(2_000, parent.warmAfterMs());
+            twoColdCaches = random.nextBoolean();
             restartsPerMs = random.nextBoolean() ? 0 : random.nextDouble(0.2, 2) / 20_000;
-            told = new double[directors];
-            Arrays.setAll(told, i -> bootAt + random.nextDouble(0, 3_000));
-            for (int i = 0; i < directors; i++) {
-                benches.add(start(i));
+            listedAtMs = new double[doormanCount];
+            Arrays.setAll(listedAtMs, i -> bootAtMs + random.nextDouble(0, 3_000));
+            for (int i = 0; i < doormanCount; i++) {
+                harnesses.add(start(i));
             }
         }
 
-        private Director.Settings settings(int me) {
-            Director.RequestClass read = new Director.RequestClass(
-                    Director.Effect.SAFE, Director.Scope.ALL, 0, 400, 2, 5_000, 1, 0.2, false, false, false, 0, 0, 0.7);
-            return new Director.Settings(
+        private RoutingPolicy.Settings settings(int doormanIndex) {
+            RoutingPolicy.RequestClass read = new RoutingPolicy.RequestClass(
+                    RoutingPolicy.Effect.SAFE,
+                    RoutingPolicy.Scope.ALL,
+                    0,
+                    400,
+                    2,
+                    5_000,
+                    1,
+                    0.2,
+                    false,
+                    false,
+                    false,
+                    0,
+                    0,
+                    0.7);
+            return new RoutingPolicy.Settings(
                     List.of(read),
-                    me,
-                    directors,
+                    doormanIndex,
+                    doormanCount,
                     1,
-                    List.of(0, directors),
-                    Bench.PARENT,
-                    Bench.ORIGIN,
-                    sizes,
+                    List.of(0, doormanCount),
+                    PolicyHarness.PARENT,
+                    PolicyHarness.ORIGIN,
+                    weighBySize,
                     false,
                     0,
-                    Bench.TICK,
+                    PolicyHarness.TICK_MS,
                     8,
                     1_000,
                     cache,
                     parent,
-                    fallMs,
+                    overloadSpanMs,
                     500,
                     6_000,
                     true,
                     true,
-                    Director.Siblings.NONE,
-                    Director.Notes.HIT,
+                    RoutingPolicy.Siblings.NONE,
+                    RoutingPolicy.Notes.HIT,
                     PACE_KB_PER_MS,
-                    Director.Reports.NONE,
+                    RoutingPolicy.Reports.NONE,
                     List.of(),
                     6,
                     false,
@@ -124,35 +137,35 @@
                     500);
         }
 
-        private Bench start(int me) {
-            Bench bench = new Bench(settings(me), random.nextLong());
-            bench.now = now;
-            boolean knows = now >= told[me];
-            bench.tell(new Director.Members(ListKind.CACHED, nodes(knows)));
-            return bench;
+        private PolicyHarness start(int doormanIndex) {
+            PolicyHarness harness = new PolicyHarness(settings(doormanIndex), random.nextLong());
+            harness.nowMs = nowMs;
+            boolean listed = nowMs >= listedAtMs[doormanIndex];
+            harness.handle(new RoutingPolicy.Members(ListKind.CACHED, nodes(listed)));
+            return harness;
         }
 
-        private List<Node> nodes(boolean knows) {
+        private List<Node> nodes(boolean listed) {
             List<Node> nodes = new ArrayList<>();
-            double size = perMs * MEAN_WORK_MS;
+            double size = callsPerMs * MEAN_WORK_MS;
             for (int i = 1; i <= CACHES; i++) {
-                boolean cold = knows && (i == COLD_CACHE || twoCold && i == OTHER_COLD_CACHE);
-                nodes.add(new Node(i, 1, Bench.CACHE, 0, State.READY, size, cold ? bootAt : 0));
+                boolean cold = listed && (i == COLD_CACHE || twoColdCaches && i == OTHER_COLD_CACHE);
+                nodes.add(new Node(i, 1, PolicyHarness.CACHE, 0, State.READY, size, cold ? bootAtMs : 0));
             }
-            nodes.add(new Node(COLD_PARENT, 0, Bench.PARENT, 0, State.READY, 2 * size, knows ? bootAt : 0));
-            nodes.add(new Node(12, 0, Bench.PARENT, 0, State.READY, 2 * size, 0));
-            nodes.add(new Node(20, 0, Bench.ORIGIN, 0, State.READY, 1, 0));
+            nodes.add(new Node(COLD_PARENT, 0, PolicyHarness.PARENT, 0, State.READY, 2 * size, listed ? bootAtMs : 0));
+            nodes.add(new Node(12, 0, PolicyHarness.PARENT, 0, State.READY, 2 * size, 0));
+            nodes.add(new Node(20, 0, PolicyHarness.ORIGIN, 0, State.READY, 1, 0));
             return nodes;
         }
 
         /** Returns the factor of the mean traffic: with bursts 0, and 4 in the last quarter of each period. */
-        private double swing() {
-            return burstsMs == 0 ? 1 : now % burstsMs < 0.75 * burstsMs ? 0 : 4;
+        private double trafficFactor() {
+            return burstPeriodMs == 0 ? 1 : nowMs % burstPeriodMs < 0.75 * burstPeriodMs ? 0 : 4;
         }
 
         private int poisson(double mean) {
             int count = 0;
-            for (double p = random.nextDouble(); p > Math.exp(-mean); p *= random.nextDouble()) {
+            for (double product = random.nextDouble(); product > Math.exp(-mean); product *= random.nextDouble()) {
                 count++;
             }
             return count;
@@ -163,29 +176,29 @@
          * share of its budget that was used in all to {@code used}, for the cache and for the parent.
          */
         double play(double[] used) {
-            Span toCache = new Span(cache, perMs);
-            Span toParent = new Span(parent, 2 * perMs);
-            double end = bootAt + Math.max(cache.warmAfterMs(), parent.warmAfterMs());
-            for (; now < end; now += STEP_MS) {
-                for (int me = 0; me < directors; me++) {
+            Span toCache = new Span(cache, callsPerMs);
+            Span toParent = new Span(parent, 2 * callsPerMs);
+            double end = bootAtMs + Math.max(cache.warmAfterMs(), parent.warmAfterMs());
+            for (; nowMs < end; nowMs += STEP_MS) {
+                for (int doormanIndex = 0; doormanIndex < doormanCount; doormanIndex++) {
                     if (random.nextDouble() < restartsPerMs * STEP_MS) {
-                        benches.set(me, start(me));
+                        harnesses.set(doormanIndex, start(doormanIndex));
                     }
-                    Bench bench = benches.get(me);
-                    bench.now = now;
-                    if (now >= told[me] && now - told[me] < STEP_MS) {
-                        bench.tell(new Director.Members(ListKind.DELTA, nodes(true)));
+                    PolicyHarness harness = harnesses.get(doormanIndex);
+                    harness.nowMs = nowMs;
+                    if (nowMs >= listedAtMs[doormanIndex] && nowMs - listedAtMs[doormanIndex] < STEP_MS) {
+                        harness.handle(new RoutingPolicy.Members(ListKind.DELTA, nodes(true)));
                     }
-                    boolean knows = now >= told[me];
-                    int calls = poisson(weight[me] * load * CACHES * perMs * swing() * STEP_MS);
+                    boolean listed = nowMs >= listedAtMs[doormanIndex];
+                    int calls = poisson(weight[doormanIndex] * load * CACHES * callsPerMs * trafficFactor() * STEP_MS);
                     for (int i = 0; i < calls; i++) {
-                        Get get = first(bench);
-                        if (get != null && knows) {
+                        Get get = first(harness);
+                        if (get != null && listed) {
                             toCache.add(get.node() == COLD_CACHE);
                             toParent.add(get.node() == COLD_PARENT || get.source() == COLD_PARENT);
                         }
                         if (get != null) {
-                            bench.outcome(get, 0, Result.OK, Note.FILLED);
+                            harness.outcome(get, 0, Result.OK, Note.FILLED);
                         }
                     }
                 }
@@ -194,71 +207,72 @@
             }
             used[0] += toCache.used();
             used[1] += toParent.used();
-            return Math.max(toCache.worst, toParent.worst);
+            return Math.max(toCache.worstShare, toParent.worstShare);
         }
 
-        private Get first(Bench bench) {
-            List<Get> gets = Bench.all(bench.request(0, ++lastObject, 4_000, MEAN_WORK_MS * PACE_KB_PER_MS), Get.class);
+        private Get first(PolicyHarness harness) {
+            List<Get> gets = PolicyHarness.actionsOf(
+                    harness.request(0, ++lastObject, 4_000, MEAN_WORK_MS * PACE_KB_PER_MS), Get.class);
             return gets.isEmpty() ? null : gets.get(0);
         }
 
         /** Compares the calls to a cold node in a sliding span with what the settings allow. */
         private final class Span {
-            final Director.ColdRule rule;
-            final double perMs;
+            final RoutingPolicy.ColdRule rule;
+            final double callsPerMs;
             final ArrayDeque<Integer> steps = new ArrayDeque<>();
             int inStep;
             int inSpan;
-            long all;
+            long total;
             double allowed;
-            double worst;
+            double worstShare;
 
-            Span(Director.ColdRule rule, double perMs) {
+            Span(RoutingPolicy.ColdRule rule, double callsPerMs) {
                 this.rule = rule;
-                this.perMs = perMs;
+                this.callsPerMs = callsPerMs;
             }
 
-            void add(boolean one) {
-                inStep += one ? 1 : 0;
+            void add(boolean counts) {
+                inStep += counts ? 1 : 0;
             }
 
             void step() {
                 steps.add(inStep);
                 inSpan += inStep;
-                all += inStep;
+                total += inStep;
                 inStep = 0;
-                if (steps.size() > fallMs / STEP_MS) {
+                if (steps.size() > overloadSpanMs / STEP_MS) {
                     inSpan -= steps.remove();
                 }
-                double age = now - bootAt;
-                if (age < 0 || age >= rule.warmAfterMs()) {
+                double ageMs = nowMs - bootAtMs;
+                if (ageMs < 0 || ageMs >= rule.warmAfterMs()) {
                     return;
                 }
-                double share = rule.fromShare() + (1 - rule.fromShare()) * age / rule.warmAfterMs();
-                double n = rule.fallMultiple() * share * perMs * fallMs;
-                allowed += n * STEP_MS / fallMs;
-                worst = Math.max(worst, inSpan / (n + 2 * Math.sqrt(n) + 2));
+                double share = rule.fromShare() + (1 - rule.fromShare()) * ageMs / rule.warmAfterMs();
+                double allowedCalls = rule.overloadMultiple() * share * callsPerMs * overloadSpanMs;
+                allowed += allowedCalls * STEP_MS / overloadSpanMs;
+                worstShare = Math.max(worstShare, inSpan / (allowedCalls + 2 * Math.sqrt(allowedCalls) + 2));
             }
 
             double used() {
-                return all / allowed;
+                return total / allowed;
             }
         }
     }
 
     @ParameterizedTest
     @ValueSource(ints = {1, 3, 14, 20, 30, 100})
-    void allDirectorsTogetherStayWithinWhatAColdNodeBears(int directors) {
+    void allDoormansTogetherStayWithinAColdNodesBudget(int doormanCount) {
         double worst = 0;
         double[] used = new double[2];
         for (int i = 0; i < SCHEDULES; i++) {
-            double one = new Schedule(directors, 1_000L * directors + i).play(used);
-            assertTrue(one <= 1, "schedule " + i + " of " + directors + " doormans: " + one + " of the bound");
-            worst = Math.max(worst, one);
+            double share = new Schedule(doormanCount, 1_000L * doormanCount + i).play(used);
+            assertTrue(share <= 1, "schedule " + i + " of " + doormanCount + " doormans: " + share + " of the bound");
+            worst = Math.max(worst, share);
         }
         System.out.printf(
                 "cold ramp, %d doormans: at most %.2f of the bound; budget used: caches %.2f, parents %.2f%n",
-                directors, worst, used[0] / SCHEDULES, used[1] / SCHEDULES);
+                doormanCount, worst, used[0] / SCHEDULES, used[1] / SCHEDULES);
         assertTrue(used[0] > 0.02 * SCHEDULES, "cold caches get hardly any work");
     }
 }
--- a/decision/src/test/java/barleyspur/decision/ModuleSizeTest.java
+++ b/decision/src/test/java/barleyspur/decision/PolicyFilesTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Checks the files that the deploy file lists as holding decisions. */
-class ModuleSizeTest {
+class PolicyFilesTest {
 
     /** Tests run in their module's folder. */
     private static final Path ROOT = Path.of("..");
@@ -44,6 +44,6 @@
 
     @Test
     void theRoutingPolicyIsListed() throws IOException {
-        assertTrue(policy().stream().anyMatch(file -> file.endsWith("Decide.java")));
+        assertTrue(policy().stream().anyMatch(file -> file.endsWith("LeastRecentlyLostPolicy.java")));
     }
 }
--- a/decision/src/test/java/barleyspur/decision/RulesTest.java
+++ b/decision/src/test/java/barleyspur/decision/RulesTest.java
@@ -5,19 +5,19 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import barleyspur.decision.Director.Action;
-import barleyspur.decision.Director.Alarm;
-import barleyspur.decision.Director.Cancel;
-import barleyspur.decision.Director.Fail;
-import barleyspur.decision.Director.Get;
-import barleyspur.decision.Director.ListKind;
-import barleyspur.decision.Director.Members;
-import barleyspur.decision.Director.Note;
-import barleyspur.decision.Director.Purged;
-import barleyspur.decision.Director.Refuse;
-import barleyspur.decision.Director.Result;
-import barleyspur.decision.Director.State;
-import barleyspur.decision.Director.WakeAt;
+import barleyspur.decision.RoutingPolicy.Action;
+import barleyspur.decision.RoutingPolicy.Alarm;
+import barleyspur.decision.RoutingPolicy.Cancel;
+import barleyspur.decision.RoutingPolicy.Fail;
+import barleyspur.decision.RoutingPolicy.Get;
+import barleyspur.decision.RoutingPolicy.ListKind;
+import barleyspur.decision.RoutingPolicy.Members;
+import barleyspur.decision.RoutingPolicy.Note;
+import barleyspur.decision.RoutingPolicy.Purged;
+import barleyspur.decision.RoutingPolicy.Refuse;
+import barleyspur.decision.RoutingPolicy.Result;
+import barleyspur.decision.RoutingPolicy.State;
+import barleyspur.decision.RoutingPolicy.WakeAt;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Predicate;
@@ -26,63 +26,66 @@
 /** Tests the five rules of the policy, alone and in combination. */
 class RulesTest {
 
-    private Bench bench = new Bench(Bench.settings()).list(4);
+    private PolicyHarness harness = new PolicyHarness(PolicyHarness.settings()).listNodes(4);
     private long lastObject = 1_000;
 
     // ---- rule 1: one final answer in time ------------------------------------------------------------
 
     @Test
     void aRequestStillOutIsRefusedAheadOfItsDeadlineAndItsAttemptCalledOff() {
-        List<Action> sent = bench.request(0, 42, 3_000);
-        WakeAt wake = Bench.deadline(sent);
-        assertTrue(wake.atMs() < bench.now + 3_000);
-        bench.now = wake.atMs() + Bench.TICK;
-        List<Action> end = bench.tell(new Alarm(wake.token()));
-        assertEquals(1, Bench.all(end, Refuse.class).size());
-        assertEquals(1, Bench.all(end, Cancel.class).size());
-        assertTrue(Bench.only(end, Refuse.class).pauseMs() > 0);
+        List<Action> sent = harness.request(0, 42, 3_000);
+        WakeAt wake = PolicyHarness.deadline(sent);
+        assertTrue(wake.atMs() < harness.nowMs + 3_000);
+        harness.nowMs = wake.atMs() + PolicyHarness.TICK_MS;
+        List<Action> end = harness.handle(new Alarm(wake.token()));
+        assertEquals(1, PolicyHarness.actionsOf(end, Refuse.class).size());
+        assertEquals(1, PolicyHarness.actionsOf(end, Cancel.class).size());
+        assertTrue(PolicyHarness.onlyAction(end, Refuse.class).pauseMs() > 0);
     }
 
     @Test
     void nothingFollowsTheFinalAnswer() {
-        List<Action> sent = bench.request(0, 42, 3_000);
-        bench.tell(new Alarm(Bench.deadline(sent).token()));
-        assertEquals(List.of(), bench.tell(new Alarm(Bench.deadline(sent).token())));
-        Get get = Bench.only(sent, Get.class);
-        assertEquals(List.of(), Bench.all(bench.outcome(get, 0, Result.CANCELLED, Note.NONE), Get.class));
+        List<Action> sent = harness.request(0, 42, 3_000);
+        harness.handle(new Alarm(PolicyHarness.deadline(sent).token()));
+        assertEquals(
+                List.of(), harness.handle(new Alarm(PolicyHarness.deadline(sent).token())));
+        Get get = PolicyHarness.onlyAction(sent, Get.class);
+        assertEquals(
+                List.of(), PolicyHarness.actionsOf(harness.outcome(get, 0, Result.CANCELLED, Note.NONE), Get.class));
     }
 
     @Test
     void withTooLittleTimeLeftItIsRefusedAtOnce() {
-        Bench.only(bench.request(0, 42, 5), Refuse.class);
+        PolicyHarness.onlyAction(harness.request(0, 42, 5), Refuse.class);
     }
 
     @Test
     void withAnEmptyListItIsRefusedAtOnce() {
-        Bench empty = new Bench(Bench.settings());
-        empty.tell(new Members(ListKind.CACHED, List.of()));
-        Bench.only(empty.request(0, 42, 3_000), Refuse.class);
+        PolicyHarness empty = new PolicyHarness(PolicyHarness.settings());
+        empty.handle(new Members(ListKind.CACHED, List.of()));
+        PolicyHarness.onlyAction(empty.request(0, 42, 3_000), Refuse.class);
     }
 
     @Test
     void aListWithOneCacheServes() {
-        Bench one = new Bench(Bench.settings()).list(1);
+        PolicyHarness one = new PolicyHarness(PolicyHarness.settings()).listNodes(1);
         assertEquals(1, one.get(42).node());
         assertEquals(1, one.get(43).node());
     }
 
     /** After a client has left, neither its timers nor the outcomes of its attempts start another attempt. */
     @Test
-    void nothingIsBegunForWhoHasGone() {
+    void nothingIsSentForAClientThatLeft() {
         for (int category = 0; category < 4; category++) {
-            List<Action> taken = bench.request(category, 50 + category, 3_000);
-            Get get = Bench.only(taken, Get.class);
-            Bench.only(bench.tell(new Director.Gone(get.request())), Director.Cancel.class);
-            for (WakeAt timer : Bench.all(taken, WakeAt.class)) {
-                bench.now = Math.max(bench.now, timer.atMs());
-                assertEquals(List.of(), bench.tell(new Alarm(timer.token())));
+            List<Action> taken = harness.request(category, 50 + category, 3_000);
+            Get get = PolicyHarness.onlyAction(taken, Get.class);
+            PolicyHarness.onlyAction(harness.handle(new RoutingPolicy.Gone(get.request())), RoutingPolicy.Cancel.class);
+            for (WakeAt timer : PolicyHarness.actionsOf(taken, WakeAt.class)) {
+                harness.nowMs = Math.max(harness.nowMs, timer.atMs());
+                assertEquals(List.of(), harness.handle(new Alarm(timer.token())));
             }
-            assertEquals(List.of(), Bench.all(bench.outcome(get, 0, Result.FULL, Note.NONE), Get.class));
+            assertEquals(
+                    List.of(), PolicyHarness.actionsOf(harness.outcome(get, 0, Result.FULL, Note.NONE), Get.class));
         }
     }
 
@@ -90,66 +93,68 @@
 
     @Test
     void anUnsafeRequestThatMayHaveRunFailsAndIsNotSentAgain() {
-        Get get = Bench.only(bench.request(2, 42, 3_000), Get.class);
-        List<Action> end = bench.outcome(get, 0, Result.RESET, Note.NONE);
-        assertEquals(List.of(), Bench.all(end, Get.class));
-        Bench.only(end, Fail.class);
+        Get get = PolicyHarness.onlyAction(harness.request(2, 42, 3_000), Get.class);
+        List<Action> end = harness.outcome(get, 0, Result.RESET, Note.NONE);
+        assertEquals(List.of(), PolicyHarness.actionsOf(end, Get.class));
+        PolicyHarness.onlyAction(end, Fail.class);
     }
 
     @Test
     void anUnsafeRequestThatCannotHaveRunIsSentAgain() {
-        Get get = Bench.only(bench.request(2, 42, 3_000), Get.class);
-        Bench.only(bench.outcome(get, 0, Result.CONNECT_FAILED, Note.NONE), Get.class);
+        Get get = PolicyHarness.onlyAction(harness.request(2, 42, 3_000), Get.class);
+        PolicyHarness.onlyAction(harness.outcome(get, 0, Result.CONNECT_FAILED, Note.NONE), Get.class);
     }
 
     @Test
     void anUnsafeRequestWithItsAttemptOutFailsAtTheDeadline() {
-        WakeAt wake = Bench.deadline(bench.request(2, 42, 3_000));
-        Bench.only(bench.tell(new Alarm(wake.token())), Fail.class);
+        WakeAt wake = PolicyHarness.deadline(harness.request(2, 42, 3_000));
+        PolicyHarness.onlyAction(harness.handle(new Alarm(wake.token())), Fail.class);
     }
 
     @Test
     void aKeyedRequestThatMayHaveRunStaysInItsCell() {
-        Get get = Bench.only(bench.request(3, 42, 3_000), Get.class);
-        Get next = Bench.only(bench.outcome(get, 0, Result.RESET, Note.NONE), Get.class);
+        Get get = PolicyHarness.onlyAction(harness.request(3, 42, 3_000), Get.class);
+        Get next = PolicyHarness.onlyAction(harness.outcome(get, 0, Result.RESET, Note.NONE), Get.class);
         assertEquals(get.node() % 2, next.node() % 2);
     }
 
     @Test
     void aKeyedRequestIsNotSentAgainAfterItsWindow() {
-        Get get = Bench.only(bench.request(3, 42, 5_000), Get.class);
-        bench.now += 2_500;
-        List<Action> end = bench.outcome(get, 0, Result.RESET, Note.NONE);
-        assertEquals(List.of(), Bench.all(end, Get.class));
-        Bench.only(end, Fail.class);
+        Get get = PolicyHarness.onlyAction(harness.request(3, 42, 5_000), Get.class);
+        harness.nowMs += 2_500;
+        List<Action> end = harness.outcome(get, 0, Result.RESET, Note.NONE);
+        assertEquals(List.of(), PolicyHarness.actionsOf(end, Get.class));
+        PolicyHarness.onlyAction(end, Fail.class);
     }
 
     // ---- rule 3: drains ---------------------------------------------------------------------------------
 
     @Test
     void aDrainingCacheIsNoTargetEvenForWhatItHolds() {
-        Get get = bench.served(bench.get(42));
-        bench.change(Bench.node(get.node(), Bench.CACHE, State.DRAINING, 0));
-        assertNotEquals(get.node(), bench.get(42).node());
+        Get get = harness.serve(harness.get(42));
+        harness.changeNodes(PolicyHarness.node(get.node(), PolicyHarness.CACHE, State.DRAINING, 0));
+        assertNotEquals(get.node(), harness.get(42).node());
     }
 
     @Test
     void aDrainingParentIsNoSourceAlsoAtARetry() {
-        Get get = bench.get(42);
-        bench.change(Bench.node(get.source() == 11 ? 12 : 11, Bench.PARENT, State.DRAINING, 0));
-        Get again = Bench.only(bench.outcome(get, 0, Result.FULL, Note.SOURCE_REFUSED), Get.class);
+        Get get = harness.get(42);
+        harness.changeNodes(PolicyHarness.node(get.source() == 11 ? 12 : 11, PolicyHarness.PARENT, State.DRAINING, 0));
+        Get again = PolicyHarness.onlyAction(harness.outcome(get, 0, Result.FULL, Note.SOURCE_REFUSED), Get.class);
         assertEquals(20, again.source());
     }
 
     @Test
     void withEveryParentGoneTheOriginIsTheSource() {
-        bench.change(Bench.node(11, Bench.PARENT, State.GONE, 0), Bench.node(12, Bench.PARENT, State.GONE, 0));
-        assertEquals(20, bench.get(42).source());
+        harness.changeNodes(
+                PolicyHarness.node(11, PolicyHarness.PARENT, State.GONE, 0),
+                PolicyHarness.node(12, PolicyHarness.PARENT, State.GONE, 0));
+        assertEquals(20, harness.get(42).source());
     }
 
     @Test
     void withEveryCacheGoneItGoesStraightToAParent() {
-        Bench none = new Bench(Bench.settings()).list(0);
+        PolicyHarness none = new PolicyHarness(PolicyHarness.settings()).listNodes(0);
         Get get = none.get(42);
         assertTrue(get.node() == 11 || get.node() == 12);
         assertEquals(20, get.source());
@@ -162,8 +167,8 @@
     private long servedWith(Predicate<Get> uses, int count, double stepMs) {
         long found = 0;
         for (int i = 0; i < count; i++) {
-            found += uses.test(bench.served(bench.get(++lastObject))) ? 1 : 0;
-            bench.now += stepMs;
+            found += uses.test(harness.serve(harness.get(++lastObject))) ? 1 : 0;
+            harness.nowMs += stepMs;
         }
         return found;
     }
@@ -171,24 +176,24 @@
     @Test
     void aRestartedCacheTakesNothingAtOnceAndFewAfterThat() {
         servedWith(g -> true, 200, 60);
-        bench.change(Bench.node(1, Bench.CACHE, State.READY, bench.now));
+        harness.changeNodes(PolicyHarness.node(1, PolicyHarness.CACHE, State.READY, harness.nowMs));
         assertEquals(0, servedWith(g -> g.node() == 1, 100, 0));
         long toCold = servedWith(g -> g.node() == 1, 66, 60);
         assertTrue(toCold >= 1 && toCold <= 8, "of 66 requests, sent to the cold one of four caches: " + toCold);
     }
 
     @Test
-    void directorsStartOnAColdCacheAtDifferentTimes() {
+    void doormansStartOnAColdCacheAtDifferentTimes() {
         List<Double> first = new ArrayList<>();
         for (int me = 0; me < 8; me++) {
-            bench = new Bench(Bench.settings(me, 8)).list(4);
+            harness = new PolicyHarness(PolicyHarness.settings(me, 8)).listNodes(4);
             servedWith(g -> true, 200, 60);
-            bench.change(Bench.node(1, Bench.CACHE, State.READY, bench.now));
-            double told = bench.now;
+            harness.changeNodes(PolicyHarness.node(1, PolicyHarness.CACHE, State.READY, harness.nowMs));
+            double listedAtMs = harness.nowMs;
             while (servedWith(g -> g.node() == 1, 1, 20) == 0) {
-                assertTrue(bench.now < told + 16_000, "the cold cache is never used");
+                assertTrue(harness.nowMs < listedAtMs + 16_000, "the cold cache is never used");
             }
-            first.add(bench.now - told);
+            first.add(harness.nowMs - listedAtMs);
         }
         assertTrue(first.stream().filter(ms -> ms < 1_000).count() <= 4, "first sends after " + first);
         assertTrue(
@@ -200,11 +205,11 @@
     @Test
     void aCacheThatAnswersAgainAfterARefusedConnectIsTakenAsCold() {
         servedWith(g -> true, 200, 60);
-        Get get = bench.get(++lastObject);
-        bench.outcome(get, 0, Result.CONNECT_FAILED, Note.NONE);
-        bench.now += 1_000;
+        Get get = harness.get(++lastObject);
+        harness.outcome(get, 0, Result.CONNECT_FAILED, Note.NONE);
+        harness.nowMs += 1_000;
         int tries = 0;
-        while (bench.served(bench.get(++lastObject)).node() != get.node()) {
+        while (harness.serve(harness.get(++lastObject)).node() != get.node()) {
             assertTrue(++tries < 100, "the cache is never tried again");
         }
         assertEquals(0, servedWith(g -> g.node() == get.node(), 100, 0));
@@ -217,84 +222,85 @@
     @Test
     void aCacheStaysInUseAfterAReset() {
         servedWith(g -> true, 200, 60);
-        Get get = bench.get(++lastObject);
-        bench.outcome(get, 0, Result.RESET, Note.NONE);
+        Get get = harness.get(++lastObject);
+        harness.outcome(get, 0, Result.RESET, Note.NONE);
         assertTrue(servedWith(g -> g.node() == get.node(), 100, 0) > 0);
     }
 
     @Test
     void aRestartDuringAFillSendsTheRequestElsewhere() {
-        Get get = bench.get(42);
-        bench.now += 100;
-        bench.change(Bench.node(get.node(), Bench.CACHE, State.READY, bench.now));
-        Get again = Bench.only(bench.outcome(get, 0, Result.RESET, Note.NONE), Get.class);
+        Get get = harness.get(42);
+        harness.nowMs += 100;
+        harness.changeNodes(PolicyHarness.node(get.node(), PolicyHarness.CACHE, State.READY, harness.nowMs));
+        Get again = PolicyHarness.onlyAction(harness.outcome(get, 0, Result.RESET, Note.NONE), Get.class);
         assertNotEquals(get.node(), again.node());
     }
 
     @Test
     void aRestartedParentTakesNothingAtOnceAndFewFillsAfterThat() {
         servedWith(g -> true, 200, 60);
-        bench.change(Bench.node(11, Bench.PARENT, State.READY, bench.now));
+        harness.changeNodes(PolicyHarness.node(11, PolicyHarness.PARENT, State.READY, harness.nowMs));
         assertEquals(0, servedWith(g -> g.source() == 11, 100, 0));
         long toCold = servedWith(g -> g.source() == 11, 200, 60);
         assertTrue(toCold >= 1 && toCold < 35, "of 200 fills, from the cold one of two parents: " + toCold);
     }
 
     @Test
-    void whatIsBelievedHeldNamesNoColdParent() {
-        Get get = bench.served(bench.get(42));
-        bench.change(Bench.node(get.source(), Bench.PARENT, State.READY, bench.now));
-        assertNotEquals(get.source(), bench.get(42).source());
+    void aRequestExpectedToHitNamesNoColdParent() {
+        Get get = harness.serve(harness.get(42));
+        harness.changeNodes(PolicyHarness.node(get.source(), PolicyHarness.PARENT, State.READY, harness.nowMs));
+        assertNotEquals(get.source(), harness.get(42).source());
     }
 
     // ---- rule 5: purges ------------------------------------------------------------------------------------
 
     @Test
     void afterAPurgeNoOlderCopyWillDoUntilAllAreDropped() {
-        bench.served(bench.get(42));
-        bench.tell(new Purged(5, 42, 300));
-        bench.now += 1_000;
-        Get get = bench.get(42);
+        harness.serve(harness.get(42));
+        harness.handle(new Purged(5, 42, 300));
+        harness.nowMs += 1_000;
+        Get get = harness.get(42);
         assertTrue(get.maxAgeMs() > 0 && get.maxAgeMs() <= 1_300, "age " + get.maxAgeMs());
-        bench.now += 6_000;
-        assertEquals(0, bench.get(42).maxAgeMs());
+        harness.nowMs += 6_000;
+        assertEquals(0, harness.get(42).maxAgeMs());
     }
 
     @Test
     void aPurgeOfTheWholeGroupBoundsItsObjects() {
-        bench.tell(new Purged(5, 0, 0));
-        bench.now += 1_000;
-        double age = bench.get(42).maxAgeMs();
+        harness.handle(new Purged(5, 0, 0));
+        harness.nowMs += 1_000;
+        double age = harness.get(42).maxAgeMs();
         assertTrue(age > 0 && age <= 1_000, "age " + age);
     }
 
     @Test
-    void thePurgeOfThisMomentStillBounds() {
-        bench.tell(new Purged(5, 42, 0));
-        double age = bench.get(42).maxAgeMs();
-        assertTrue(age > 0 && age < Bench.TICK, "age " + age);
+    void aPurgeAtThisInstantStillBoundsTheAge() {
+        harness.handle(new Purged(5, 42, 0));
+        double age = harness.get(42).maxAgeMs();
+        assertTrue(age > 0 && age < PolicyHarness.TICK_MS, "age " + age);
     }
 
     @Test
     void aPurgeDuringARetryBoundsTheRetry() {
-        Get get = bench.get(42);
-        bench.tell(new Purged(5, 42, 0));
-        bench.now += 100;
-        Get again = Bench.only(bench.outcome(get, 0, Result.RESET, Note.NONE), Get.class);
+        Get get = harness.get(42);
+        harness.handle(new Purged(5, 42, 0));
+        harness.nowMs += 100;
+        Get again = PolicyHarness.onlyAction(harness.outcome(get, 0, Result.RESET, Note.NONE), Get.class);
         assertTrue(again.maxAgeMs() > 0 && again.maxAgeMs() <= 100, "age " + again.maxAgeMs());
     }
 
     @Test
-    void aClassWithAFreshTimeIsNeverGivenLonger() {
-        bench.tell(new Purged(5, 42, 5_900));
-        double age = Bench.only(bench.request(1, 42, 3_000), Get.class).maxAgeMs();
+    void aPurgeNeverExtendsTheFreshTimeOfAClass() {
+        harness.handle(new Purged(5, 42, 5_900));
+        double age = PolicyHarness.onlyAction(harness.request(1, 42, 3_000), Get.class)
+                .maxAgeMs();
         assertTrue(age > 0 && age <= 5_900, "age " + age);
         assertFalse(age > 8_000);
     }
 
     @Test
-    void anotherObjectIsNotBound() {
-        bench.tell(new Purged(9, 77, 0));
-        assertEquals(0, bench.get(42).maxAgeMs());
+    void aPurgeDoesNotBoundAnotherObject() {
+        harness.handle(new Purged(9, 77, 0));
+        assertEquals(0, harness.get(42).maxAgeMs());
     }
 }
--- a/doorman/src/main/java/barleyspur/Node.java
+++ b/doorman/src/main/java/barleyspur/Node.java
@@ -9,8 +9,8 @@
 import barleyspur.channel.CommandReader;
 import barleyspur.config.Configuration;
 import barleyspur.config.OwnSettings;
-import barleyspur.decision.Decide;
-import barleyspur.decision.Director;
+import barleyspur.decision.LeastRecentlyLostPolicy;
+import barleyspur.decision.RoutingPolicy;
 import barleyspur.depot.DepotClient;
 import barleyspur.doorman.Clock;
 import barleyspur.doorman.Doorman;
@@ -118,14 +118,14 @@
         this.configuration = configuration;
         this.own = own;
         Configuration.Limits limits = configuration.limits();
-        Director.Settings settings = configuration.settings();
+        RoutingPolicy.Settings settings = configuration.settings();
         clock = clocks.apply(group.next(), polls);
         DepotClient depots = new DepotClient(
                 Connector.tcp(group, limits.connectTimeoutMs()),
                 clock,
                 new DepotClient.Limits(limits.streams(), limits.idleMs(), limits.sockets() / SHARES),
                 settings.reportFields());
-        Director director = new Decide(settings, configuration.seed());
+        RoutingPolicy director = new LeastRecentlyLostPolicy(settings, configuration.seed());
         // Not the configuration's seed: doormans, and lives of one, may have it alike, and must be told apart.
         long life = own.fleet() == null ? 0 : new SecureRandom().nextLong();
         FleetPort port = own.fleet() == null
--- a/doorman/src/main/java/barleyspur/Rehearsal.java
+++ b/doorman/src/main/java/barleyspur/Rehearsal.java
@@ -1,8 +1,8 @@
 package barleyspur;
 
 import barleyspur.config.Configuration;
-import barleyspur.decision.Decide;
-import barleyspur.decision.Director;
+import barleyspur.decision.LeastRecentlyLostPolicy;
+import barleyspur.decision.RoutingPolicy;
 import barleyspur.depot.DepotClient;
 import barleyspur.doorman.Clock;
 import barleyspur.doorman.Doorman;
@@ -68,7 +68,7 @@
     /** Plays this many requests, and says how many bytes of answers the clients got. */
     long play(int requests) {
         long answered = 0;
-        Director.Settings settings = configuration.settings();
+        RoutingPolicy.Settings settings = configuration.settings();
         DepotClient client = new DepotClient(
                 (address, handlers) -> {
                     EmbeddedChannel depot = new EmbeddedChannel(handlers);
@@ -78,7 +78,7 @@
                 this,
                 new DepotClient.Limits(configuration.limits().streams(), Integer.MAX_VALUE, CACHES * 8),
                 settings.reportFields());
-        Doorman doorman = new Doorman(settings, requests, new Decide(settings, 1), this, client);
+        Doorman doorman = new Doorman(settings, requests, new LeastRecentlyLostPolicy(settings, 1), this, client);
         doorman.listed(true, listings(settings));
         Lifecycle lifecycle = new Lifecycle();
         lifecycle.serving(now);
@@ -124,12 +124,12 @@
         }
     }
 
-    private static List<NodeListing> listings(Director.Settings settings) {
+    private static List<NodeListing> listings(RoutingPolicy.Settings settings) {
         List<NodeListing> listings = new ArrayList<>();
         for (int i = 0; i < CACHES + 2; i++) {
             int kind = i < CACHES ? 0 : i == CACHES ? settings.parentKind() : settings.originKind();
             listings.add(new NodeListing(
-                    "s-" + i, new InetSocketAddress(1), settings.zone(), kind, 0, Director.State.READY, 1, 0));
+                    "s-" + i, new InetSocketAddress(1), settings.zone(), kind, 0, RoutingPolicy.State.READY, 1, 0));
         }
         return listings;
     }
--- a/doorman/src/main/java/barleyspur/budget/net/GuardedDepots.java
+++ b/doorman/src/main/java/barleyspur/budget/net/GuardedDepots.java
@@ -3,7 +3,7 @@
 import barleyspur.budget.Kind;
 import barleyspur.budget.Share;
 import barleyspur.budget.Terms;
-import barleyspur.decision.Director.Result;
+import barleyspur.decision.RoutingPolicy.Result;
 import barleyspur.doorman.Clock;
 import barleyspur.doorman.Depots;
 import barleyspur.doorman.NodeListing;
--- a/doorman/src/main/java/barleyspur/channel/CommandReader.java
+++ b/doorman/src/main/java/barleyspur/channel/CommandReader.java
@@ -1,7 +1,7 @@
 package barleyspur.channel;
 
 import barleyspur.config.Configuration;
-import barleyspur.decision.Director.State;
+import barleyspur.decision.RoutingPolicy.State;
 import barleyspur.doorman.Commands;
 import barleyspur.doorman.NodeListing;
 import barleyspur.log.LogEvent;
--- a/doorman/src/main/java/barleyspur/cli/Cli.java
+++ b/doorman/src/main/java/barleyspur/cli/Cli.java
@@ -5,7 +5,7 @@
 import barleyspur.config.ExpectationCheck;
 import barleyspur.config.Hcl;
 import barleyspur.config.OwnSettings;
-import barleyspur.sim.Adapter;
+import barleyspur.sim.SimulatorHost;
 import java.io.FileDescriptor;
 import java.io.FileInputStream;
 import java.io.FileOutputStream;
@@ -87,7 +87,7 @@
                         Command.of(
                                 name,
                                 "Run the decisions on the simulator's wire, on standard input and " + "output.",
-                                line -> Adapter.run(
+                                line -> SimulatorHost.run(
                                         new FileInputStream(FileDescriptor.in),
                                         new FileOutputStream(FileDescriptor.out)));
                     case "version" -> Command.of(name, "Print the version.", line -> version());
--- a/doorman/src/main/java/barleyspur/config/Configuration.java
+++ b/doorman/src/main/java/barleyspur/config/Configuration.java
@@ -1,6 +1,6 @@
 package barleyspur.config;
 
-import barleyspur.decision.Director;
+import barleyspur.decision.RoutingPolicy;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetSocketAddress;
@@ -33,7 +33,7 @@
         Path scratch,
         long seed,
         JSONObject known,
-        Director.Settings settings,
+        RoutingPolicy.Settings settings,
         Names names,
         Limits limits) {
 
--- a/doorman/src/main/java/barleyspur/config/ExpectationFiles.java
+++ b/doorman/src/main/java/barleyspur/config/ExpectationFiles.java
@@ -1,6 +1,6 @@
 package barleyspur.config;
 
-import barleyspur.decision.Director;
+import barleyspur.decision.RoutingPolicy;
 import barleyspur.expect.Case;
 import barleyspur.expect.Condition;
 import barleyspur.expect.Expectation;
@@ -91,21 +91,21 @@
 
     /** The settings' figures by the names that expectations use. */
     static Map<String, Double> figures(Site site) {
-        Director.Settings s = site.any();
+        RoutingPolicy.Settings s = site.any();
         Map<String, Double> figures = new LinkedHashMap<>();
         figures.put("drain_grace", s.drainGraceMs());
         figures.put("purge_grace", s.purgeGraceMs());
-        figures.put("purge_done", s.purgeDoneMs());
+        figures.put("purge_done", s.purgeCompleteMs());
         figures.put("answer_slack", s.answerSlackMs());
         figures.put("tick", s.tickMs());
-        figures.put("fall_span", s.fallSpanMs());
+        figures.put("fall_span", s.overloadSpanMs());
         figures.put("cache_warm", s.coldCache().warmAfterMs());
         figures.put("parent_warm", s.coldParent().warmAfterMs());
         figures.put("longest_w", s.maxRetryAfterMs());
         figures.put("most_attempts", (double) s.maxAttempts());
         figures.put("doormans", (double) site.settings().size());
         for (int i = 0; i < site.classes().size(); i++) {
-            Director.RequestClass c = s.classes().get(i);
+            RoutingPolicy.RequestClass c = s.classes().get(i);
             figures.put("aim." + site.classes().get(i), c.aimMs());
             figures.put("deadline." + site.classes().get(i), c.deadlineMs());
             figures.put("fresh." + site.classes().get(i), c.freshMs());
@@ -479,7 +479,7 @@
         return switch (field) {
             case CLASS -> site.classes();
             case EFFECT ->
-                Arrays.stream(Director.Effect.values())
+                Arrays.stream(RoutingPolicy.Effect.values())
                         .map(e -> e.name().toLowerCase())
                         .toList();
             case OBJECTS -> List.of("hot", "ordinary", "once");
--- a/doorman/src/main/java/barleyspur/config/SettingsReader.java
+++ b/doorman/src/main/java/barleyspur/config/SettingsReader.java
@@ -1,6 +1,6 @@
 package barleyspur.config;
 
-import barleyspur.decision.Director;
+import barleyspur.decision.RoutingPolicy;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -9,7 +9,7 @@
 import org.json.JSONObject;
 
 /**
- * Reads {@link Director.Settings} from flat {@code path -> value} entries. The simulator's text and the
+ * Reads {@link RoutingPolicy.Settings} from flat {@code path -> value} entries. The simulator's text and the
  * node's JSON both come down to that form, so each key is checked and defaulted in one place. Unknown keys
  * are passed over; a missing or unreadable one is named.
  */
@@ -22,7 +22,7 @@
     }
 
     /** The settings in {@code values}; throws {@link IllegalArgumentException} naming the faulty key. */
-    public static Director.Settings read(Map<String, String> values) {
+    public static RoutingPolicy.Settings read(Map<String, String> values) {
         return new SettingsReader(values).settings();
     }
 
@@ -69,13 +69,13 @@
         }
     }
 
-    private Director.Settings settings() {
-        List<Director.RequestClass> classes = new ArrayList<>();
+    private RoutingPolicy.Settings settings() {
+        List<RoutingPolicy.RequestClass> classes = new ArrayList<>();
         int n = integer("grades.count");
         for (int i = 0; i < n; i++) {
             classes.add(requestClass(i));
         }
-        return new Director.Settings(
+        return new RoutingPolicy.Settings(
                 List.copyOf(classes),
                 integer("myNumber"),
                 integer("groupSize"),
@@ -89,8 +89,9 @@
                 number("resolutionMs"),
                 number("rules.answerSlackMs"),
                 number("rules.drainGraceMs"),
-                new Director.ColdRule(number("rules.coldFrom"), number("rules.coldMs"), number("rules.tipMultiple")),
-                new Director.ColdRule(
+                new RoutingPolicy.ColdRule(
+                        number("rules.coldFrom"), number("rules.coldMs"), number("rules.tipMultiple")),
+                new RoutingPolicy.ColdRule(
                         number("familyInfo.upperColdFrom", 1),
                         number("familyInfo.upperColdMs", 0),
                         number("familyInfo.upperFallMultiple", number("rules.tipMultiple"))),
@@ -117,9 +118,9 @@
         return List.of("nominal", "rough").contains(word("weights", "silent"));
     }
 
-    private Director.RequestClass requestClass(int i) {
+    private RoutingPolicy.RequestClass requestClass(int i) {
         String at = "grades." + i + ".";
-        return new Director.RequestClass(
+        return new RoutingPolicy.RequestClass(
                 effect(at),
                 scope(at),
                 number(at + "keyTtlMs", 0),
@@ -136,44 +137,44 @@
                 decimal("familyInfo.worthWhenOld", i));
     }
 
-    private Director.Effect effect(String at) {
+    private RoutingPolicy.Effect effect(String at) {
         return switch (word(at + "repeat", null)) {
-            case "repeatable" -> Director.Effect.SAFE;
-            case "by_key" -> Director.Effect.KEYED;
-            case "once" -> Director.Effect.UNSAFE;
+            case "repeatable" -> RoutingPolicy.Effect.SAFE;
+            case "by_key" -> RoutingPolicy.Effect.KEYED;
+            case "once" -> RoutingPolicy.Effect.UNSAFE;
             default -> throw bad(at + "repeat", "repeatable, by_key or once");
         };
     }
 
-    private Director.Scope scope(String at) {
+    private RoutingPolicy.Scope scope(String at) {
         return switch (word(at + "keyScope", "all")) {
-            case "all" -> Director.Scope.ALL;
-            case "zone" -> Director.Scope.ZONE;
-            default -> Director.Scope.CELL;
+            case "all" -> RoutingPolicy.Scope.ALL;
+            case "zone" -> RoutingPolicy.Scope.ZONE;
+            default -> RoutingPolicy.Scope.CELL;
         };
     }
 
-    private Director.Siblings siblings() {
+    private RoutingPolicy.Siblings siblings() {
         return switch (word("familyInfo.lateral", "silent")) {
-            case "location" -> Director.Siblings.LOCATION;
-            case "any" -> Director.Siblings.ANY;
-            default -> Director.Siblings.NONE;
+            case "location" -> RoutingPolicy.Siblings.LOCATION;
+            case "any" -> RoutingPolicy.Siblings.ANY;
+            default -> RoutingPolicy.Siblings.NONE;
         };
     }
 
-    private Director.Notes notes() {
+    private RoutingPolicy.Notes notes() {
         return switch (word("familyInfo.tells", "silent")) {
-            case "all" -> Director.Notes.ALL;
-            case "hit" -> Director.Notes.HIT;
-            default -> Director.Notes.NONE;
+            case "all" -> RoutingPolicy.Notes.ALL;
+            case "hit" -> RoutingPolicy.Notes.HIT;
+            default -> RoutingPolicy.Notes.NONE;
         };
     }
 
-    private Director.Reports reports() {
+    private RoutingPolicy.Reports reports() {
         return switch (word("report.how", "silent")) {
-            case "piggyback" -> Director.Reports.WITH_ANSWERS;
-            case "pull" -> Director.Reports.WITH_PROBES;
-            default -> Director.Reports.NONE;
+            case "piggyback" -> RoutingPolicy.Reports.WITH_ANSWERS;
+            case "pull" -> RoutingPolicy.Reports.WITH_PROBES;
+            default -> RoutingPolicy.Reports.NONE;
         };
     }
 
--- a/doorman/src/main/java/barleyspur/config/Sites.java
+++ b/doorman/src/main/java/barleyspur/config/Sites.java
@@ -1,6 +1,6 @@
 package barleyspur.config;
 
-import barleyspur.decision.Director;
+import barleyspur.decision.RoutingPolicy;
 import barleyspur.doorman.NodeListing;
 import barleyspur.expect.Box;
 import barleyspur.expect.Site;
@@ -30,11 +30,13 @@
     public static Site read(JSONObject json) throws Configuration.Invalid {
         Configuration configuration = Configuration.read(json, Map.of());
         Map<String, String> told = SettingsReader.flatten(json.getJSONObject("settings"));
-        Director.Settings base = configuration.settings();
+        RoutingPolicy.Settings base = configuration.settings();
         Configuration.Names names = configuration.names();
         List<Integer> doormans = new ArrayList<>();
         for (int zone = 0; zone < names.zones().size(); zone++) {
-            int here = zone < base.zoneDirectors().size() ? base.zoneDirectors().get(zone) : 0;
+            int here = zone < base.doormansPerZone().size()
+                    ? base.doormansPerZone().get(zone)
+                    : 0;
             for (int i = 0; i < here; i++) {
                 doormans.add(zone);
             }
@@ -89,7 +91,7 @@
         return place;
     }
 
-    private static List<Box> madeUp(Director.Settings s, Configuration.Names names, Set<Integer> stations) {
+    private static List<Box> madeUp(RoutingPolicy.Settings s, Configuration.Names names, Set<Integer> stations) {
         List<Box> boxes = new ArrayList<>();
         long node = 1;
         int cacheKind = 0;
--- a/doorman/src/main/java/barleyspur/depot/DepotClient.java
+++ b/doorman/src/main/java/barleyspur/depot/DepotClient.java
@@ -1,6 +1,6 @@
 package barleyspur.depot;
 
-import barleyspur.decision.Director.Result;
+import barleyspur.decision.RoutingPolicy.Result;
 import barleyspur.doorman.CappedLog;
 import barleyspur.doorman.Clock;
 import barleyspur.doorman.Depots;
--- a/doorman/src/main/java/barleyspur/depot/Resp.java
+++ b/doorman/src/main/java/barleyspur/depot/Resp.java
@@ -1,6 +1,6 @@
 package barleyspur.depot;
 
-import barleyspur.decision.Director.Note;
+import barleyspur.decision.RoutingPolicy.Note;
 import barleyspur.doorman.Depots.Order;
 import barleyspur.doorman.Request;
 import io.netty.buffer.ByteBuf;
--- a/doorman/src/main/java/barleyspur/doorman/Depots.java
+++ b/doorman/src/main/java/barleyspur/doorman/Depots.java
@@ -1,6 +1,6 @@
 package barleyspur.doorman;
 
-import barleyspur.decision.Director;
+import barleyspur.decision.RoutingPolicy;
 import io.netty.buffer.ByteBuf;
 import java.util.List;
 
@@ -52,8 +52,8 @@
          * The admission check, last before the first byte goes out: OK, and it goes; else it doesn't, and the attempt ends
          * with this result, one that proves that it never ran.
          */
-        default Director.Result beforeWrite() {
-            return Director.Result.OK;
+        default RoutingPolicy.Result beforeWrite() {
+            return RoutingPolicy.Result.OK;
         }
 
         /** It is on its way. */
@@ -64,11 +64,11 @@
      * How it ended. {@code body}, where it isn't null, belongs to whom it is told; it is null for all but OK,
      * and for an OK that says that the client's copy is the one.
      */
-    record Answer(Director.Result result, Director.Note note, List<Float> load, ByteBuf body, String tag) {
+    record Answer(RoutingPolicy.Result result, RoutingPolicy.Note note, List<Float> load, ByteBuf body, String tag) {
 
         /** An end without an answer. */
-        public static Answer of(Director.Result result) {
-            return new Answer(result, Director.Note.NONE, List.of(), null, null);
+        public static Answer of(RoutingPolicy.Result result) {
+            return new Answer(result, RoutingPolicy.Note.NONE, List.of(), null, null);
         }
     }
 }
--- a/doorman/src/main/java/barleyspur/doorman/Doorman.java
+++ b/doorman/src/main/java/barleyspur/doorman/Doorman.java
@@ -1,7 +1,7 @@
 package barleyspur.doorman;
 
-import barleyspur.decision.Director;
-import barleyspur.decision.Director.Result;
+import barleyspur.decision.RoutingPolicy;
+import barleyspur.decision.RoutingPolicy.Result;
 import barleyspur.log.LogEvent;
 import java.util.ArrayDeque;
 import java.util.Collections;
@@ -29,9 +29,9 @@
     /** Ids of earlier requests that are remembered, beside those of all that may be open. */
     private static final int REMEMBERED_IDS = 8_192;
 
-    private Director.Settings settings;
+    private RoutingPolicy.Settings settings;
     private final int maxOpen;
-    private final Director director;
+    private final RoutingPolicy director;
     private final Clock clock;
     private final Depots depots;
     private final Map<Long, RequestContext> contexts = new HashMap<>();
@@ -47,8 +47,8 @@
 
     private final NodeTable listings;
     private final StandstillMargin standstills = new StandstillMargin();
-    private final ArrayDeque<Director.Event> events = new ArrayDeque<>();
-    private final ArrayDeque<Director.Action> actions = new ArrayDeque<>();
+    private final ArrayDeque<RoutingPolicy.Event> events = new ArrayDeque<>();
+    private final ArrayDeque<RoutingPolicy.Action> actions = new ArrayDeque<>();
     private boolean dispatching;
     private long lastId;
     /** Requests whose answer is owed. */
@@ -58,7 +58,7 @@
     private Runnable drained;
 
     /** A core that takes {@code maxOpen} open requests at most and acts as {@code director} orders. */
-    public Doorman(Director.Settings settings, int maxOpen, Director director, Clock clock, Depots depots) {
+    public Doorman(RoutingPolicy.Settings settings, int maxOpen, RoutingPolicy director, Clock clock, Depots depots) {
         this.settings = settings;
         this.maxOpen = maxOpen;
         this.director = director;
@@ -96,9 +96,9 @@
         double now = clock.nowMs();
         lastId = (lastId + 1) % MOST_IDS;
         standstills.observe(now, now - arrivedMs);
-        Director.RequestClass requestClass = settings.classes().get(request.category());
+        RoutingPolicy.RequestClass requestClass = settings.classes().get(request.category());
         double workMs = request.sizeKb() > 0 ? request.sizeKb() / settings.paceKbPerMs() : 0;
-        double marginMs = standstills.of(request.remainingMs(), requestClass.wantedWithinMs(workMs), now);
+        double marginMs = standstills.of(request.remainingMs(), requestClass.latencyTargetMs(workMs), now);
         RequestContext context = new RequestContext(lastId, request, handler, arrivedMs, marginMs);
         contexts.put(context.id, context);
         takenIds.add(request.id());
@@ -107,7 +107,7 @@
         // Guards rule 1 against a director that leaves a request unanswered: half the slack is left by then.
         context.guard = clock.after(
                 context.deadline - now + settings.answerSlackMs() / 2, () -> abandon(context, "left unanswered"));
-        dispatch(new Director.Request(
+        dispatch(new RoutingPolicy.Request(
                 context.id,
                 request.category(),
                 0,
@@ -125,9 +125,9 @@
      * The settings have changed: requests are taken under these from now on. Classes keep their numbers, so open
      * requests keep theirs; the director is told in turn.
      */
-    public void retune(Director.Settings next) {
+    public void retune(RoutingPolicy.Settings next) {
         settings = next;
-        dispatch(new Director.Retuned(next));
+        dispatch(new RoutingPolicy.Retuned(next));
     }
 
     /** Whether a request under this id was taken lately: each has a new one, also where a client asks again. */
@@ -165,7 +165,7 @@
     private void gone(RequestContext context) {
         if (!context.over) {
             close(context, "gone");
-            dispatch(new Director.Gone(context.id));
+            dispatch(new RoutingPolicy.Gone(context.id));
             forgetIfDone(context);
         }
     }
@@ -176,7 +176,7 @@
             LogEvent.log(LOG.atError(), "failed without the director", "request", context.request.id(), "cause", why);
             close(context, "failed");
             context.handler.failed();
-            dispatch(new Director.Gone(context.id));
+            dispatch(new RoutingPolicy.Gone(context.id));
             for (int i = 0; i < context.attempts.size(); i++) {
                 giveUp(context, i, Result.CANCELLED);
             }
@@ -216,7 +216,7 @@
     @Override
     public void listed(boolean whole, List<NodeListing> list) {
         NodeTable.Change change = listings.apply(whole, list);
-        dispatch(new Director.Members(change.kind(), change.nodes()));
+        dispatch(new RoutingPolicy.Members(change.kind(), change.nodes()));
         if (!change.invalidated().isEmpty()) {
             cancelUnsent((context, attempt) -> change.invalidated().contains(attempt.node)
                     || change.invalidated().contains(attempt.source));
@@ -240,27 +240,27 @@
 
     @Override
     public void purgedObject(long object, double whenMs) {
-        dispatch(new Director.Purged(0, object, clock.nowMs() - whenMs));
+        dispatch(new RoutingPolicy.Purged(0, object, clock.nowMs() - whenMs));
         cancelUnsent((context, attempt) -> context.request.object() == object);
     }
 
     @Override
     public void purgedGroup(int group, double whenMs) {
-        dispatch(new Director.Purged(group, 0, clock.nowMs() - whenMs));
+        dispatch(new RoutingPolicy.Purged(group, 0, clock.nowMs() - whenMs));
         cancelUnsent((context, attempt) -> context.request.group() == group);
     }
 
     // ---- the director ----------------------------------------------------------------------------------
 
     /** Tells the director one event after another: what its actions bring about waits for its turn. */
-    private void dispatch(Director.Event event) {
+    private void dispatch(RoutingPolicy.Event event) {
         events.add(event);
         if (dispatching) {
             return;
         }
         dispatching = true;
         try {
-            for (Director.Event e = events.poll(); e != null; e = events.poll()) {
+            for (RoutingPolicy.Event e = events.poll(); e != null; e = events.poll()) {
                 handle(e);
             }
         } finally {
@@ -269,7 +269,7 @@
     }
 
     /** A fault in the decisions costs the request it struck, which is failed at once, not the process. */
-    private void handle(Director.Event event) {
+    private void handle(RoutingPolicy.Event event) {
         try {
             director.handle(clock.nowMs(), event, actions::add);
         } catch (RuntimeException e) {
@@ -278,36 +278,36 @@
                     "director failed",
                     "event",
                     event.getClass().getSimpleName());
-            RequestContext struck = event instanceof Director.Request r
+            RequestContext struck = event instanceof RoutingPolicy.Request r
                     ? contexts.get(r.id())
-                    : event instanceof Director.Outcome o ? contexts.get(o.request()) : null;
+                    : event instanceof RoutingPolicy.Outcome o ? contexts.get(o.request()) : null;
             if (struck != null) {
                 abandon(struck, "the director failed");
             }
         }
-        for (Director.Action a = actions.poll(); a != null; a = actions.poll()) {
+        for (RoutingPolicy.Action a = actions.poll(); a != null; a = actions.poll()) {
             carryOut(a);
         }
     }
 
-    private void carryOut(Director.Action action) {
-        if (action instanceof Director.Get a) {
+    private void carryOut(RoutingPolicy.Action action) {
+        if (action instanceof RoutingPolicy.Get a) {
             send(a.request(), a.node(), a.timeoutMs(), a);
-        } else if (action instanceof Director.Send a) {
+        } else if (action instanceof RoutingPolicy.Send a) {
             send(a.request(), a.node(), a.timeoutMs(), null);
-        } else if (action instanceof Director.Cancel a) {
+        } else if (action instanceof RoutingPolicy.Cancel a) {
             cancel(a);
-        } else if (action instanceof Director.Refuse a) {
+        } else if (action instanceof RoutingPolicy.Refuse a) {
             complete(a.request(), "refused", context -> context.handler.refused(a.pauseMs()));
-        } else if (action instanceof Director.Fail a) {
+        } else if (action instanceof RoutingPolicy.Fail a) {
             fail(a.request());
-        } else if (action instanceof Director.WakeAt a) {
-            clock.after(a.atMs() - clock.nowMs(), () -> dispatch(new Director.Alarm(a.token())));
-        } else if (action instanceof Director.Probe a) {
+        } else if (action instanceof RoutingPolicy.WakeAt a) {
+            clock.after(a.atMs() - clock.nowMs(), () -> dispatch(new RoutingPolicy.Alarm(a.token())));
+        } else if (action instanceof RoutingPolicy.Probe a) {
             probe(a.node());
-        } else if (action instanceof Director.HangUp a) {
+        } else if (action instanceof RoutingPolicy.HangUp a) {
             depots.closeIdle(a.node());
-        } else if (action instanceof Director.Log a) {
+        } else if (action instanceof RoutingPolicy.Log a) {
             LOG.info("director: {}", a.line());
         } else {
             // Peers and a list that must be asked for do not exist on these sockets.
@@ -343,12 +343,13 @@
         depots.probe(
                 node,
                 PROBE_TIMEOUT_MS,
-                answer -> dispatch(new Director.Probed(node, answer.result(), clock.nowMs() - sentAt, answer.load())));
+                answer -> dispatch(
+                        new RoutingPolicy.Probed(node, answer.result(), clock.nowMs() - sentAt, answer.load())));
     }
 
     // ---- attempts --------------------------------------------------------------------------------------
 
-    private void send(long id, long node, double timeoutMs, Director.Get get) {
+    private void send(long id, long node, double timeoutMs, RoutingPolicy.Get get) {
         RequestContext context = contexts.get(id);
         if (context == null) {
             return;
@@ -390,8 +391,8 @@
      * first attempt that may have run: it was decided in time, but had to wait for a connection.
      */
     private boolean pastKeyWindow(RequestContext context, RequestContext.Attempt next) {
-        Director.RequestClass c = settings.classes().get(context.request.category());
-        if (c.effect() != Director.Effect.KEYED) {
+        RoutingPolicy.RequestClass c = settings.classes().get(context.request.category());
+        if (c.effect() != RoutingPolicy.Effect.KEYED) {
             return false;
         }
         double now = clock.nowMs();
@@ -401,7 +402,7 @@
                         && now - a.writtenAt >= c.keyWindowMs() - settings.tickMs());
     }
 
-    private Depots.Order order(RequestContext context, long node, double wait, Director.Get get) {
+    private Depots.Order order(RequestContext context, long node, double wait, RoutingPolicy.Get get) {
         if (get == null) {
             return new Depots.Order(context.request, wait, null, 0, 0, false, false, false, false);
         }
@@ -419,7 +420,7 @@
                 get.renew());
     }
 
-    private void cancel(Director.Cancel a) {
+    private void cancel(RoutingPolicy.Cancel a) {
         RequestContext context = contexts.get(a.request());
         if (context == null || a.attempt() >= context.attempts.size()) {
             return;
@@ -473,7 +474,7 @@
         } else if (answer.body() != null) {
             answer.body().release();
         }
-        dispatch(new Director.Outcome(
+        dispatch(new RoutingPolicy.Outcome(
                 context.id, number, attempt.node, answer.result(), ms, context.over, answer.note(), 0, answer.load()));
         forgetIfDone(context);
     }
--- a/doorman/src/main/java/barleyspur/doorman/NodeListing.java
+++ b/doorman/src/main/java/barleyspur/doorman/NodeListing.java
@@ -1,6 +1,6 @@
 package barleyspur.doorman;
 
-import barleyspur.decision.Director;
+import barleyspur.decision.RoutingPolicy;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.regex.Matcher;
@@ -13,7 +13,7 @@
         int zone,
         int kind,
         int cell,
-        Director.State state,
+        RoutingPolicy.State state,
         double size,
         double bootMs) {
 
--- a/doorman/src/main/java/barleyspur/doorman/NodeTable.java
+++ b/doorman/src/main/java/barleyspur/doorman/NodeTable.java
@@ -1,6 +1,6 @@
 package barleyspur.doorman;
 
-import barleyspur.decision.Director;
+import barleyspur.decision.RoutingPolicy;
 import barleyspur.log.LogEvent;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -22,7 +22,7 @@
      * What a list told: the nodes in the director's form, and the numbers of those on which work that was decided
      * before must not go out any more.
      */
-    record Change(Director.ListKind kind, List<Director.Node> nodes, Set<Long> invalidated) {}
+    record Change(RoutingPolicy.ListKind kind, List<RoutingPolicy.Node> nodes, Set<Long> invalidated) {}
 
     private final Depots depots;
     private final Map<Long, NodeListing> listed = new HashMap<>();
@@ -39,9 +39,9 @@
 
     /** Takes a list over, a whole one or what has changed. */
     Change apply(boolean whole, List<NodeListing> listings) {
-        Director.ListKind full = listedOnce ? Director.ListKind.FULL : Director.ListKind.CACHED;
-        Change change =
-                new Change(whole ? full : Director.ListKind.DELTA, new ArrayList<>(listings.size()), new HashSet<>());
+        RoutingPolicy.ListKind full = listedOnce ? RoutingPolicy.ListKind.FULL : RoutingPolicy.ListKind.CACHED;
+        Change change = new Change(
+                whole ? full : RoutingPolicy.ListKind.DELTA, new ArrayList<>(listings.size()), new HashSet<>());
         listedOnce = true;
         List<String> added = new ArrayList<>();
         List<String> draining = new ArrayList<>();
@@ -64,23 +64,24 @@
                         known.uid());
                 continue;
             }
-            if (l.state() != Director.State.READY || known != null && !known.sameProcess(l)) {
+            if (l.state() != RoutingPolicy.State.READY || known != null && !known.sameProcess(l)) {
                 change.invalidated.add(node);
             }
-            if (l.state() == Director.State.GONE) {
+            if (l.state() == RoutingPolicy.State.GONE) {
                 gone.add(Long.toString(node));
                 retire(node);
             } else {
                 if (known == null) {
                     added.add(describe(node, l));
                 }
-                if (l.state() == Director.State.DRAINING) {
+                if (l.state() == RoutingPolicy.State.DRAINING) {
                     draining.add(Long.toString(node));
                 }
                 listed.put(node, l);
                 depots.list(node, l);
             }
-            change.nodes.add(new Director.Node(node, l.zone(), l.kind(), l.cell(), l.state(), l.size(), l.bootMs()));
+            change.nodes.add(
+                    new RoutingPolicy.Node(node, l.zone(), l.kind(), l.cell(), l.state(), l.size(), l.bootMs()));
         }
         log("nodes are listed", added);
         log("nodes drain", draining);
--- a/doorman/src/main/java/barleyspur/doorman/RequestTrace.java
+++ b/doorman/src/main/java/barleyspur/doorman/RequestTrace.java
@@ -1,6 +1,6 @@
 package barleyspur.doorman;
 
-import barleyspur.decision.Director;
+import barleyspur.decision.RoutingPolicy;
 import barleyspur.log.LogEvent;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -47,7 +47,7 @@
     }
 
     /** {@code get} is null for an attempt that fills nothing. */
-    static void sent(RequestContext context, int number, long node, Director.Get get) {
+    static void sent(RequestContext context, int number, long node, RoutingPolicy.Get get) {
         if (LOG.isDebugEnabled()) {
             boolean sourced = get != null && get.source() != node;
             LogEvent.log(
@@ -60,7 +60,7 @@
                     "node",
                     node,
                     "source",
-                    sourced ? get.source() : Director.NO_NODE,
+                    sourced ? get.source() : RoutingPolicy.NO_NODE,
                     "rank",
                     get == null ? 0 : get.rank(),
                     "age",
--- a/doorman/src/main/java/barleyspur/expect/Checker.java
+++ b/doorman/src/main/java/barleyspur/expect/Checker.java
@@ -1,6 +1,6 @@
 package barleyspur.expect;
 
-import barleyspur.decision.Decide;
+import barleyspur.decision.LeastRecentlyLostPolicy;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -116,7 +116,7 @@
 
     /** With the decision module as it is. */
     public static Checker of(Book book, Progress progress) {
-        return new Checker(book, Decide::new, progress);
+        return new Checker(book, LeastRecentlyLostPolicy::new, progress);
     }
 
     /**
--- a/doorman/src/main/java/barleyspur/expect/Comparison.java
+++ b/doorman/src/main/java/barleyspur/expect/Comparison.java
@@ -1,6 +1,6 @@
 package barleyspur.expect;
 
-import barleyspur.decision.Decide;
+import barleyspur.decision.LeastRecentlyLostPolicy;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -104,7 +104,7 @@
 
     private static Map<Integer, Way> ways(Scenario scenario) {
         Map<Integer, Way> ways = new LinkedHashMap<>();
-        new World(scenario, Decide::new, new Observer() {
+        new World(scenario, LeastRecentlyLostPolicy::new, new Observer() {
                     @Override
                     public void moment(Moment m) {
                         int number = m.asked().ask().number();
--- a/doorman/src/main/java/barleyspur/expect/Load.java
+++ b/doorman/src/main/java/barleyspur/expect/Load.java
@@ -1,6 +1,6 @@
 package barleyspur.expect;
 
-import barleyspur.decision.Director;
+import barleyspur.decision.RoutingPolicy;
 import java.util.ArrayList;
 import java.util.List;
 import org.apache.commons.rng.UniformRandomProvider;
@@ -51,9 +51,9 @@
     private static final double ZIPF = 1.05;
 
     /** The usual one for a site: classes as the operators count theirs. */
-    public static Load usual(Director.Settings settings) {
+    public static Load usual(RoutingPolicy.Settings settings) {
         List<OfClass> classes = new ArrayList<>();
-        for (Director.RequestClass c : settings.classes()) {
+        for (RoutingPolicy.RequestClass c : settings.classes()) {
             classes.add(c.write() ? new OfClass(0.04, 5) : c.parts() ? new OfClass(0.55, 330) : new OfClass(0.41, 55));
         }
         return new Load("usual", 0.5, 9_000, 800, 2_000, 20, 0.08, 3, false, classes);
@@ -81,7 +81,7 @@
         double at = gap.sample() * everyMs;
         for (int n = 0; n < most && at < lengthMs; n++, at += gap.sample() * everyMs) {
             int category = category(random.nextDouble() * shares);
-            Director.RequestClass grade = site.any().classes().get(category);
+            RoutingPolicy.RequestClass grade = site.any().classes().get(category);
             boolean single = !grade.write() && random.nextDouble() < onceShare;
             long object = single ? once++ : (long) category << 20 | popular.sample();
             String set = single ? "once" : (object & 0xFFFFF) <= hot ? "hot" : "ordinary";
--- a/doorman/src/main/java/barleyspur/expect/Moment.java
+++ b/doorman/src/main/java/barleyspur/expect/Moment.java
@@ -1,6 +1,6 @@
 package barleyspur.expect;
 
-import barleyspur.decision.Director;
+import barleyspur.decision.RoutingPolicy;
 
 /** One action of a doorman that expectations speak of, with all that was so at that moment. */
 public sealed interface Moment permits Moment.Attempt, Moment.Answer {
@@ -43,7 +43,7 @@
             boolean repeat,
             double atMs,
             Ask ask,
-            Director.RequestClass grade,
+            RoutingPolicy.RequestClass grade,
             String category,
             String station,
             int zone) {}
--- a/doorman/src/main/java/barleyspur/expect/Observer.java
+++ b/doorman/src/main/java/barleyspur/expect/Observer.java
@@ -1,6 +1,6 @@
 package barleyspur.expect;
 
-import barleyspur.decision.Director;
+import barleyspur.decision.RoutingPolicy;
 
 /** Watches a scenario as it is played. All times are milliseconds from its start. */
 interface Observer {
@@ -18,7 +18,7 @@
     default void purged(double atMs, int doorman, long object) {}
 
     /** An attempt came back. */
-    default void outcome(double atMs, int doorman, Director.Outcome outcome) {}
+    default void outcome(double atMs, int doorman, RoutingPolicy.Outcome outcome) {}
 
     /** A director wrote a line. */
     default void logged(double atMs, int doorman, String line) {}
--- a/doorman/src/main/java/barleyspur/expect/Plant.java
+++ b/doorman/src/main/java/barleyspur/expect/Plant.java
@@ -1,6 +1,6 @@
 package barleyspur.expect;
 
-import barleyspur.decision.Director;
+import barleyspur.decision.RoutingPolicy;
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -56,12 +56,12 @@
     private double knownWork;
     private double allWork;
 
-    Plant(Box box, Director.Settings settings, Director.ColdRule rule) {
+    Plant(Box box, RoutingPolicy.Settings settings, RoutingPolicy.ColdRule rule) {
         this.box = box;
         this.warmAfterMs = rule.warmAfterMs();
         this.coldFrom = rule.fromShare();
-        this.multiple = rule.fallMultiple();
-        this.spanMs = settings.fallSpanMs();
+        this.multiple = rule.overloadMultiple();
+        this.spanMs = settings.overloadSpanMs();
     }
 
     void start(double atMs) {
--- a/doorman/src/main/java/barleyspur/expect/Site.java
+++ b/doorman/src/main/java/barleyspur/expect/Site.java
@@ -1,6 +1,6 @@
 package barleyspur.expect;
 
-import barleyspur.decision.Director;
+import barleyspur.decision.RoutingPolicy;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -20,7 +20,7 @@
 public record Site(
         String name,
         Map<String, String> told,
-        List<Director.Settings> settings,
+        List<RoutingPolicy.Settings> settings,
         List<String> zones,
         List<String> kinds,
         List<String> classes,
@@ -57,7 +57,7 @@
     public static Site of(
             String name,
             Map<String, String> told,
-            Director.Settings base,
+            RoutingPolicy.Settings base,
             List<Integer> doormanZones,
             List<String> zones,
             List<String> kinds,
@@ -68,15 +68,16 @@
             int here = zone;
             perZone.add((int) doormanZones.stream().filter(z -> z == here).count());
         }
-        List<Director.Settings> settings = new ArrayList<>();
+        List<RoutingPolicy.Settings> settings = new ArrayList<>();
         for (int me = 0; me < doormanZones.size(); me++) {
             settings.add(at(base, me, doormanZones.size(), doormanZones.get(me), perZone));
         }
         return new Site(name, told, List.copyOf(settings), zones, kinds, classes, List.copyOf(boxes));
     }
 
-    private static Director.Settings at(Director.Settings s, int me, int directors, int zone, List<Integer> perZone) {
-        return new Director.Settings(
+    private static RoutingPolicy.Settings at(
+            RoutingPolicy.Settings s, int me, int directors, int zone, List<Integer> perZone) {
+        return new RoutingPolicy.Settings(
                 s.classes(),
                 me,
                 directors,
@@ -84,19 +85,19 @@
                 perZone,
                 s.parentKind(),
                 s.originKind(),
-                s.sizesCount(),
-                s.mustAsk(),
-                s.mustAskMs(),
+                s.weighBySize(),
+                s.mustSubscribe(),
+                s.mustSubscribeWithinMs(),
                 s.tickMs(),
                 s.answerSlackMs(),
                 s.drainGraceMs(),
                 s.coldCache(),
                 s.coldParent(),
-                s.fallSpanMs(),
+                s.overloadSpanMs(),
                 s.purgeGraceMs(),
-                s.purgeDoneMs(),
-                s.direct(),
-                s.joins(),
+                s.purgeCompleteMs(),
+                s.mayBypassCaches(),
+                s.joinFills(),
                 s.siblings(),
                 s.notes(),
                 s.paceKbPerMs(),
@@ -106,18 +107,18 @@
                 s.mayDuplicate(),
                 s.mayCancel(),
                 s.mayProbe(),
-                s.mayTell(),
+                s.mayMessagePeers(),
                 s.maxRetryAfterMs());
     }
 
     /** What all doormans' settings share. */
-    public Director.Settings any() {
+    public RoutingPolicy.Settings any() {
         return settings.get(0);
     }
 
     /** The station of each doorman. */
     public List<Integer> doormanZones() {
-        return settings.stream().map(Director.Settings::zone).toList();
+        return settings.stream().map(RoutingPolicy.Settings::zone).toList();
     }
 
     /** What a box is on this site. */
@@ -138,7 +139,7 @@
      */
     Site twin() {
         TreeSet<Integer> stations = new TreeSet<>();
-        for (Director.Settings s : settings) {
+        for (RoutingPolicy.Settings s : settings) {
             boolean caches = boxes.stream().anyMatch(b -> role(b) == Role.CACHE && b.zone() == s.zone());
             if (caches && stations.size() < TWIN_STATIONS) {
                 stations.add(s.zone());
--- a/doorman/src/main/java/barleyspur/expect/Story.java
+++ b/doorman/src/main/java/barleyspur/expect/Story.java
@@ -1,6 +1,6 @@
 package barleyspur.expect;
 
-import barleyspur.decision.Director;
+import barleyspur.decision.RoutingPolicy;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -36,7 +36,7 @@
 
     /** Plays a scenario and tells it. */
     public static List<Step> of(Scenario scenario, Expectation expectation) {
-        return of(scenario, expectation, barleyspur.decision.Decide::new);
+        return of(scenario, expectation, barleyspur.decision.LeastRecentlyLostPolicy::new);
     }
 
     static List<Step> of(Scenario scenario, Expectation expectation, World.Maker maker) {
@@ -156,7 +156,7 @@
     }
 
     @Override
-    public void outcome(double atMs, int doorman, Director.Outcome o) {
+    public void outcome(double atMs, int doorman, RoutingPolicy.Outcome o) {
         step(
                 atMs,
                 "doorman %d hears: try %d, attempt %d at node %d: %s%s after %s ms",
@@ -165,7 +165,9 @@
                 o.attempt() + 1,
                 o.node(),
                 o.result().name().toLowerCase(Locale.ROOT),
-                o.note() == Director.Note.NONE ? "" : " (" + o.note().name().toLowerCase(Locale.ROOT) + ")",
+                o.note() == RoutingPolicy.Note.NONE
+                        ? ""
+                        : " (" + o.note().name().toLowerCase(Locale.ROOT) + ")",
                 figure(o.latencyMs()));
     }
 
--- a/doorman/src/main/java/barleyspur/expect/World.java
+++ b/doorman/src/main/java/barleyspur/expect/World.java
@@ -1,9 +1,9 @@
 package barleyspur.expect;
 
-import barleyspur.decision.Director;
-import barleyspur.decision.Director.Note;
-import barleyspur.decision.Director.Result;
-import barleyspur.decision.Director.State;
+import barleyspur.decision.RoutingPolicy;
+import barleyspur.decision.RoutingPolicy.Note;
+import barleyspur.decision.RoutingPolicy.Result;
+import barleyspur.decision.RoutingPolicy.State;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.HashMap;
@@ -21,7 +21,7 @@
 
     /** Makes a decision module: the checker's seam, by which a mutated one can be put to the test. */
     interface Maker {
-        Director make(Director.Settings settings, long seed);
+        RoutingPolicy make(RoutingPolicy.Settings settings, long seed);
     }
 
     /** The directors' clock when a scenario starts: ahead of it lie starts of long ago. */
@@ -53,8 +53,8 @@
 
     private static final class Doorman {
         int number;
-        Director.Settings settings;
-        Director director;
+        RoutingPolicy.Settings settings;
+        RoutingPolicy director;
         /** By node; all that were listed at the start and of which nothing was told since are not in it. */
         final Map<Long, Entry> list = new HashMap<>();
         /** Told purges by object: when told, and the purge's own time. */
@@ -141,7 +141,7 @@
     }
 
     private Plant plant(Box b) {
-        Director.ColdRule rule = site.role(b) == Site.Role.DISTRICT
+        RoutingPolicy.ColdRule rule = site.role(b) == Site.Role.DISTRICT
                 ? site.any().coldParent()
                 : site.any().coldCache();
         return new Plant(b, site.any(), rule);
@@ -159,11 +159,11 @@
     }
 
     void play() {
-        List<Director.Node> nodes = new ArrayList<>(site.boxes().size());
+        List<RoutingPolicy.Node> nodes = new ArrayList<>(site.boxes().size());
         for (Box b : site.boxes()) {
             nodes.add(node(b, State.READY, 0));
         }
-        Director.Members start = new Director.Members(Director.ListKind.CACHED, nodes);
+        RoutingPolicy.Members start = new RoutingPolicy.Members(RoutingPolicy.ListKind.CACHED, nodes);
         doormen.forEach(d -> tell(d, start));
         scenario.faults().forEach(f -> at(f.atMs(), () -> happen(f)));
         scenario.asks().forEach(a -> at(a.atMs(), () -> ask(a, 1, a.remainingMs())));
@@ -178,8 +178,8 @@
         tasks.add(new Task(when, order++, run));
     }
 
-    private static Director.Node node(Box b, State state, double startedAt) {
-        return new Director.Node(b.node(), b.zone(), b.kind(), b.cell(), state, b.size(), startedAt);
+    private static RoutingPolicy.Node node(Box b, State state, double startedAt) {
+        return new RoutingPolicy.Node(b.node(), b.zone(), b.kind(), b.cell(), state, b.size(), startedAt);
     }
 
     // ---- what happens to the fleet ---------------------------------------------------------------------
@@ -285,7 +285,7 @@
             case TERMINATING -> tell(d, delta(node(b, State.DRAINING, at)));
             case TERMINATED -> tell(d, delta(node(b, State.GONE, at)));
             case MISSING -> {
-                List<Director.Node> others = new ArrayList<>();
+                List<RoutingPolicy.Node> others = new ArrayList<>();
                 for (Plant p : plants.values()) {
                     Entry entry = entry(d, p.box);
                     double since = entry == null || Double.isNaN(entry.startedAt) ? 0 : EPOCH + entry.startedAt;
@@ -295,19 +295,19 @@
                         others.add(node(p.box, State.DRAINING, since));
                     }
                 }
-                tell(d, new Director.Members(Director.ListKind.FULL, others));
+                tell(d, new RoutingPolicy.Members(RoutingPolicy.ListKind.FULL, others));
             }
         }
     }
 
-    private static Director.Members delta(Director.Node node) {
-        return new Director.Members(Director.ListKind.DELTA, List.of(node));
+    private static RoutingPolicy.Members delta(RoutingPolicy.Node node) {
+        return new RoutingPolicy.Members(RoutingPolicy.ListKind.DELTA, List.of(node));
     }
 
     private void purge(long object, Fault f) {
         double at = now;
         firstPurges.putIfAbsent(object, at);
-        double done = site.any().purgeDoneMs();
+        double done = site.any().purgeCompleteMs();
         for (Plant p : plants.values()) {
             if (site.role(p.box) != Site.Role.HEAD_OFFICE) {
                 double drops = draw.between(done / 4, done, p.box.node(), object, 23);
@@ -318,7 +318,7 @@
             at(now + f.toldMs() + draw.between(0, 20, d.number, object, 29), () -> {
                 d.purges.put(object, new double[] {now, at});
                 observer.purged(now, d.number, object);
-                tell(d, new Director.Purged(0, object, now - at));
+                tell(d, new RoutingPolicy.Purged(0, object, now - at));
             });
         }
     }
@@ -344,7 +344,7 @@
         t.changedAt = now;
         t.remaining = remaining;
         t.doorman = d;
-        Director.RequestClass grade = d.settings.classes().get(a.category());
+        RoutingPolicy.RequestClass grade = d.settings.classes().get(a.category());
         t.asked = new Moment.Asked(
                 t.id,
                 attempt,
@@ -361,13 +361,13 @@
             at(now + a.leavesMs(), () -> {
                 if (!t.over) {
                     finish(t, Moment.Ending.LEFT, 0);
-                    tell(d, new Director.Gone(t.id));
+                    tell(d, new RoutingPolicy.Gone(t.id));
                 }
             });
         }
         tell(
                 d,
-                new Director.Request(
+                new RoutingPolicy.Request(
                         t.id,
                         a.category(),
                         0,
@@ -385,7 +385,7 @@
             return;
         }
         answer(t, ending, backMs, Double.NaN, false);
-        boolean safe = t.asked.grade().effect() == Director.Effect.SAFE;
+        boolean safe = t.asked.grade().effect() == RoutingPolicy.Effect.SAFE;
         boolean again = ending == Moment.Ending.REFUSED || safe && ending == Moment.Ending.FAILED;
         if (again && t.attempt <= scenario.retries()) {
             boolean honours = draw.unit(t.ask.number(), t.attempt, 31) < HONOUR;
@@ -425,30 +425,33 @@
 
     // ---- doormans --------------------------------------------------------------------------------------
 
-    private void tell(Doorman d, Director.Event event) {
+    private void tell(Doorman d, RoutingPolicy.Event event) {
         decisions++;
-        List<Director.Action> actions = new ArrayList<>(4);
+        List<RoutingPolicy.Action> actions = new ArrayList<>(4);
         d.director.handle(EPOCH + now, event, actions::add);
-        for (Director.Action action : actions) {
+        for (RoutingPolicy.Action action : actions) {
             carryOut(d, action);
         }
     }
 
-    private void carryOut(Doorman d, Director.Action action) {
-        if (action instanceof Director.Get a) {
+    private void carryOut(Doorman d, RoutingPolicy.Action action) {
+        if (action instanceof RoutingPolicy.Get a) {
             send(d, a);
-        } else if (action instanceof Director.Send a) {
-            send(d, new Director.Get(a.request(), a.node(), a.timeoutMs(), a.node(), 0, 0, false, true, false, false));
-        } else if (action instanceof Director.WakeAt a) {
-            at(Math.max(now, a.atMs() - EPOCH), () -> tell(d, new Director.Alarm(a.token())));
-        } else if (action instanceof Director.Refuse a) {
+        } else if (action instanceof RoutingPolicy.Send a) {
+            send(
+                    d,
+                    new RoutingPolicy.Get(
+                            a.request(), a.node(), a.timeoutMs(), a.node(), 0, 0, false, true, false, false));
+        } else if (action instanceof RoutingPolicy.WakeAt a) {
+            at(Math.max(now, a.atMs() - EPOCH), () -> tell(d, new RoutingPolicy.Alarm(a.token())));
+        } else if (action instanceof RoutingPolicy.Refuse a) {
             over(a.request(), Moment.Ending.REFUSED, a.pauseMs());
-        } else if (action instanceof Director.Fail a) {
+        } else if (action instanceof RoutingPolicy.Fail a) {
             over(a.request(), Moment.Ending.FAILED, 0);
-        } else if (action instanceof Director.Cancel a) {
+        } else if (action instanceof RoutingPolicy.Cancel a) {
             Try t = tries.get(a.request());
             at(now, () -> back(t, a.attempt(), Result.CANCELLED, Note.NONE, Double.NaN));
-        } else if (action instanceof Director.Log a) {
+        } else if (action instanceof RoutingPolicy.Log a) {
             observer.logged(now, d.number, a.line());
         }
     }
@@ -460,7 +463,7 @@
         }
     }
 
-    private void send(Doorman d, Director.Get g) {
+    private void send(Doorman d, RoutingPolicy.Get g) {
         Try t = tries.get(g.request());
         Sent s = new Sent();
         s.target = plants.get(g.node());
@@ -482,7 +485,7 @@
         at(now + WAY_MS, () -> arrive(d, t, number, s, g));
     }
 
-    private Moment.Attempt attempt(Doorman d, Try t, Sent s, Director.Get g) {
+    private Moment.Attempt attempt(Doorman d, Try t, Sent s, RoutingPolicy.Get g) {
         int out = 0;
         boolean maybeRan = false;
         for (Sent other : t.sent) {
@@ -493,7 +496,7 @@
         double[] purge = d.purges.get(t.ask.object());
         double inForce = purge == null ? 0 : now - purge[0] - d.settings.purgeGraceMs();
         // After the boxes have dropped all older copies by themselves, nothing needs to be asked for.
-        boolean purged = purge != null && inForce > 0 && now - purge[1] < d.settings.purgeDoneMs();
+        boolean purged = purge != null && inForce > 0 && now - purge[1] < d.settings.purgeCompleteMs();
         boolean older = purged && (s.maxAge == 0 || now - s.maxAge < purge[1]);
         return new Moment.Attempt(
                 now,
@@ -547,7 +550,7 @@
         return e != null && e.startedAt >= p.startedAt;
     }
 
-    private void arrive(Doorman d, Try t, int number, Sent s, Director.Get g) {
+    private void arrive(Doorman d, Try t, int number, Sent s, RoutingPolicy.Get g) {
         if (s.back) {
             return;
         }
@@ -569,7 +572,7 @@
         }
     }
 
-    private void serve(Doorman d, Try t, int number, Sent s, Director.Get g, double work) {
+    private void serve(Doorman d, Try t, int number, Sent s, RoutingPolicy.Get g, double work) {
         Plant p = s.target;
         Site.Role role = site.role(p.box);
         Plant.Part part = new Plant.Part(t.ask.object(), t.ask.part());
@@ -642,7 +645,7 @@
         boolean held = draw.unit(p.box.node(), part.object(), 51) < HELD_AT_START && part.object() < Load.FIRST_ONCE;
         double dated = -draw.between(1_000, 15_000, p.box.node(), part.object(), 53);
         Double purge = firstPurges.get(part.object());
-        boolean dropped = purge != null && now - purge >= site.any().purgeDoneMs() / 2;
+        boolean dropped = purge != null && now - purge >= site.any().purgeCompleteMs() / 2;
         return held && !dropped ? dated : Double.NaN;
     }
 
@@ -669,8 +672,8 @@
                     case HIT -> note == Note.HIT || note == Note.FILLED || note == Note.JOINED ? note : Note.NONE;
                     case NONE -> Note.NONE;
                 };
-        Director.Outcome outcome =
-                new Director.Outcome(t.id, number, s.target.box.node(), result, now - s.at, t.over, told, 0, List.of());
+        RoutingPolicy.Outcome outcome = new RoutingPolicy.Outcome(
+                t.id, number, s.target.box.node(), result, now - s.at, t.over, told, 0, List.of());
         observer.outcome(now, d.number, outcome);
         tell(d, outcome);
     }
--- a/doorman/src/main/java/barleyspur/reload/RequestClassRegistry.java
+++ b/doorman/src/main/java/barleyspur/reload/RequestClassRegistry.java
@@ -1,6 +1,6 @@
 package barleyspur.reload;
 
-import barleyspur.decision.Director.RequestClass;
+import barleyspur.decision.RoutingPolicy.RequestClass;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/doorman/src/test/java/barleyspur/channel/LinePropertiesTest.java
+++ b/doorman/src/test/java/barleyspur/channel/LinePropertiesTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import barleyspur.Cuts;
-import barleyspur.decision.Director.State;
+import barleyspur.decision.RoutingPolicy.State;
 import barleyspur.doorman.Commands;
 import barleyspur.doorman.NodeListing;
 import io.netty.channel.embedded.EmbeddedChannel;
--- a/doorman/src/test/java/barleyspur/config/ConfigurationTest.java
+++ b/doorman/src/test/java/barleyspur/config/ConfigurationTest.java
@@ -44,7 +44,7 @@
         assertEquals(7002, c.listen().getPort());
         assertEquals(0x8c1f30d27a5be964L, c.seed());
         assertEquals(List.of("parts", "record"), c.names().classes());
-        assertEquals(List.of(0, 3), c.settings().zoneDirectors());
+        assertEquals(List.of(0, 3), c.settings().doormansPerZone());
         assertTrue(c.settings().classes().get(1).write());
         assertEquals(5.8, c.settings().paceKbPerMs());
         assertEquals(new Configuration.Limits(1024, 192, 20_000, 16, 400, 15_000), c.limits());
--- a/doorman/src/test/java/barleyspur/depot/DepotClientTest.java
+++ b/doorman/src/test/java/barleyspur/depot/DepotClientTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import barleyspur.decision.Director;
-import barleyspur.decision.Director.Result;
+import barleyspur.decision.RoutingPolicy;
+import barleyspur.decision.RoutingPolicy.Result;
 import barleyspur.doorman.Clock;
 import barleyspur.doorman.Depots;
 import barleyspur.doorman.NodeListing;
@@ -56,7 +56,7 @@
             List.of());
 
     private static NodeListing box(int number, InetSocketAddress address, double bootMs) {
-        return new NodeListing("s-" + number, address, 0, 0, 0, Director.State.READY, 1, bootMs);
+        return new NodeListing("s-" + number, address, 0, 0, 0, RoutingPolicy.State.READY, 1, bootMs);
     }
 
     private void send(long node, String id) {
--- a/doorman/src/test/java/barleyspur/depot/DepotConnectionTest.java
+++ b/doorman/src/test/java/barleyspur/depot/DepotConnectionTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import barleyspur.decision.Director.Result;
+import barleyspur.decision.RoutingPolicy.Result;
 import barleyspur.doorman.CappedLog;
 import barleyspur.doorman.Clock;
 import barleyspur.doorman.Depots;
--- a/doorman/src/test/java/barleyspur/doorman/DoormanTest.java
+++ b/doorman/src/test/java/barleyspur/doorman/DoormanTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import barleyspur.config.SettingsReader;
-import barleyspur.decision.Director;
-import barleyspur.decision.Director.Result;
+import barleyspur.decision.RoutingPolicy;
+import barleyspur.decision.RoutingPolicy.Result;
 import barleyspur.doorman.Depots.Answer;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -23,7 +23,7 @@
 class DoormanTest {
 
     private static final NodeListing NODE =
-            new NodeListing("s-1", new InetSocketAddress("127.0.0.1", 1), 0, 0, 0, Director.State.READY, 1, 0);
+            new NodeListing("s-1", new InetSocketAddress("127.0.0.1", 1), 0, 0, 0, RoutingPolicy.State.READY, 1, 0);
 
     private static final String SETTINGS =
             """
@@ -40,14 +40,14 @@
     private int tasks;
     private final PriorityQueue<Task> timers =
             new PriorityQueue<>(Comparator.comparingDouble(Task::at).thenComparingInt(Task::order));
-    private final List<Director.Event> events = new ArrayList<>();
+    private final List<RoutingPolicy.Event> events = new ArrayList<>();
     private final List<Depots.AttemptListener> sent = new ArrayList<>();
     private final List<Long> retired = new ArrayList<>();
     private final List<String> cancelled = new ArrayList<>();
     private final List<String> answers = new ArrayList<>();
     private final ByteBuf body = Unpooled.copiedBuffer(new byte[3]);
-    private Consumer<Director.Event> decide = e -> {};
-    private Consumer<Director.Action> out;
+    private Consumer<RoutingPolicy.Event> decide = e -> {};
+    private Consumer<RoutingPolicy.Action> out;
     private Doorman doorman;
     private Doorman.Cancellable ticket;
 
@@ -115,7 +115,7 @@
 
     @BeforeEach
     void start() {
-        Director.Settings settings = SettingsReader.read(SettingsReader.lines(SETTINGS));
+        RoutingPolicy.Settings settings = SettingsReader.read(SettingsReader.lines(SETTINGS));
         doorman = new Doorman(
                 settings,
                 1,
@@ -133,7 +133,7 @@
         return new Request(id, 0, "small", "7f3a9c21e0b4d655", 5, "0", 0, group, 1_000, 0, null, null, body);
     }
 
-    private void take(Consumer<Director.Event> decisions) {
+    private void take(Consumer<RoutingPolicy.Event> decisions) {
         decide = decisions;
         ticket = doorman.take(
                 request("9b1f03aa5c7e2d41", 7, body.refCnt() > 0 ? body : Unpooled.copiedBuffer(new byte[3])),
@@ -142,11 +142,11 @@
     }
 
     private void send(long id) {
-        out.accept(new Director.Get(id, NODE.node(), 1_000, NODE.node(), 2, 0, true, false, false, false));
+        out.accept(new RoutingPolicy.Get(id, NODE.node(), 1_000, NODE.node(), 2, 0, true, false, false, false));
     }
 
-    private void sendAll(int attempts, Director.Event event) {
-        if (event instanceof Director.Request r) {
+    private void sendAll(int attempts, RoutingPolicy.Event event) {
+        if (event instanceof RoutingPolicy.Request r) {
             for (int i = 0; i < attempts; i++) {
                 send(r.id());
             }
@@ -165,13 +165,13 @@
     }
 
     private static Answer ok(ByteBuf bytes) {
-        return new Answer(Result.OK, Director.Note.HIT, List.of(), bytes, "tag");
+        return new Answer(Result.OK, RoutingPolicy.Note.HIT, List.of(), bytes, "tag");
     }
 
-    private List<Director.Outcome> outcomes() {
+    private List<RoutingPolicy.Outcome> outcomes() {
         return events.stream()
-                .filter(e -> e instanceof Director.Outcome)
-                .map(e -> (Director.Outcome) e)
+                .filter(e -> e instanceof RoutingPolicy.Outcome)
+                .map(e -> (RoutingPolicy.Outcome) e)
                 .toList();
     }
 
@@ -187,8 +187,8 @@
         assertEquals(0, body.refCnt());
         assertEquals(
                 List.of(1, 0),
-                outcomes().stream().map(Director.Outcome::attempt).toList());
-        assertTrue(outcomes().stream().allMatch(Director.Outcome::closed));
+                outcomes().stream().map(RoutingPolicy.Outcome::attempt).toList());
+        assertTrue(outcomes().stream().allMatch(RoutingPolicy.Outcome::closed));
         assertEquals(40, outcomes().get(0).latencyMs());
     }
 
@@ -204,8 +204,8 @@
     @Test
     void whatIsOverIsNeverSent() {
         take(e -> {
-            if (e instanceof Director.Request r) {
-                out.accept(new Director.Refuse(r.id(), 300));
+            if (e instanceof RoutingPolicy.Request r) {
+                out.accept(new RoutingPolicy.Refuse(r.id(), 300));
                 send(r.id());
             }
         });
@@ -219,7 +219,7 @@
         assertEquals(2, sent.size());
         assertEquals(
                 List.of(Result.MOOT),
-                outcomes().stream().map(Director.Outcome::result).toList());
+                outcomes().stream().map(RoutingPolicy.Outcome::result).toList());
     }
 
     /** A silent machine keeps its connections open: the time-out is the host's to keep. */
@@ -230,7 +230,7 @@
         assertEquals(List.of("attempt 0"), cancelled);
         assertEquals(
                 List.of(Result.TIMEOUT),
-                outcomes().stream().map(Director.Outcome::result).toList());
+                outcomes().stream().map(RoutingPolicy.Outcome::result).toList());
         assertFalse(outcomes().get(0).closed(), "the final answer is still owed");
     }
 
@@ -238,8 +238,8 @@
     void aClientThatLeavesIsOwedNothing() {
         take(e -> {
             sendAll(1, e);
-            if (e instanceof Director.Gone g) {
-                out.accept(new Director.Cancel(g.request(), 0));
+            if (e instanceof RoutingPolicy.Gone g) {
+                out.accept(new RoutingPolicy.Cancel(g.request(), 0));
             }
         });
         ticket.cancel();
@@ -269,7 +269,7 @@
     void aDirectorThatFailsOverAnOutcomeGivesUpTheRest() {
         take(e -> {
             sendAll(2, e);
-            if (e instanceof Director.Outcome) {
+            if (e instanceof RoutingPolicy.Outcome) {
                 throw new IllegalStateException("as a faulty decision would");
             }
         });
@@ -317,11 +317,11 @@
     @Test
     void whatIsToldOvertakesWhatHasNotGoneOut() {
         List<Runnable> news = List.of(
-                () -> doorman.listed(false, List.of(listing(Director.State.DRAINING, 0, 1))),
-                () -> doorman.listed(false, List.of(listing(Director.State.GONE, 0, 1))),
+                () -> doorman.listed(false, List.of(listing(RoutingPolicy.State.DRAINING, 0, 1))),
+                () -> doorman.listed(false, List.of(listing(RoutingPolicy.State.GONE, 0, 1))),
                 () -> doorman.listed(true, List.of()),
-                () -> doorman.listed(false, List.of(listing(Director.State.READY, 900, 1))),
-                () -> doorman.listed(false, List.of(listing(Director.State.READY, 0, 2))),
+                () -> doorman.listed(false, List.of(listing(RoutingPolicy.State.READY, 900, 1))),
+                () -> doorman.listed(false, List.of(listing(RoutingPolicy.State.READY, 0, 2))),
                 () -> doorman.purgedObject(5, 900),
                 () -> doorman.purgedGroup(7, 900));
         for (Runnable one : news) {
@@ -339,13 +339,13 @@
             assertEquals(List.of("attempt 1"), cancelled, "what has gone out goes on");
             assertEquals(
                     List.of(Result.MOOT),
-                    outcomes().stream().map(Director.Outcome::result).toList());
-            assertFalse(events.get(events.size() - 2) instanceof Director.Outcome, "the news come first");
+                    outcomes().stream().map(RoutingPolicy.Outcome::result).toList());
+            assertFalse(events.get(events.size() - 2) instanceof RoutingPolicy.Outcome, "the news come first");
             sent.get(0).ended(ok(Unpooled.copiedBuffer(new byte[5])));
         }
     }
 
-    private static NodeListing listing(Director.State state, double bootMs, int port) {
+    private static NodeListing listing(RoutingPolicy.State state, double bootMs, int port) {
         return new NodeListing("s-1", new InetSocketAddress("127.0.0.1", port), 0, 0, 0, state, 1, bootMs);
     }
 
@@ -369,12 +369,12 @@
     @Test
     void onlyTheCopyThatTheClientHoldsIsCurrent() {
         take(e -> sendAll(2, e));
-        sent.get(0).ended(new Answer(Result.OK, Director.Note.HIT, List.of(), null, "tag"));
-        sent.get(1).ended(new Answer(Result.OK, Director.Note.HIT, List.of(), null, null));
+        sent.get(0).ended(new Answer(Result.OK, RoutingPolicy.Note.HIT, List.of(), null, "tag"));
+        sent.get(1).ended(new Answer(Result.OK, RoutingPolicy.Note.HIT, List.of(), null, null));
         assertEquals(List.of(), answers);
         assertEquals(
                 List.of(Result.ERROR, Result.ERROR),
-                outcomes().stream().map(Director.Outcome::result).toList());
+                outcomes().stream().map(RoutingPolicy.Outcome::result).toList());
     }
 
     /** Guards the last answers: what is still open when SIGKILL may come is failed, not left. */
@@ -414,14 +414,14 @@
 
     @Test
     void aNodeThatAWholeListLeavesOutHasGone() {
-        NodeListing other = new NodeListing("s-2", NODE.address(), 0, 0, 0, Director.State.READY, 1, 0);
+        NodeListing other = new NodeListing("s-2", NODE.address(), 0, 0, 0, RoutingPolicy.State.READY, 1, 0);
         doorman.listed(false, List.of(other));
         assertEquals(List.of(), retired);
         doorman.listed(true, List.of(other));
         assertEquals(List.of(NODE.node()), retired);
         assertEquals(
-                List.of(Director.ListKind.CACHED, Director.ListKind.DELTA, Director.ListKind.FULL),
-                events.stream().map(e -> ((Director.Members) e).kind()).toList());
+                List.of(RoutingPolicy.ListKind.CACHED, RoutingPolicy.ListKind.DELTA, RoutingPolicy.ListKind.FULL),
+                events.stream().map(e -> ((RoutingPolicy.Members) e).kind()).toList());
     }
 
     /**
@@ -430,21 +430,21 @@
      */
     @Test
     void listEventsThatComeTwiceOrForUnknownBoxesHarmNothing() {
-        for (Director.State state : List.of(
-                Director.State.GONE,
-                Director.State.DRAINING,
-                Director.State.DRAINING,
-                Director.State.GONE,
-                Director.State.GONE,
-                Director.State.READY,
-                Director.State.READY)) {
+        for (RoutingPolicy.State state : List.of(
+                RoutingPolicy.State.GONE,
+                RoutingPolicy.State.DRAINING,
+                RoutingPolicy.State.DRAINING,
+                RoutingPolicy.State.GONE,
+                RoutingPolicy.State.GONE,
+                RoutingPolicy.State.READY,
+                RoutingPolicy.State.READY)) {
             NodeListing changed = new NodeListing("s-2", NODE.address(), 0, 0, 0, state, 1, 0);
             events.clear();
             doorman.listed(false, List.of(changed, NODE));
             assertEquals(
-                    List.of(state, Director.State.READY),
-                    ((Director.Members) events.get(0))
-                            .nodes().stream().map(Director.Node::state).toList());
+                    List.of(state, RoutingPolicy.State.READY),
+                    ((RoutingPolicy.Members) events.get(0))
+                            .nodes().stream().map(RoutingPolicy.Node::state).toList());
         }
         assertEquals(List.of(2L, 2L, 2L), retired);
     }
@@ -452,21 +452,21 @@
     /** Two nodes under one number would get each other's requests. */
     @Test
     void aNumberStandsForOneNode() {
-        NodeListing same = new NodeListing("t-1", NODE.address(), 0, 0, 0, Director.State.READY, 1, 0);
-        NodeListing named = new NodeListing("box", NODE.address(), 0, 0, 0, Director.State.READY, 1, 0);
+        NodeListing same = new NodeListing("t-1", NODE.address(), 0, 0, 0, RoutingPolicy.State.READY, 1, 0);
+        NodeListing named = new NodeListing("box", NODE.address(), 0, 0, 0, RoutingPolicy.State.READY, 1, 0);
         assertEquals(NODE.node(), same.node());
         assertTrue(named.node() >= 1L << 32, "no number that an id may end in");
         doorman.listed(false, List.of(same, named));
         assertEquals(
                 List.of(named.node()),
-                ((Director.Members) events.get(1))
-                        .nodes().stream().map(Director.Node::id).toList());
+                ((RoutingPolicy.Members) events.get(1))
+                        .nodes().stream().map(RoutingPolicy.Node::id).toList());
     }
 
     @Test
     void purgesAreToldByTheirAge() {
         doorman.purgedGroup(17, 900);
-        assertEquals(new Director.Purged(17, 0, 100), events.get(events.size() - 1));
+        assertEquals(new RoutingPolicy.Purged(17, 0, 100), events.get(events.size() - 1));
     }
 
     private void takeThatWaited(int number, double waitedMs) {
@@ -478,9 +478,9 @@
     void requestsEndSoonerOnceTheProcessHasStoodStill() {
         List<Double> told = new ArrayList<>();
         decide = e -> {
-            if (e instanceof Director.Request r) {
+            if (e instanceof RoutingPolicy.Request r) {
                 told.add(r.remainingMs());
-                out.accept(new Director.Refuse(r.id(), 0));
+                out.accept(new RoutingPolicy.Refuse(r.id(), 0));
             }
         };
         takeThatWaited(2, 0);
@@ -499,9 +499,9 @@
     @Test
     void whatNeverWentOutIsRefusedAndNotFailed() {
         take(e -> {
-            if (e instanceof Director.Request r) {
+            if (e instanceof RoutingPolicy.Request r) {
                 send(r.id());
-                out.accept(new Director.Fail(r.id()));
+                out.accept(new RoutingPolicy.Fail(r.id()));
             }
         });
         assertEquals(List.of("refused 700.0"), answers);
@@ -510,20 +510,20 @@
     @Test
     void whatWentOutIsFailed() {
         take(e -> {
-            if (e instanceof Director.Request r) {
+            if (e instanceof RoutingPolicy.Request r) {
                 send(r.id());
             }
         });
         sent.get(0).sent();
-        decide = e -> out.accept(new Director.Fail(request()));
+        decide = e -> out.accept(new RoutingPolicy.Fail(request()));
         doorman.purgedGroup(1, 0);
         assertEquals(List.of("failed"), answers);
     }
 
     private long request() {
         return events.stream()
-                .filter(Director.Request.class::isInstance)
-                .map(e -> ((Director.Request) e).id())
+                .filter(RoutingPolicy.Request.class::isInstance)
+                .map(e -> ((RoutingPolicy.Request) e).id())
                 .findFirst()
                 .orElseThrow();
     }
--- a/doorman/src/test/java/barleyspur/expect/HardCasesTest.java
+++ b/doorman/src/test/java/barleyspur/expect/HardCasesTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import barleyspur.decision.Decide;
-import barleyspur.decision.Director;
+import barleyspur.decision.LeastRecentlyLostPolicy;
+import barleyspur.decision.RoutingPolicy;
 import java.util.List;
 import java.util.Map;
 import java.util.stream.Collectors;
@@ -61,7 +61,7 @@
               } }
             }
             """);
-        Checker.Result r = Texts.check(text, Decide::new, 1);
+        Checker.Result r = Texts.check(text, LeastRecentlyLostPolicy::new, 1);
         // Between the drain and its news the box is named: told_for counts since the start, when it was in service.
         assertEquals(Checker.Verdict.REFUTED, verdict(r, "in flight"));
         Checker.Counterexample c = finding(r, "in flight").counterexample();
@@ -106,7 +106,7 @@
               must { attempt { maybe_ran = true } }
             }
             """);
-        Checker.Result r = Texts.check(text, Decide::new, 1);
+        Checker.Result r = Texts.check(text, LeastRecentlyLostPolicy::new, 1);
         assertEquals(Checker.Verdict.HOLDS, verdict(r, "not named when missing"));
         assertEquals(Checker.Verdict.HOLDS, verdict(r, "served all the same"));
         assertTrue(finding(r, "the reset is seen").judged() > 0, "no attempt followed another");
@@ -149,7 +149,7 @@
               } }
             }
             """);
-        Checker.Result r = Texts.check(text, Decide::new, 1);
+        Checker.Result r = Texts.check(text, LeastRecentlyLostPolicy::new, 1);
         assertFalse(verdict(r, "further attempts spare it") == Checker.Verdict.REFUTED);
         assertEquals(Checker.Verdict.HOLDS, verdict(r, "it is used while cold"));
     }
@@ -183,7 +183,7 @@
               } }
             }
             """);
-        Checker.Result r = Texts.check(text, Decide::new, 1);
+        Checker.Result r = Texts.check(text, LeastRecentlyLostPolicy::new, 1);
         assertEquals(Checker.Verdict.HOLDS, verdict(r, "the old one is out"));
         assertEquals(Checker.Verdict.HOLDS, verdict(r, "the new one is cold"));
     }
@@ -225,7 +225,7 @@
               never { target { same = true } }
             }
             """);
-        Checker.Result r = Texts.check(text, Decide::new, 1);
+        Checker.Result r = Texts.check(text, LeastRecentlyLostPolicy::new, 1);
         assertEquals(Checker.Verdict.HOLDS, verdict(r, "by the list"));
         assertEquals(Checker.Verdict.REFUTED, verdict(r, "in truth"));
         // The news comes up to 20 ms after the lag: a trial may be under way until then, nothing after it.
@@ -268,7 +268,7 @@
               never { source { kind = "head-office" } }
             }
             """);
-        Checker.Result r = Texts.check(text, Decide::new, 1);
+        Checker.Result r = Texts.check(text, LeastRecentlyLostPolicy::new, 1);
         assertEquals(Checker.Verdict.HOLDS, verdict(r, "filled from the head office"));
         assertEquals(Checker.Verdict.REFUTED, verdict(r, "never from the head office"));
         Checker.Counterexample c = finding(r, "never from the head office").counterexample();
@@ -307,7 +307,7 @@
               eventually { target { kind = ["district", "head-office"] } }
             }
             """);
-        Checker.Result r = Texts.check(text, Decide::new, 1);
+        Checker.Result r = Texts.check(text, LeastRecentlyLostPolicy::new, 1);
         assertEquals(Checker.Verdict.HOLDS, verdict(r, "the drain is kept"));
         assertEquals(Checker.Verdict.HOLDS, verdict(r, "round it"));
     }
@@ -337,7 +337,8 @@
               }
             }
             """);
-        Checker.Finding f = finding(Texts.check(text, Decide::new, 60), "small files by way of a district");
+        Checker.Finding f =
+                finding(Texts.check(text, LeastRecentlyLostPolicy::new, 60), "small files by way of a district");
         assertEquals(Checker.Verdict.REFUTED, f.verdict());
         // Only events at district caches can bring a fill from elsewhere: what is left of the scenario shows it.
         assertTrue(f.counterexample().scenario().faults().stream()
@@ -383,7 +384,7 @@
               }
             }
             """);
-        Checker.Result r = Texts.check(text, Decide::new, 1);
+        Checker.Result r = Texts.check(text, LeastRecentlyLostPolicy::new, 1);
         assertEquals(Checker.Verdict.HOLDS, verdict(r, "no copy from before a purge is served"));
         assertEquals(Checker.Verdict.HOLDS, verdict(r, "copies are served"));
     }
@@ -395,11 +396,11 @@
      * but for a seventh. Alone it keeps to the rule; nothing tells it of the others.
      */
     private static World.Maker greedy(double share) {
-        return (settings, seed) -> new Director() {
+        return (settings, seed) -> new RoutingPolicy() {
             private double tokens;
             private double at = Double.NaN;
             private Node cold;
-            private final Decide rest = new Decide(settings, seed);
+            private final LeastRecentlyLostPolicy rest = new LeastRecentlyLostPolicy(settings, seed);
 
             @Override
             public void handle(double now, Event event, java.util.function.Consumer<Action> out) {
@@ -417,7 +418,7 @@
                             (now - cold.startedAtMs()) / settings.coldCache().warmAfterMs();
                     double can = settings.coldCache().fromShare()
                             + (1 - settings.coldCache().fromShare()) * age;
-                    double rate = share * settings.coldCache().fallMultiple() * can * cold.size();
+                    double rate = share * settings.coldCache().overloadMultiple() * can * cold.size();
                     tokens = Math.min(2_000, tokens + (Double.isNaN(at) ? 0 : now - at) * rate);
                     at = now;
                     boolean may = tokens > 0;
@@ -478,31 +479,33 @@
                         .map(Ask::doorman)
                         .distinct()
                         .count());
-        assertEquals(Checker.Verdict.HOLDS, verdict(Texts.check(fleet(4, 2, COLD), Decide::new, 1), name));
+        assertEquals(
+                Checker.Verdict.HOLDS, verdict(Texts.check(fleet(4, 2, COLD), LeastRecentlyLostPolicy::new, 1), name));
     }
 
     // ---- long orders ------------------------------------------------------------------------------------
 
     /** A module that forgets drains from the tenth piece of news on. */
-    private static Director forgetful(Director.Settings settings, long seed) {
-        Decide decide = new Decide(settings, seed);
+    private static RoutingPolicy forgetful(RoutingPolicy.Settings settings, long seed) {
+        LeastRecentlyLostPolicy decide = new LeastRecentlyLostPolicy(settings, seed);
         int[] news = {0};
         return (now, event, out) -> {
-            boolean late =
-                    event instanceof Director.Members m && m.kind() == Director.ListKind.DELTA && ++news[0] >= 10;
+            boolean late = event instanceof RoutingPolicy.Members m
+                    && m.kind() == RoutingPolicy.ListKind.DELTA
+                    && ++news[0] >= 10;
             decide.handle(
                     now,
                     late
-                            ? new Director.Members(
-                                    Director.ListKind.DELTA,
-                                    ((Director.Members) event)
+                            ? new RoutingPolicy.Members(
+                                    RoutingPolicy.ListKind.DELTA,
+                                    ((RoutingPolicy.Members) event)
                                             .nodes().stream()
-                                                    .map(n -> new Director.Node(
+                                                    .map(n -> new RoutingPolicy.Node(
                                                             n.id(),
                                                             n.zone(),
                                                             n.kind(),
                                                             n.cell(),
-                                                            Director.State.READY,
+                                                            RoutingPolicy.State.READY,
                                                             n.size(),
                                                             n.startedAtMs()))
                                                     .toList())
@@ -566,7 +569,7 @@
               }
             }
             """;
-        Checker.Result r = Texts.check(text, Decide::new, 1);
+        Checker.Result r = Texts.check(text, LeastRecentlyLostPolicy::new, 1);
         assertEquals(Checker.Verdict.HOLDS, verdict(r, "told"));
         assertEquals(Checker.Verdict.HOLDS, verdict(r, "one station at a time"));
     }
@@ -591,7 +594,7 @@
               never { attempt { renew = true } }
             }
             """;
-        Checker.Result r = Texts.check(text, Decide::new, 3);
+        Checker.Result r = Texts.check(text, LeastRecentlyLostPolicy::new, 3);
         assertEquals(Checker.Verdict.VACUOUS, verdict(r, "of a class with no such state"));
         assertFalse(r.good(true));
         assertEquals(1, r.conflicts().size());
@@ -609,8 +612,8 @@
               never { attempt { number = 2 } }
             }
             """);
-        Checker.Finding one = finding(Texts.check(text, Decide::new, 20), "never a second attempt");
-        Checker.Finding two = finding(Texts.check(text, Decide::new, 20), "never a second attempt");
+        Checker.Finding one = finding(Texts.check(text, LeastRecentlyLostPolicy::new, 20), "never a second attempt");
+        Checker.Finding two = finding(Texts.check(text, LeastRecentlyLostPolicy::new, 20), "never a second attempt");
         assertNotNull(one.counterexample());
         assertEquals(one.counterexample(), two.counterexample());
         assertEquals(Map.of(one.judged(), one.held()), Map.of(two.judged(), two.held()));
--- a/doorman/src/test/java/barleyspur/expect/LargeObjectsTest.java
+++ b/doorman/src/test/java/barleyspur/expect/LargeObjectsTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import barleyspur.decision.Decide;
+import barleyspur.decision.LeastRecentlyLostPolicy;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -76,7 +76,7 @@
             Outcomes outcomes = new Outcomes();
             Scenario scenario =
                     Scenario.of(site, seed, load.retries(), load.marked(), List.of(), load.asks(site, seed));
-            new World(scenario, Decide::new, outcomes).play();
+            new World(scenario, LeastRecentlyLostPolicy::new, outcomes).play();
             all.addAll(outcomes.byNumber.values());
         }
         return all;
--- a/doorman/src/test/java/barleyspur/expect/Mutants.java
+++ b/doorman/src/test/java/barleyspur/expect/Mutants.java
@@ -1,6 +1,6 @@
 package barleyspur.expect;
 
-import barleyspur.decision.Director;
+import barleyspur.decision.RoutingPolicy;
 import java.io.IOException;
 import java.io.StringWriter;
 import java.lang.reflect.Constructor;
@@ -28,26 +28,26 @@
         List<String> arguments = new ArrayList<>(
                 List.of("-nowarn", "-d", classes.toString(), "-cp", System.getProperty("java.class.path")));
         try (Stream<Path> all = Files.list(SOURCES)) {
-            for (Path p : all.toList()) {
-                String text = Files.readString(p);
-                if (p.endsWith(file)) {
+            for (Path source : all.toList()) {
+                String text = Files.readString(source);
+                if (source.endsWith(file)) {
                     if (text.split(java.util.regex.Pattern.quote(from), -1).length != 2) {
                         throw new IllegalArgumentException(file + " does not hold this exactly once: " + from);
                     }
                     text = text.replace(from, to);
                 }
                 // The mutant shares the interface with the real module, so that both can be called in the same way.
-                if (!p.endsWith("Director.java")) {
-                    Path copy = sources.resolve(p.getFileName().toString());
+                if (!source.endsWith("RoutingPolicy.java")) {
+                    Path copy = sources.resolve(source.getFileName().toString());
                     Files.writeString(copy, text);
                     arguments.add(copy.toString());
                 }
             }
         }
         JavaCompiler compiler = ToolProvider.getSystemJavaCompiler();
-        StringWriter said = new StringWriter();
+        StringWriter compilerOutput = new StringWriter();
         if (!compiler.getTask(
-                        said,
+                        compilerOutput,
                         null,
                         null,
                         arguments.subList(0, 5),
@@ -55,7 +55,7 @@
                         compiler.getStandardFileManager(null, null, null)
                                 .getJavaFileObjectsFromStrings(arguments.subList(5, arguments.size())))
                 .call()) {
-            throw new IllegalArgumentException("the mutant does not compile: " + said);
+            throw new IllegalArgumentException("the mutant does not compile: " + compilerOutput);
         }
         return maker(classes);
     }
@@ -66,7 +66,7 @@
                     @Override
                     protected Class<?> loadClass(String name, boolean resolve) throws ClassNotFoundException {
                         boolean mutated = name.startsWith("barleyspur.decision.")
-                                && !name.startsWith("barleyspur.decision.Director");
+                                && !name.startsWith("barleyspur.decision.RoutingPolicy");
                         synchronized (getClassLoadingLock(name)) {
                             Class<?> loaded = findLoadedClass(name);
                             return loaded != null ? loaded : mutated ? findClass(name) : super.loadClass(name, resolve);
@@ -74,11 +74,11 @@
                     }
                 };
         try {
-            Constructor<?> made =
-                    loader.loadClass("barleyspur.decision.Decide").getConstructor(Director.Settings.class, long.class);
+            Constructor<?> constructor = loader.loadClass("barleyspur.decision.LeastRecentlyLostPolicy")
+                    .getConstructor(RoutingPolicy.Settings.class, long.class);
             return (settings, seed) -> {
                 try {
-                    return (Director) made.newInstance(settings, seed);
+                    return (RoutingPolicy) constructor.newInstance(settings, seed);
                 } catch (ReflectiveOperationException e) {
                     throw new IllegalStateException(e);
                 }
--- a/doorman/src/test/java/barleyspur/expect/MutantsTest.java
+++ b/doorman/src/test/java/barleyspur/expect/MutantsTest.java
@@ -33,14 +33,14 @@
     }
 
     @Test
-    void theModuleAsItIsKeepsToAllAndNoneIsVacuous() throws Configuration.Invalid, Hcl.Invalid {
-        int[] left = {SCENARIOS};
-        Checker.Result result = Checker.of(book(""), Checker.Progress.NONE).run(1, () -> left[0]-- > 0);
+    void theUnchangedModuleMeetsAllExpectationsAndNoneIsVacuous() throws Configuration.Invalid, Hcl.Invalid {
+        int[] remaining = {SCENARIOS};
+        Checker.Result result = Checker.of(book(""), Checker.Progress.NONE).run(1, () -> remaining[0]-- > 0);
         assertTrue(
                 result.good(true),
                 result.findings().stream()
-                        .filter(f -> f.verdict() != Checker.Verdict.HOLDS)
-                        .map(f -> f.expectation().name() + " is " + f.verdict())
+                        .filter(finding -> finding.verdict() != Checker.Verdict.HOLDS)
+                        .map(finding -> finding.expectation().name() + " is " + finding.verdict())
                         .collect(Collectors.joining(", ")));
         assertEquals(List.of(), result.conflicts());
     }
@@ -51,29 +51,29 @@
             quoteCharacter = '`',
             textBlock =
                     """
-        a draining cache stays a target      | no new work for a draining box | Fleet.java | if (s.ready() && isCache(s)) { | if (isCache(s)) {
-        a draining parent stays a source     | no new work for a draining box | Fleet.java | s.ready() && s.node.kind() == settings.parentKind() | s.node.kind() == settings.parentKind()
-        a list that leaves a box out is not heard | no new work for a draining box | Decide.java | if (e.kind() != ListKind.DELTA) { | if (e.kind() == ListKind.FAILED) {
-        no budget for cold caches            | no cold cache is pushed over | Decide.java | return s.cold.covers(work); | return true;
-        no budget for cold parents           | no cold district cache is pushed over | Decide.java | return s.cold.covers(work); | return true;
-        a cold parent is chosen as any other | no cold district cache is pushed over | Decide.java | && (fill ? coldAllows(s, work) : !cold(s))) { | ) {
-        a budget that is much too large      | no cold cache is pushed over | Decide.java | double load = BUDGET_USED * rule.fallMultiple() * | double load = 8 * rule.fallMultiple() *
-        a purge bounds no age                | no copy from before a purge is asked for | Decide.java | return fresh > 0 ? Math.min(fresh, bound) : bound; | return fresh;
-        a purge bounds ages too short a time | no copy from before a purge is asked for | Decide.java | since > settings.purgeDoneMs() + settings.tickMs() | since > settings.purgeGraceMs()
-        an unsafe request is sent again      | an unsafe request goes out once | Decide.java | if (c.effect() == Effect.UNSAFE) {¶return false; | if (c.effect() == Effect.UNSAFE) {¶return true;
-        an unsafe request that may have run is refused | an unsafe refusal means it never ran | Decide.java | boolean mayRun = o.maybeRan | boolean mayRun = o.back < 0
-        what comes last is not given up      | answered in time | Decide.java | private void giveUp(Open o) { | private void giveUp(Open o) { if (o.deadline - now < 10) { return; }
-        what is given up is held             | final answers at once | Decide.java | retryTokens < 1) {¶giveUp(o); | retryTokens < 1) {¶
-        a refusal names no time              | come back later | Decide.java | new Refuse(id, settings.maxRetryAfterMs()) | new Refuse(id, 0)
-        what is over is sent again           | nothing after the end | Decide.java | if (!o.over && !o.waiting()) { | if (!o.waiting()) {
-        each doorman has parents of its own  | one home for an object | Decide.java | long object = o.request.object(); | long object = o.request.object() + settings.me();
-        losses make no copies                | hot_spread | Decide.java | private static final int RANK_LOST = 3; | private static final int RANK_LOST = 2;
+        a draining cache stays a target | no new work for a draining box | NodeDirectory.java | if (node.isReady() && isCache(node)) { | if (isCache(node)) {
+        a draining parent stays a source | no new work for a draining box | NodeDirectory.java | node.isReady() && node.listing.kind() == settings.parentKind() | node.listing.kind() == settings.parentKind()
+        nodes missing in a complete list are kept | no new work for a draining box | LeastRecentlyLostPolicy.java | if (members.kind() != ListKind.DELTA) { | if (members.kind() == ListKind.FAILED) {
+        no budget for cold caches | no cold cache is pushed over | LeastRecentlyLostPolicy.java | return node.coldBudget.covers(workMs); | return true;
+        no budget for cold parents | no cold district cache is pushed over | LeastRecentlyLostPolicy.java | return node.coldBudget.covers(workMs); | return true;
+        a cold parent is chosen like any other | no cold district cache is pushed over | LeastRecentlyLostPolicy.java | && (fill ? coldBudgetAllows(node, workMs) : !isCold(node))) { | ) {
+        a budget that is much too large | no cold cache is pushed over | LeastRecentlyLostPolicy.java | double load = COLD_BUDGET_SHARE * rule.overloadMultiple() * | double load = 8 * rule.overloadMultiple() *
+        a purge bounds no age | no copy from before a purge is asked for | LeastRecentlyLostPolicy.java | return freshMs > 0 ? Math.min(freshMs, boundMs) : boundMs; | return freshMs;
+        a purge bounds ages for too short a time | no copy from before a purge is asked for | LeastRecentlyLostPolicy.java | sincePurgeMs > settings.purgeCompleteMs() + settings.tickMs() | sincePurgeMs > settings.purgeGraceMs()
+        an unsafe request is sent again | an unsafe request goes out once | LeastRecentlyLostPolicy.java | if (requestClass.effect() == Effect.UNSAFE) {¶return false; | if (requestClass.effect() == Effect.UNSAFE) {¶return true;
+        an unsafe request that may have run is refused | an unsafe refusal means it never ran | LeastRecentlyLostPolicy.java | boolean mayHaveTakenEffect = pending.mayHaveRun | boolean mayHaveTakenEffect = pending.endedAttempts < 0
+        no final answer shortly before the deadline | answered in time | LeastRecentlyLostPolicy.java | private void giveUp(OpenRequest pending) { | private void giveUp(OpenRequest pending) { if (pending.deadlineMs - nowMs < 10) { return; }
+        no final answer when the retry budget is spent | final answers at once | LeastRecentlyLostPolicy.java | retryTokens < 1) {¶giveUp(pending); | retryTokens < 1) {¶
+        a refusal without a pause | come back later | LeastRecentlyLostPolicy.java | new Refuse(id, settings.maxRetryAfterMs()) | new Refuse(id, 0)
+        a closed request is sent again | nothing after the end | LeastRecentlyLostPolicy.java | if (!currentRequest.closed && !currentRequest.hasAttemptsInFlight()) { | if (!currentRequest.hasAttemptsInFlight()) {
+        each doorman has its own order of parents | one home for an object | LeastRecentlyLostPolicy.java | long object = pending.request.object(); | long object = pending.request.object() + settings.doormanIndex();
+        losses make no copies | hot_spread | LeastRecentlyLostPolicy.java | private static final int RANK_AFTER_LOSS = 3; | private static final int RANK_AFTER_LOSS = 2;
         """)
-    void eachIsCaught(String what, String expectation, String file, String from, String to)
+    void eachMutantIsRefuted(String what, String expectation, String file, String from, String to)
             throws IOException, Configuration.Invalid, Hcl.Invalid {
         String newline = "\n            ";
         World.Maker mutant = Mutants.mutant(folder, file, from.replace("¶", newline), to.replace("¶", newline));
-        int[] left = {SCENARIOS};
+        int[] remaining = {SCENARIOS};
         boolean[] found = {false};
         Checker.Progress progress = new Checker.Progress() {
             @Override
@@ -85,19 +85,22 @@
             public void shrinking(String name) {}
         };
         Checker.Result result =
-                new Checker(book(expectation), mutant, progress).run(1, () -> !found[0] && left[0]-- > 0);
-        Checker.Finding f = result.findings().get(0);
-        assertEquals(Checker.Verdict.REFUTED, f.verdict(), what + ": held in " + f.held() + " of " + f.judged());
-        Checker.Counterexample c = f.counterexample();
+                new Checker(book(expectation), mutant, progress).run(1, () -> !found[0] && remaining[0]-- > 0);
+        Checker.Finding finding = result.findings().get(0);
+        assertEquals(
+                Checker.Verdict.REFUTED,
+                finding.verdict(),
+                what + ": held in " + finding.held() + " of " + finding.judged());
+        Checker.Counterexample counterexample = finding.counterexample();
         System.out.printf(
                 "mutant: %s: caught in scenario %d; %d events, %d requests, %d boxes -> %d, %d, %d%n",
                 what,
-                f.refutedAtScenario(),
-                c.foundEvents(),
-                c.foundRequests(),
-                c.foundBoxes(),
-                c.scenario().faults().size(),
-                c.scenario().asks().size(),
-                c.scenario().site().boxes().size());
+                finding.refutedAtScenario(),
+                counterexample.foundEvents(),
+                counterexample.foundRequests(),
+                counterexample.foundBoxes(),
+                counterexample.scenario().faults().size(),
+                counterexample.scenario().asks().size(),
+                counterexample.scenario().site().boxes().size());
     }
 }
--- a/doorman/src/test/java/barleyspur/front/thrift/FrontConnectionTest.java
+++ b/doorman/src/test/java/barleyspur/front/thrift/FrontConnectionTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import barleyspur.config.SettingsReader;
-import barleyspur.decision.Director;
+import barleyspur.decision.RoutingPolicy;
 import barleyspur.doorman.CappedLog;
 import barleyspur.doorman.Clock;
 import barleyspur.doorman.Doorman;
@@ -32,7 +32,7 @@
 /** One client connection before a core whose director does as each test says. */
 class FrontConnectionTest implements Clock {
 
-    static final Director.Settings SETTINGS = SettingsReader.read(
+    static final RoutingPolicy.Settings SETTINGS = SettingsReader.read(
             SettingsReader.lines(
                     """
         groupSize=1\nmyNumber=0\nmyZone=0\nresolutionMs=2\ngrades.count=1\ngrades.0.promiseMs=400
@@ -43,8 +43,8 @@
     static final RequestClassRegistry CLASSES = RequestClassRegistry.of(List.of("small"), SETTINGS.classes());
     private static final int MOST_OPEN = 2;
 
-    private final List<Director.Event> events = new ArrayList<>();
-    private Consumer<Director.Action> out;
+    private final List<RoutingPolicy.Event> events = new ArrayList<>();
+    private Consumer<RoutingPolicy.Action> out;
     private final Doorman doorman = new Doorman(
             SETTINGS,
             9,
@@ -145,10 +145,10 @@
         writable(false);
         assertTrue(channel.config().isAutoRead());
         channel.writeInbound(ThriftCalls.cancelRequest(3, 1));
-        assertEquals(new Director.Gone(((Director.Request) events.get(0)).id()), events.get(2));
+        assertEquals(new RoutingPolicy.Gone(((RoutingPolicy.Request) events.get(0)).id()), events.get(2));
         channel.close();
         channel.runPendingTasks();
-        assertEquals(new Director.Gone(((Director.Request) events.get(1)).id()), events.get(3));
+        assertEquals(new RoutingPolicy.Gone(((RoutingPolicy.Request) events.get(1)).id()), events.get(3));
     }
 
     @Test
@@ -174,7 +174,7 @@
         channel.pipeline().addFirst(held);
         for (int i = 1; i <= MOST_OPEN; i++) {
             dispatch(i, "small");
-            out.accept(new Director.Refuse(((Director.Request) events.get(i - 1)).id(), 0));
+            out.accept(new RoutingPolicy.Refuse(((RoutingPolicy.Request) events.get(i - 1)).id(), 0));
             doorman.purgedGroup(1, 0);
             events.remove(events.size() - 1);
         }
@@ -237,10 +237,10 @@
         dispatch(1, "small");
         doorman.listed(true, List.of());
         assertNull(channel.readOutbound(), "held until the director answers");
-        Director.Request request = (Director.Request) events.get(0);
+        RoutingPolicy.Request request = (RoutingPolicy.Request) events.get(0);
         assertEquals(3, request.part());
         assertEquals(17, request.group());
-        out.accept(new Director.Refuse(request.id(), 700));
+        out.accept(new RoutingPolicy.Refuse(request.id(), 700));
         doorman.purgedGroup(1, 0);
         assertAnswer(Thrift.REPLY, 1, "700");
     }
@@ -268,7 +268,7 @@
         dispatch(1, "small");
         channel.close();
         channel.runPendingTasks();
-        assertEquals(new Director.Gone(((Director.Request) events.get(0)).id()), events.get(1));
+        assertEquals(new RoutingPolicy.Gone(((RoutingPolicy.Request) events.get(0)).id()), events.get(1));
     }
 
     /** Two answers under one number could not be told apart: all are told so, once, before the connection ends. */
@@ -276,7 +276,7 @@
     void aNumberThatIsInUseEndsTheConnection() {
         dispatch(1, "small");
         dispatch(1, "small", "9b1f03aa5c7e2d42");
-        assertEquals(new Director.Gone(((Director.Request) events.get(0)).id()), events.get(1));
+        assertEquals(new RoutingPolicy.Gone(((RoutingPolicy.Request) events.get(0)).id()), events.get(1));
         assertTrue(channel.isOpen(), "an error that is followed by a reset may be lost");
         assertTrue(Unpooled.wrappedBuffer(channel.<ByteBuf>readOutbound()).readableBytes() > 0);
         channel.writeInbound(Unpooled.wrappedBuffer(new byte[300_000]));
@@ -291,7 +291,7 @@
         dispatch(1, "small", "9b1f03aa5c7e2d41");
         dispatch(2, "small", "9b1f03aa5c7e2d41");
         assertAnswer(Thrift.EXCEPTION, 2, "field i");
-        out.accept(new Director.Refuse(((Director.Request) events.get(0)).id(), 0));
+        out.accept(new RoutingPolicy.Refuse(((RoutingPolicy.Request) events.get(0)).id(), 0));
         doorman.purgedGroup(1, 0);
         assertAnswer(Thrift.REPLY, 1, "");
         dispatch(3, "small", "9b1f03aa5c7e2d41");
@@ -302,7 +302,7 @@
     void whoNeverAsksIsClosedAndWhoAskedOnceStays() {
         EmbeddedChannel other = connect();
         dispatch(1, "small");
-        out.accept(new Director.Refuse(((Director.Request) events.get(0)).id(), 0));
+        out.accept(new RoutingPolicy.Refuse(((RoutingPolicy.Request) events.get(0)).id(), 0));
         doorman.purgedGroup(1, 0);
         pass(PartialRequestWatch.SILENCE_MS);
         pass(FrontConnection.LINGER_MS);
@@ -368,18 +368,20 @@
         dispatch(1, "small");
         dispatch(2, "small");
         lifecycle.quiesce(now);
-        out.accept(new Director.Refuse(((Director.Request) events.get(0)).id(), 0));
+        out.accept(new RoutingPolicy.Refuse(((RoutingPolicy.Request) events.get(0)).id(), 0));
         doorman.purgedGroup(1, 0);
         channel.runPendingTasks();
         assertTrue(channel.isOpen(), "request 2 is open");
         assertAnswer(Thrift.REPLY, 1, "");
-        out.accept(new Director.Refuse(((Director.Request) events.get(1)).id(), 0));
+        out.accept(new RoutingPolicy.Refuse(((RoutingPolicy.Request) events.get(1)).id(), 0));
         doorman.purgedGroup(1, 0);
         channel.runPendingTasks();
         assertAnswer(Thrift.REPLY, 2, "");
         dispatch(3, "small");
         assertEquals(
-                2, events.stream().filter(Director.Request.class::isInstance).count(), "nothing is taken any more");
+                2,
+                events.stream().filter(RoutingPolicy.Request.class::isInstance).count(),
+                "nothing is taken any more");
         pass(FrontConnection.LINGER_MS);
         assertFalse(channel.isOpen(), "nothing is open any more");
     }
--- a/doorman/src/test/java/barleyspur/reload/RequestClassRegistryTest.java
+++ b/doorman/src/test/java/barleyspur/reload/RequestClassRegistryTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import barleyspur.decision.Director.Effect;
-import barleyspur.decision.Director.RequestClass;
-import barleyspur.decision.Director.Scope;
+import barleyspur.decision.RoutingPolicy.Effect;
+import barleyspur.decision.RoutingPolicy.RequestClass;
+import barleyspur.decision.RoutingPolicy.Scope;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
--- a/doorman/src/test/java/barleyspur/sim/WireTest.java
+++ b/doorman/src/test/java/barleyspur/sim/SimulatorProtocolTest.java
@@ -8,7 +8,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import barleyspur.config.SettingsReader;
-import barleyspur.decision.Director;
+import barleyspur.decision.RoutingPolicy;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Tests the protocol's encoding by hand-made frames, and the text of settings. */
-class WireTest {
+class SimulatorProtocolTest {
 
     static final String SETUP =
             """
@@ -62,15 +62,15 @@
                 .array();
     }
 
-    private static Director.Event event(String hex) throws Exception {
-        Wire.Batch batch = Wire.read(new ByteArrayInputStream(batch(1, hex)));
-        Director.Event event = batch.next().event();
+    private static RoutingPolicy.Event event(String hex) throws Exception {
+        SimulatorProtocol.Batch batch = SimulatorProtocol.read(new ByteArrayInputStream(batch(1, hex)));
+        RoutingPolicy.Event event = batch.next().event();
         assertFalse(batch.hasNext());
         return event;
     }
 
-    private static String hex(Director.Action action) throws IOException {
-        Wire.Reply reply = new Wire.Reply(12);
+    private static String hex(RoutingPolicy.Action action) throws IOException {
+        SimulatorProtocol.Reply reply = new SimulatorProtocol.Reply(12);
         reply.add(3, action);
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         reply.writeTo(out);
@@ -82,21 +82,21 @@
     @Test
     void readsARequest() throws Exception {
         assertEquals(
-                new Director.Request(1563070916, 0, 0, 42, 4, 11, 240, 640, true, false),
+                new RoutingPolicy.Request(1563070916, 0, 0, 42, 4, 11, 240, 640, true, false),
                 event("03 0300 c4912a5d 00 00000000 2a00000000000000 0000000000006e40 00002044 00003041 00008040 02"));
     }
 
     @Test
     void readsAnOutcomeWithItsLoad() throws Exception {
         assertEquals(
-                new Director.Outcome(
+                new RoutingPolicy.Outcome(
                         1564119492,
                         0,
                         9,
-                        Director.Result.OK,
+                        RoutingPolicy.Result.OK,
                         18.5,
                         true,
-                        Director.Note.FILLED,
+                        RoutingPolicy.Note.FILLED,
                         9.25,
                         List.of(0.5f, 7f)),
                 event(
@@ -105,31 +105,31 @@
 
     @Test
     void readsTheSmallEvents() throws Exception {
-        assertEquals(new Director.Gone(7), event("06 0300 07000000"));
-        assertEquals(new Director.Alarm(77), event("07 0300 4d00000000000000"));
-        assertEquals(new Director.FirstByte(7, 1, 9), event("04 0300 07000000 0000000000802240 09000000 01"));
+        assertEquals(new RoutingPolicy.Gone(7), event("06 0300 07000000"));
+        assertEquals(new RoutingPolicy.Alarm(77), event("07 0300 4d00000000000000"));
+        assertEquals(new RoutingPolicy.FirstByte(7, 1, 9), event("04 0300 07000000 0000000000802240 09000000 01"));
         assertEquals(
-                new Director.Probed(9, Director.Result.TIMEOUT, 1, List.of()),
+                new RoutingPolicy.Probed(9, RoutingPolicy.Result.TIMEOUT, 1, List.of()),
                 event("08 0300 2f01 000000000000f03f 09000000 00"));
-        assertEquals(new Director.Purged(11, 0, 85), event("0b 0300 0b00 0000000000405540 0000000000000000"));
+        assertEquals(new RoutingPolicy.Purged(11, 0, 85), event("0b 0300 0b00 0000000000405540 0000000000000000"));
         assertArrayEquals(
-                "hi".getBytes(StandardCharsets.UTF_8), ((Director.Told) event("09 0300 0200 0200 6869")).body());
+                "hi".getBytes(StandardCharsets.UTF_8), ((RoutingPolicy.Told) event("09 0300 0200 0200 6869")).body());
     }
 
     @Test
     void readsAList() throws Exception {
         assertEquals(
-                new Director.Members(
-                        Director.ListKind.DELTA,
-                        List.of(new Director.Node(9, 1, 2, 4, Director.State.DRAINING, 1.5, 85))),
+                new RoutingPolicy.Members(
+                        RoutingPolicy.ListKind.DELTA,
+                        List.of(new RoutingPolicy.Node(9, 1, 2, 4, RoutingPolicy.State.DRAINING, 1.5, 85))),
                 event("02 0300 03 2900000000000000 01000000 09000000 0100 0200 0400 00 0000c03f 0000000000405540"));
     }
 
     @Test
     void readsAStop() throws Exception {
-        Wire.Record record =
-                Wire.read(new ByteArrayInputStream(batch(1, "0a 0300"))).next();
-        assertNull(record.born());
+        SimulatorProtocol.Entry record = SimulatorProtocol.read(new ByteArrayInputStream(batch(1, "0a 0300")))
+                .next();
+        assertNull(record.start());
         assertNull(record.event());
     }
 
@@ -137,38 +137,38 @@
 
     @Test
     void writesEveryAction() throws IOException {
-        assertEquals("01030007000000090000000000000000005440", hex(new Director.Send(7, 9, 80)));
+        assertEquals("01030007000000090000000000000000005440", hex(new RoutingPolicy.Send(7, 9, 80)));
         assertEquals(
                 "070300070000000900000000000000000054400b00000002000000000040554009",
-                hex(new Director.Get(7, 9, 80, 11, 2, 85, true, false, false, true)));
-        assertEquals("0803000700000001", hex(new Director.Cancel(7, 1)));
-        assertEquals("090300070000000000000000406f40", hex(new Director.Refuse(7, 250)));
-        assertEquals("0b030007000000", hex(new Director.Fail(7)));
-        assertEquals("04030000000000004055404d00000000000000", hex(new Director.WakeAt(85, 77)));
-        assertEquals("0d030009000000", hex(new Director.Probe(9)));
-        assertEquals("06030009000000", hex(new Director.HangUp(9)));
-        assertEquals("030300ffff02006869", hex(new Director.Tell(-1, "hi".getBytes(StandardCharsets.UTF_8))));
-        assertEquals("0c030002006869", hex(new Director.Log("hi")));
-        assertEquals("0a030001", hex(new Director.Watch(true)));
-        assertEquals("050300", hex(new Director.Fetch()));
+                hex(new RoutingPolicy.Get(7, 9, 80, 11, 2, 85, true, false, false, true)));
+        assertEquals("0803000700000001", hex(new RoutingPolicy.Cancel(7, 1)));
+        assertEquals("090300070000000000000000406f40", hex(new RoutingPolicy.Refuse(7, 250)));
+        assertEquals("0b030007000000", hex(new RoutingPolicy.Fail(7)));
+        assertEquals("04030000000000004055404d00000000000000", hex(new RoutingPolicy.WakeAt(85, 77)));
+        assertEquals("0d030009000000", hex(new RoutingPolicy.Probe(9)));
+        assertEquals("06030009000000", hex(new RoutingPolicy.HangUp(9)));
+        assertEquals("030300ffff02006869", hex(new RoutingPolicy.Tell(-1, "hi".getBytes(StandardCharsets.UTF_8))));
+        assertEquals("0c030002006869", hex(new RoutingPolicy.Log("hi")));
+        assertEquals("0a030001", hex(new RoutingPolicy.Watch(true)));
+        assertEquals("050300", hex(new RoutingPolicy.Fetch()));
     }
 
     // ---- whole runs ------------------------------------------------------------------------------------------
 
-    private static String born() {
+    private static String startRecord() {
         byte[] text = SETUP.getBytes(StandardCharsets.UTF_8);
-        ByteBuffer b = ByteBuffer.allocate(15 + text.length)
+        ByteBuffer buffer = ByteBuffer.allocate(15 + text.length)
                 .order(ByteOrder.LITTLE_ENDIAN)
                 .put((byte) 1)
                 .putShort((short) 3)
                 .putLong(5)
                 .putInt(text.length)
                 .put(text);
-        return HexFormat.of().formatHex(b.array());
+        return HexFormat.of().formatHex(buffer.array());
     }
 
     private static int run(byte[] input, ByteArrayOutputStream out) {
-        return Adapter.run(new ByteArrayInputStream(input), out);
+        return SimulatorHost.run(new ByteArrayInputStream(input), out);
     }
 
     @Test
@@ -180,7 +180,11 @@
 
     @Test
     void aStopAndANewStartMayShareABatch() {
-        assertEquals(0, run(batch(4, born() + "0a0300" + born() + "06030007000000"), new ByteArrayOutputStream()));
+        assertEquals(
+                0,
+                run(
+                        batch(4, startRecord() + "0a0300" + startRecord() + "06030007000000"),
+                        new ByteArrayOutputStream()));
     }
 
     @Test
@@ -195,20 +199,22 @@
 
     @Test
     void aCutListIsMalformedHoweverManyRowsItClaims() {
-        Wire.Malformed e = assertThrows(Wire.Malformed.class, () -> event("02 0300 03 2900000000000000 ffffffff"));
+        SimulatorProtocol.MalformedInputException e = assertThrows(
+                SimulatorProtocol.MalformedInputException.class, () -> event("02 0300 03 2900000000000000 ffffffff"));
         assertTrue(e.getMessage().contains("batch 12"), e.getMessage());
     }
 
     // ---- settings --------------------------------------------------------------------------------------------
 
     @Test
-    void readsTheSettingsAndPassesOverUnknownKeys() {
-        Director.Settings s = SettingsReader.read(SettingsReader.lines(SETUP));
-        assertEquals(3, s.directors());
-        assertEquals(List.of(0, 3), s.zoneDirectors());
-        assertEquals(8_000, s.classes().get(0).freshMs());
-        assertEquals(7.6, s.paceKbPerMs());
-        assertEquals(4, s.coldParent().fallMultiple(), "a parent's multiple is the caches' where none is given");
+    void readsTheSettingsAndIgnoresUnknownKeys() {
+        RoutingPolicy.Settings settings = SettingsReader.read(SettingsReader.lines(SETUP));
+        assertEquals(3, settings.doormanCount());
+        assertEquals(List.of(0, 3), settings.doormansPerZone());
+        assertEquals(8_000, settings.classes().get(0).freshMs());
+        assertEquals(7.6, settings.paceKbPerMs());
+        assertEquals(
+                4, settings.coldParent().overloadMultiple(), "a parent's multiple is the caches' where none is given");
     }
 
     @Test
--- a/lab/src/main/java/barleyspur/lab/DecisionScale.java
+++ b/lab/src/main/java/barleyspur/lab/DecisionScale.java
@@ -1,7 +1,7 @@
 package barleyspur.lab;
 
-import barleyspur.decision.Decide;
-import barleyspur.decision.Director;
+import barleyspur.decision.LeastRecentlyLostPolicy;
+import barleyspur.decision.RoutingPolicy;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -31,18 +31,18 @@
     @Param({"12", "1000", "10000"})
     private int boxes;
 
-    private Director director;
-    private List<Director.Node> nodes;
-    private final List<Director.Action> actions = new ArrayList<>();
+    private RoutingPolicy director;
+    private List<RoutingPolicy.Node> nodes;
+    private final List<RoutingPolicy.Action> actions = new ArrayList<>();
     private final SplittableRandom random = new SplittableRandom(4);
     private double now = 1_000_000;
     private long request;
     private int change;
 
-    private static Director.RequestClass requestClass(double freshMs) {
-        return new Director.RequestClass(
-                Director.Effect.SAFE,
-                Director.Scope.ALL,
+    private static RoutingPolicy.RequestClass requestClass(double freshMs) {
+        return new RoutingPolicy.RequestClass(
+                RoutingPolicy.Effect.SAFE,
+                RoutingPolicy.Scope.ALL,
                 0,
                 400,
                 2,
@@ -57,12 +57,12 @@
                 0.7);
     }
 
-    static Director.Settings settings(int stations) {
+    static RoutingPolicy.Settings settings(int stations) {
         List<Integer> perZone = new ArrayList<>(List.of(0));
         for (int i = 0; i < stations; i++) {
             perZone.add(3);
         }
-        return new Director.Settings(
+        return new RoutingPolicy.Settings(
                 List.of(requestClass(0), requestClass(8_000)),
                 0,
                 3 * stations,
@@ -76,17 +76,17 @@
                 2,
                 8,
                 2_000,
-                new Director.ColdRule(0.24, 17_000, 3),
-                new Director.ColdRule(0.068, 19_000, 2),
+                new RoutingPolicy.ColdRule(0.24, 17_000, 3),
+                new RoutingPolicy.ColdRule(0.068, 19_000, 2),
                 3_000,
                 1_000,
                 6_000,
                 true,
                 true,
-                Director.Siblings.ANY,
-                Director.Notes.HIT,
+                RoutingPolicy.Siblings.ANY,
+                RoutingPolicy.Notes.HIT,
                 5.8,
-                Director.Reports.WITH_PROBES,
+                RoutingPolicy.Reports.WITH_PROBES,
                 List.of("load_share"),
                 8,
                 true,
@@ -97,10 +97,10 @@
     }
 
     /** The fleet's list. */
-    static List<Director.Node> fleet(int boxes) {
+    static List<RoutingPolicy.Node> fleet(int boxes) {
         int stations = Math.max(1, boxes / PER_STATION);
         int parents = Math.max(2, boxes / PER_PARENT);
-        List<Director.Node> nodes = new ArrayList<>();
+        List<RoutingPolicy.Node> nodes = new ArrayList<>();
         for (int i = 0; i < boxes; i++) {
             nodes.add(node(i, 1 + i / PER_STATION % stations, i % 2, 4 + i % 5));
         }
@@ -111,29 +111,29 @@
         return nodes;
     }
 
-    private static Director.Node node(long id, int zone, int kind, double size) {
-        return new Director.Node(id + 1, zone, kind, 0, Director.State.READY, size, 0);
+    private static RoutingPolicy.Node node(long id, int zone, int kind, double size) {
+        return new RoutingPolicy.Node(id + 1, zone, kind, 0, RoutingPolicy.State.READY, size, 0);
     }
 
     /** A director that has its list. */
     @Setup
     public void start() {
         nodes = fleet(boxes);
-        director = new Decide(settings(Math.max(1, boxes / PER_STATION)), 1);
+        director = new LeastRecentlyLostPolicy(settings(Math.max(1, boxes / PER_STATION)), 1);
         full();
     }
 
     /** The whole list, in which nothing has changed. */
     @Benchmark
     public int full() {
-        return tell(new Director.Members(Director.ListKind.FULL, nodes));
+        return tell(new RoutingPolicy.Members(RoutingPolicy.ListKind.FULL, nodes));
     }
 
     /** One box of the list anew. */
     @Benchmark
     public int delta() {
         change = (change + 7) % nodes.size();
-        return tell(new Director.Members(Director.ListKind.DELTA, List.of(nodes.get(change))));
+        return tell(new RoutingPolicy.Members(RoutingPolicy.ListKind.DELTA, List.of(nodes.get(change))));
     }
 
     /** A request and the outcome of its attempt. */
@@ -141,17 +141,18 @@
     public int requestWithOutcome() {
         now += 4;
         long id = ++request;
-        tell(new Director.Request(id, (int) (id % 2), 0, 1 + random.nextInt(OBJECTS), 0, 5, 4_000, 400, false, false));
-        for (Director.Action a : actions) {
-            if (a instanceof Director.Get g) {
-                return tell(new Director.Outcome(
-                        id, 0, g.node(), Director.Result.OK, 50, true, Director.Note.FILLED, 0, List.of()));
+        tell(new RoutingPolicy.Request(
+                id, (int) (id % 2), 0, 1 + random.nextInt(OBJECTS), 0, 5, 4_000, 400, false, false));
+        for (RoutingPolicy.Action a : actions) {
+            if (a instanceof RoutingPolicy.Get g) {
+                return tell(new RoutingPolicy.Outcome(
+                        id, 0, g.node(), RoutingPolicy.Result.OK, 50, true, RoutingPolicy.Note.FILLED, 0, List.of()));
             }
         }
         return 0;
     }
 
-    private int tell(Director.Event event) {
+    private int tell(RoutingPolicy.Event event) {
         actions.clear();
         director.handle(now, event, actions::add);
         return actions.size();
