--- a/decision/src/test/java/barleyspur/decision/ConcurrencyLimitTest.java
+++ b/decision/src/test/java/barleyspur/decision/ConcurrencyLimitTest.java
@@ -86,18 +86,18 @@
     @Test
     void whileFillsAreLimitedRequestsBypassTheCaches() {
         lateFills(12);
-        int past = 0;
+        int bypassed = 0;
         for (int i = 0; i < 20; i++) {
             List<Action> actions = harness.request(0, 20_000 + i, 4_000);
             for (Get get : PolicyHarness.actionsOf(actions, Get.class)) {
                 List<Get> last = afterLookup(get);
                 assertEquals(1, last.size(), "a lookup that finds no copy must not end in a refusal");
-                past += last.get(0).node() >= 11 ? 1 : 0;
+                bypassed += last.get(0).node() >= 11 ? 1 : 0;
                 harness.outcome(last.get(0), last.get(0) == get ? 0 : 1, Result.OK, Note.FILLED, 100);
             }
             assertEquals(0, PolicyHarness.actionsOf(actions, Refuse.class).size());
         }
-        assertTrue(past >= 5, past + " bypassed the caches");
+        assertTrue(bypassed >= 5, bypassed + " bypassed the caches");
     }
 
     /**
@@ -112,10 +112,10 @@
         for (int i = 0; i < 20; i++) {
             List<Action> actions = harness.request(0, 30_000 + i, 4_000);
             refused += PolicyHarness.actionsOf(actions, Refuse.class).size();
-            for (Get look : PolicyHarness.actionsOf(actions, Get.class).stream()
+            for (Get lookup : PolicyHarness.actionsOf(actions, Get.class).stream()
                     .filter(ConcurrencyLimitTest::isLookup)
                     .toList()) {
-                refused += PolicyHarness.actionsOf(harness.outcome(look, 0, Result.MISS, Note.NONE), Refuse.class)
+                refused += PolicyHarness.actionsOf(harness.outcome(lookup, 0, Result.MISS, Note.NONE), Refuse.class)
                         .size();
             }
         }
--- a/decision/src/test/java/barleyspur/decision/RoutingTest.java
+++ b/decision/src/test/java/barleyspur/decision/RoutingTest.java
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void allDirectorsFillAnObjectFromTheSameParent() {
+    void allDoormansFillAnObjectFromTheSameParent() {
         PolicyHarness other = new PolicyHarness(PolicyHarness.settings()).listNodes(3);
         for (long object = 1; object <= 60; object++) {
             assertEquals(
