--- a/decision/src/main/java/barleyspur/decision/ColdBudget.java
+++ b/decision/src/main/java/barleyspur/decision/ColdBudget.java
@@ -22,17 +22,17 @@
     }
 
     /** Returns whether the budget covers this work. */
-    boolean covers(double work) {
-        return balance >= work;
+    boolean covers(double workMs) {
+        return balance >= workMs;
     }
 
     /** Spends this work. Work that the budget does not cover becomes debt. */
-    void spend(double work) {
-        balance -= work;
+    void spend(double workMs) {
+        balance -= workMs;
     }
 
     /** Returns work that was spent but never reached the node. */
-    void refund(double work) {
-        balance += work;
+    void refund(double workMs) {
+        balance += workMs;
     }
 }
--- a/decision/src/main/java/barleyspur/decision/LeastRecentlyLostPolicy.java
+++ b/decision/src/main/java/barleyspur/decision/LeastRecentlyLostPolicy.java
@@ -358,8 +358,8 @@
     private void recordOutcomeLateness(OpenRequest pending, Attempt attempt, Outcome outcome) {
         boolean late = outcome.latencyMs() > latencyTargetMs(pending);
         boolean full = outcome.result() == Result.FULL;
-        boolean unattributed = outcome.note() == Note.NONE && settings.notes() == Notes.ALL;
-        boolean refusedByTarget = full && (outcome.note() == Note.NO_FILL_PLACE || unattributed);
+        boolean withoutNote = outcome.note() == Note.NONE && settings.notes() == Notes.ALL;
+        boolean refusedByTarget = full && (outcome.note() == Note.NO_FILL_PLACE || withoutNote);
         boolean sourceIsNoted = outcome.note() == Note.SOURCE_FAILED || outcome.note() == Note.SOURCE_REFUSED;
         boolean failed = late || outcome.result() != Result.OK;
         if (late || full || outcome.result() == Result.OK || outcome.result() == Result.TIMEOUT) {
--- a/decision/src/main/java/barleyspur/decision/PeerThroughput.java
+++ b/decision/src/main/java/barleyspur/decision/PeerThroughput.java
@@ -14,8 +14,8 @@
     }
 
     /** Adds work that one of so many peers has served. */
-    void add(double work, int peers, double nowMs) {
-        totalRate.add(work, nowMs);
+    void add(double workMs, int peers, double nowMs) {
+        totalRate.add(workMs, nowMs);
         peakPerPeer = Math.max(peakPerPeer, totalRate.perMs(nowMs) / Math.max(1, peers));
     }
 
--- a/decision/src/main/java/barleyspur/decision/Rendezvous.java
+++ b/decision/src/main/java/barleyspur/decision/Rendezvous.java
@@ -10,8 +10,8 @@
     private Rendezvous() {}
 
     /**
-     * Returns the score, above 0, of a node with this {@link #nodeHash} for an object; or 0 if the score can't exceed the
-     * threshold. Most such scores are recognized without a logarithm, as -log(u) is at least 1 - u.
+     * Returns the score, above 0, of a node with this {@link #nodeHash} for an object; or 0 if the score can't exceed
+     * the threshold. Most such scores are recognized without a logarithm, as -log(u) is at least 1 - u.
      */
     static double score(long object, long nodeHash, double weight, double threshold) {
         long mixed = mix(object * 0x9E3779B97F4A7C15L ^ nodeHash);
--- a/doorman/src/main/java/barleyspur/sim/SimulatorProtocol.java
+++ b/doorman/src/main/java/barleyspur/sim/SimulatorProtocol.java
@@ -37,7 +37,7 @@
     record InstanceStart(long seed, RoutingPolicy.Settings settings) {}
 
     /**
-     * One record of a batch: a start ({@code born} is set), an event ({@code event} is set) or a stop (both are
+     * One record of a batch: a start ({@code start} is set), an event ({@code event} is set) or a stop (both are
      * null).
      */
     record Entry(int instance, InstanceStart start, RoutingPolicy.Event event) {}
@@ -107,9 +107,9 @@
         Entry next() throws MalformedInputException {
             int start = body.position();
             try {
-                Entry record = record();
+                Entry entry = entry();
                 decoded++;
-                return record;
+                return entry;
             } catch (BufferUnderflowException e) {
                 throw new MalformedInputException(position() + "the record at byte " + start + " is truncated");
             } catch (IllegalArgumentException e) {
@@ -121,7 +121,7 @@
             return "batch " + number + ", record " + decoded + " of " + count + ": ";
         }
 
-        private Entry record() {
+        private Entry entry() {
             int code = u8(body);
             int instance = u16(body);
             if (code == 1) {
--- a/doorman/src/test/java/barleyspur/sim/SimulatorProtocolTest.java
+++ b/doorman/src/test/java/barleyspur/sim/SimulatorProtocolTest.java
@@ -153,7 +153,7 @@
         assertEquals("050300", hex(new RoutingPolicy.Fetch()));
     }
 
-    // ---- whole runs ------------------------------------------------------------------------------------------
+    // ---- complete runs ------------------------------------------------------------------------------------------
 
     private static String startRecord() {
         byte[] text = SETUP.getBytes(StandardCharsets.UTF_8);
