--- a/decision/src/main/java/barleyspur/decision/Attempt.java
+++ b/decision/src/main/java/barleyspur/decision/Attempt.java
@@ -1,31 +1,38 @@
 package barleyspur.decision;
 
-/** One attempt of a request, as it was sent. */
+/** One attempt of a request, with what the policy knew when it was sent. */
 final class Attempt {
 
-    Server target;
-    Server source;
+    TrackedNode target;
+    TrackedNode source;
+    /** Whether the target is expected to fetch the object, because it holds no copy. */
     boolean fill;
-    /** Joins a fill of ours: it holds a place at the cache, but adds nothing on the way to the source. */
-    boolean joined;
-    /** Believed held, and of no class whose copies may have to be renewed first. */
-    boolean surelyHeld;
+    /** Joins a fill of this doorman: it takes a slot at the cache, but adds no load on the path to the source. */
+    boolean joinsOpenFill;
+    /** The target is believed to hold a copy, and the copies of this class don't expire. */
+    boolean expectsHit;
+    /** Whether {@link ConcurrencyLimit limits} have been adapted to its latency. */
+    boolean latenessRecorded;
+    /** Whether the attempt is a trial of an excluded target. */
+    boolean isTrial;
+    /** Whether the attempt is a trial of an excluded source. */
+    boolean isSourceTrial;
+    /** Whether the outcome is known. */
+    boolean ended;
 
-    boolean learned;
-    boolean trial;
-    boolean sourceTrial;
-    boolean back;
-    double sentAt;
-    double work;
+    double sentAtMs;
+    /** The estimated work, in milliseconds. */
+    double workMs;
+    /** The rank at which the cache keeps the copy; 0: not kept. */
     int rank;
 
-    /** Whether it asks for bytes from its source on its own account: a fill, or what goes past the caches. */
-    boolean fetches() {
-        return fill && !joined && source != null;
+    /** Returns whether the attempt itself fetches from its source: as a fill, or past the caches. */
+    boolean fetchesFromSource() {
+        return fill && !joinsOpenFill && source != null;
     }
 
-    /** Whether it is expected to reach its source by way of a cache, as a fill of its own. */
-    boolean reaches() {
-        return fetches() && source != target;
+    /** Returns whether the attempt is expected to reach its source through a cache, as a fill of its own. */
+    boolean fillsThroughCache() {
+        return fetchesFromSource() && source != target;
     }
 }
