--- a/doorman/src/main/java/barleyspur/Node.java
+++ b/doorman/src/main/java/barleyspur/Node.java
@@ -42,43 +42,52 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One doorman, whole: puts its parts together on one event loop thread, and takes it down again. */
+/**
+ * One doorman process: assembles its components on a single event loop thread, starts them, and shuts them down again.
+ */
 public final class Node {
 
     private static final Logger LOG = LoggerFactory.getLogger("node");
     /**
-     * The depots get a third of the descriptors, and clients what the process leaves: those that the protocol knows
-     * hold a third at most, and others must not be able to keep them out. The process has about 20 of its own, and
-     * in a crowd up to 32 are accepted, or closed but not yet given back, between two looks.
+     * Depot connections get a third of the file descriptors, and clients what the process itself leaves. The clients
+     * that the protocol knows hold at most a third, and other peers must not be able to lock them out. The process
+     * needs about 20 descriptors itself, and during a burst up to 32 sockets are accepted, or closed but not yet
+     * released, between two checks.
      */
     private static final int SHARES = 3;
 
     private static final int OWN_SOCKETS = 64;
     private static final long MEGABYTE = 1 << 20;
-    /** The part of the memory that unread answers may fill: the buffers that hold them were seen to take thrice that. */
+    /**
+     * Unread answers may use one part in this many of the memory limit: their buffers were measured to occupy three
+     * times the size of the answers.
+     */
     private static final int UNREAD_SHARE = 24;
-    /** Requests played before the start: by then what each request runs through is compiled. */
+    /** Synthetic requests run before the start; by then the code on the path of a request is compiled. */
     private static final int REHEARSED = 200;
-    /** New requests may come for 0.6 s after SIGTERM, and must still be answered. */
+    /** New requests may arrive for 0.6 s after SIGTERM and still have to be answered. */
     private static final double DRAIN_MS = 750;
-    /** How long clients have to read their last answers and close, before the process ends, where SIGKILL leaves that. */
+    /**
+     * How long clients have to read their last answers and close before the process ends, if SIGKILL leaves that much
+     * time.
+     */
     private static final double LAST_READ_MS = 1_000;
 
-    /** Reads a configuration. */
+    /** Reads the platform's configuration. */
     public interface Source {
-        /** The configuration as it is now; a fault names its key. */
+        /** Returns the current configuration; an error names the invalid key. */
         Configuration read() throws Configuration.Invalid;
     }
 
-    /** Reads our own settings. */
+    /** Reads the program's own settings. */
     public interface OwnSource {
-        /** The settings as they are now; a fault names its line. */
+        /** Returns the current settings; an error names the invalid line. */
         OwnSettings read() throws Configuration.Invalid;
     }
 
     private Configuration configuration;
     private final OwnSettings own;
-    /** Reads configurations one after another, off the event loop, for as long as there are any to read. */
+    /** Reads configurations one at a time, off the event loop. The thread ends when there is nothing to read. */
     private final ThreadPoolExecutor reloads = new ThreadPoolExecutor(
             0,
             1,
@@ -97,23 +106,26 @@
     private final CommandReader commands;
     private final Clock clock;
     private final Lifecycle lifecycle = new Lifecycle();
-    /** The classes that requests may name; a retune makes a new table. */
+    /** The classes that requests may name; replaced by each reload that changes them. */
     private RequestClassRegistry classes;
-    /** The second address; null where the platform gives none. */
+    /** The server on the management address; null if the platform configures none. */
     private final AdminServer admin;
-    /** Where an upgrade's processes say which of them listens last; null without a second address. */
+    /** Tells the two processes of an upgrade which of them listens; null without a management address. */
     private final HandOffNote handOff;
-    /** The view of the other doormans; null where the settings have no block for it. */
+    /** The view of the other doormans; null without a fleet block in the settings. */
     private final Subsystem fleet;
-    /** What the doormans may use together; null where the settings have no block for it. */
+    /** The budgets shared by all doormans; null without a budgets block in the settings. */
     private final BudgetPort budgets;
 
-    /** A doorman with what its own settings switch on; without any it is the platform's. */
+    /**
+     * Creates a doorman with the optional components that its own settings enable; with empty settings it only does
+     * what the platform requires.
+     */
     public Node(Configuration configuration, OwnSettings own) {
         this(configuration, own, LoopClock::new);
     }
 
-    /** The same with another clock than the machine's, made for its event loop: for tests of clocks that drift. */
+    /** Creates a doorman with a custom clock, made for its event loop, for tests of clocks that drift. */
     public Node(Configuration configuration, OwnSettings own, BiFunction<EventLoop, SocketPolls, Clock> clocks) {
         this.configuration = configuration;
         this.own = own;
@@ -126,7 +138,8 @@
                 new DepotClient.Limits(limits.streams(), limits.idleMs(), limits.sockets() / SHARES),
                 settings.reportFields());
         Director director = new Decide(settings, configuration.seed());
-        // Not the configuration's seed: doormans, and lives of one, may have it alike, and must be told apart.
+        // The configuration's seed is not used here: several doormans, and successive processes of one, may share it
+        // but have to be distinguishable.
         long life = own.fleet() == null ? 0 : new SecureRandom().nextLong();
         FleetPort port = own.fleet() == null
                 ? null
@@ -177,7 +190,7 @@
             admin = null;
             handOff = null;
         } else {
-            // Only a platform that gives a second address upgrades a doorman beside itself.
+            // Only a platform that configures a management address runs upgrades with two processes side by side.
             Routes.Builder routes =
                     new LifecycleCalls(lifecycle, clock, this::lifecycleChanged).addTo(Routes.builder());
             if (fleet != null) {
@@ -203,7 +216,7 @@
         }
     }
 
-    /** Rehearses, learns what is known, then listens; throws where the address can't be had. */
+    /** Warms up, applies the commands known at start, then listens. Throws if an address can't be bound. */
     public void start() throws IOException, InterruptedException, ExecutionException {
         long answered = group.submit(() -> new Rehearsal(group, configuration).play(REHEARSED))
                 .get();
@@ -246,8 +259,8 @@
     }
 
     /**
-     * Reads the configuration anew and goes over to it, or says what is wrong and stays with the one before. Of
-     * many calls at once, the last ones find theirs done by one that is still to read.
+     * Reloads the configuration and applies it; if it is invalid, logs the error and keeps the previous one. If several
+     * calls come at once, the last ones are dropped, as a reload that is still waiting will read the same files.
      */
     public void reload(Source source, OwnSource ownSource) {
         reloads.execute(() -> {
@@ -257,14 +270,14 @@
                 group.execute(() -> apply(next));
                 group.execute(() -> apply(nextOwn));
             } catch (RejectedExecutionException e) {
-                // It has ended meanwhile: nothing is to be changed any more.
+                // The event loop has shut down meanwhile, so there is nothing left to update.
             } catch (Configuration.Invalid e) {
                 LogEvent.log(LOG.atError(), "reload: the configuration before stays", "cause", e.getMessage());
             }
         });
     }
 
-    /** Of our own settings the wholes and weights of budgets count at once. */
+    /** Applies changed own settings. Only the amounts and weights of budgets take effect without a restart. */
     private void apply(OwnSettings next) {
         List<String> fixed = own.fixedChanges(next);
         if (!fixed.isEmpty()) {
@@ -307,9 +320,10 @@
     }
 
     /**
-     * Answers what is open and what still comes for a while, then ends. Where a successor listens on the clients'
-     * address (an upgrade), nothing new comes here: it stops listening at once, closes what is idle and ends as soon
-     * as what is open is answered. The note is read here, off the event loop.
+     * Drains and then ends the process: answers open requests and those that still arrive for a while. During an
+     * upgrade, when a successor listens on the client address, no new connections arrive here: the process stops
+     * listening at once, closes idle connections and ends as soon as open requests are answered. The pid file is read
+     * here because this method runs off the event loop.
      */
     public void drain() {
         long successor = handOff == null
@@ -318,7 +332,7 @@
         try {
             group.execute(() -> leave(successor));
         } catch (RejectedExecutionException e) {
-            // It has ended already, or never started.
+            // The event loop has shut down already, after a drain or a failed start.
         }
     }
 
@@ -361,7 +375,7 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).addListener(done -> ended.countDown());
     }
 
-    /** Waits until a drain has ended. */
+    /** Waits until the process has shut down after a drain. */
     public void awaitEnd() throws InterruptedException {
         ended.await();
     }
--- a/doorman/src/main/java/barleyspur/Rehearsal.java
+++ b/doorman/src/main/java/barleyspur/Rehearsal.java
@@ -25,10 +25,9 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * Plays made-up requests through a doorman's own parsers, core and decisions, within the process and on a clock of
- * its own, and forgets all that came of it. Guards the first clients after a start against code that is still to be
- * loaded and compiled, which on part of a core held them up for a second. The build rehearses too, to record which
- * classes that takes.
+ * Runs synthetic requests through a doorman's parsers, core and routing policy, within the process and on a simulated
+ * clock, and discards all resulting state. Without this, loading and compiling code held up the first clients after a
+ * start for a second on part of a core. The build runs it as well, to record which classes have to be loaded.
  */
 final class Rehearsal implements Clock {
 
@@ -38,6 +37,7 @@
     static final int BODY = 8_000;
     private static final double STEP_MS = 3;
 
+    /** A scheduled task; {@code run} holds null once the task is cancelled. */
     private record Task(double at, long order, AtomicReference<Runnable> run) {}
 
     private final PriorityQueue<Task> timers =
@@ -65,7 +65,7 @@
         return () -> due.set(null);
     }
 
-    /** Plays this many requests, and says how many bytes of answers the clients got. */
+    /** Runs this many requests and returns the number of answer bytes that the clients received. */
     long play(int requests) {
         long answered = 0;
         Director.Settings settings = configuration.settings();
@@ -134,7 +134,7 @@
         return listings;
     }
 
-    /** A request: most ask for parts asked for before, as clients do. */
+    /** Returns the frame of a request; most requests repeat earlier parts, as clients do. */
     private ByteBuf dispatch(int number) {
         int category = number % configuration.names().classes().size();
         String object = hex(number * number % 97);
@@ -170,7 +170,7 @@
         return out.writeInt(text.length()).writeBytes(text.getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** Answers what was sent to a depot: for the most part with the bytes. */
+    /** Answers everything that was sent to a depot, in most cases with a body. */
     private static void answer(EmbeddedChannel depot, int number) {
         for (ByteBuf sent = depot.readOutbound(); sent != null; sent = depot.readOutbound()) {
             String head = sent.toString(StandardCharsets.US_ASCII);
--- a/doorman/src/main/java/barleyspur/Subsystem.java
+++ b/doorman/src/main/java/barleyspur/Subsystem.java
@@ -3,20 +3,20 @@
 import barleyspur.admin.Routes;
 
 /**
- * A part that the platform's {@code run} line doesn't switch on: reached through this, so that where its settings are
- * missing none of its classes are loaded. All calls come on the event loop but for {@link #addTo}.
+ * An optional component that the platform's {@code run} line doesn't enable. It is used through this interface so that
+ * none of its classes are loaded without its settings. All methods but {@link #addTo} are called on the event loop.
  */
 public interface Subsystem {
 
-    /** Adds its calls to the second address's. */
+    /** Adds the component's calls to the routes of the management address. */
     void addTo(Routes.Builder routes);
 
-    /** Begins; the doorman serves from now on, or soon. */
+    /** Starts the component, when the doorman starts serving. */
     void start();
 
-    /** Something that it may follow has changed: the doorman's lifecycle. */
+    /** Called when the doorman's lifecycle has changed. */
     void refresh();
 
-    /** The doorman is about to end: says so to whom it concerns, then runs {@code left}. */
+    /** Announces that the doorman is about to end, then runs {@code whenStopped}. */
     void leave(Runnable left);
 }
--- a/doorman/src/main/java/barleyspur/channel/CommandChannel.java
+++ b/doorman/src/main/java/barleyspur/channel/CommandChannel.java
@@ -14,18 +14,22 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps the command channel up. Whatever it has to tell counts as told some seconds on even where it was cut,
- * so a connection that misses its heartbeats or shows a gap is given up at once and a new one resumes.
+ * The client of the command channel. A doorman is expected to know each command a few seconds after it was issued, even
+ * if the channel was interrupted. So a connection that misses its heartbeats or shows a gap is closed at once, and a
+ * new one resumes after the last command received.
  */
 public final class CommandChannel {
 
     private static final Logger LOG = LoggerFactory.getLogger("channel");
     private static final int MAX_LINE = 4 << 20;
-    /** How long a connect may take, so that another is tried in time. */
+    /** The connect timeout, short enough that another attempt is made in time. */
     public static final int CONNECT_TIMEOUT_MS = 500;
 
     static final double AGAIN_MS = 200;
-    /** Heartbeats come each second. What a stopped channel has to tell counts as told 4 s after it stopped. */
+    /**
+     * Heartbeats arrive every second. Commands on a channel that has stopped are expected to be known 4 s after it
+     * stopped.
+     */
     static final double SILENCE_MS = 2_000;
 
     private final Connector connector;
@@ -33,12 +37,12 @@
     private final CommandReader reader;
     private final CappedLog log;
     private InetSocketAddress address;
-    /** The connection that counts; what others still say or do is no matter. */
+    /** The current connection; events on any other are ignored. */
     private Connection current;
 
     private boolean closed;
 
-    /** A channel to {@code address}, not yet connected; what it tells goes to {@code reader}. */
+    /** Creates a channel to {@code address}, not yet connected; its lines are passed to {@code reader}. */
     public CommandChannel(Connector connector, InetSocketAddress address, Clock clock, CommandReader reader) {
         this.connector = connector;
         this.address = address;
@@ -47,7 +51,7 @@
         this.log = new CappedLog(LOG, clock);
     }
 
-    /** Connects, now and whenever the connection is lost. */
+    /** Connects, and reconnects whenever the connection is lost. */
     public void start() {
         Connection connection = new Connection();
         current = connection;
@@ -59,8 +63,8 @@
     }
 
     /**
-     * Goes on at another address, after the last command that has come. The connection before is dropped at once:
-     * its end may tell nothing more, and what the channel has to tell counts as told a few seconds from now.
+     * Switches to another address and resumes there after the last command received. The previous connection is closed
+     * at once: it may deliver nothing more before its end, and the next commands have to be known within a few seconds.
      */
     public void moveTo(InetSocketAddress next) {
         if (closed || next.equals(address)) {
@@ -75,7 +79,7 @@
         }
     }
 
-    /** Ends the channel for good. */
+    /** Closes the channel permanently. */
     public void close() {
         closed = true;
         if (current != null) {
@@ -94,7 +98,7 @@
         }
     }
 
-    /** One connection, until it ends for whatever reason. */
+    /** The handler of one connection. */
     private final class Connection extends SimpleChannelInboundHandler<String> {
         private Channel channel;
         private Clock.Timer silence;
@@ -110,7 +114,7 @@
             channel = ctx.channel();
             silence = clock.after(SILENCE_MS, this::silent);
             if (this != current || closed) {
-                // It came up after the channel had moved on.
+                // The connection was established after the channel had switched to another one.
                 drop();
                 return;
             }
--- a/doorman/src/main/java/barleyspur/channel/CommandReader.java
+++ b/doorman/src/main/java/barleyspur/channel/CommandReader.java
@@ -13,7 +13,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Reads numbered commands and hands them on, each once and in order. */
+/** Parses numbered commands and passes each of them to a listener, once and in order. */
 public final class CommandReader {
 
     private static final Logger LOG = LoggerFactory.getLogger("channel");
@@ -24,19 +24,19 @@
     private final Commands commands;
     private long cursor;
 
-    /** A reader for settings that number zones and kinds by their places in these lists. */
+    /** Creates a reader; zones and kinds are numbered by their places in these lists. */
     public CommandReader(List<String> zones, List<String> kinds, Commands commands) {
         this.zones = zones;
         this.kinds = kinds;
         this.commands = commands;
     }
 
-    /** The number of the last command that was handed on. */
+    /** Returns the number of the last command that was passed on. */
     long cursor() {
         return cursor;
     }
 
-    /** Hands on the commands of the start. */
+    /** Passes on the commands known at process start. */
     public void known(JSONObject known) {
         JSONArray cmds = known.getJSONArray("cmds");
         for (int i = 0; i < cmds.length(); i++) {
@@ -45,7 +45,7 @@
         cursor = known.getLong("cursor");
     }
 
-    /** Reads one line; false where it shows that a command was missed or can't be read at all. */
+    /** Reads one line. Returns false if the line shows that a command was missed, or can't be parsed. */
     boolean line(String line) {
         String text = line.strip();
         if (text.isEmpty()) {
@@ -71,7 +71,7 @@
         }
     }
 
-    /** A command that can't be read is passed over: asking for it again would bring the same. */
+    /** Applies a command. A malformed one is skipped: requesting it again would return the same text. */
     private void command(JSONObject command) {
         try {
             if (command.has("nodes")) {
@@ -85,7 +85,7 @@
                         "command",
                         command.opt("cursor"),
                         "cause",
-                        "neither nodes nor drop");
+                        "it has neither key nodes nor key drop");
             }
         } catch (JSONException | IllegalArgumentException e) {
             LogEvent.log(
--- a/doorman/src/main/java/barleyspur/channel/LineDecoder.java
+++ b/doorman/src/main/java/barleyspur/channel/LineDecoder.java
@@ -7,11 +7,11 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** Cuts a stream into lines, without their line feeds. */
+/** Splits a stream into lines, without their line feeds. */
 final class LineDecoder extends ByteToMessageDecoder {
 
     private final int maxLine;
-    /** How much of what is left is known to hold no line feed. */
+    /** The number of pending bytes already searched for a line feed. */
     private int searched;
 
     LineDecoder(int maxLine) {
@@ -24,9 +24,9 @@
         int end = in.indexOf(start + searched, in.writerIndex(), (byte) '\n');
         int length = (end < 0 ? in.writerIndex() : end) - start;
         if (length > maxLine) {
-            // Else what is left would be read, and complained of, once more when the connection ends.
+            // Discards the rest. Otherwise the same bytes would be decoded and reported again when the connection ends.
             in.skipBytes(in.readableBytes());
-            throw new TooLongFrameException("a line of over " + maxLine + " bytes");
+            throw new TooLongFrameException("line longer than " + maxLine + " bytes");
         }
         if (end < 0) {
             searched = length;
--- a/doorman/src/main/java/barleyspur/depot/DepotClient.java
+++ b/doorman/src/main/java/barleyspur/depot/DepotClient.java
@@ -14,19 +14,31 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The depots' RESP client: a few connections to each node, opened as needed and closed when idle. */
+/** The RESP client for depots: keeps a few connections to each node, opened as needed and closed when idle. */
 public final class DepotClient implements Depots {
 
     private static final Logger LOG = LoggerFactory.getLogger("depot");
     private static final double SWEEP_MS = 100;
-    /** Connections to one depot among which calls are spread. */
+    /** The number of connections to one depot over which calls are spread. */
     private static final int SPREAD = 8;
-    /** The part of all connections up to which some are opened for that; the rest is for depots that have none. */
+    /**
+     * Connections for spreading are opened only up to this share of the limit; the rest is reserved for depots that
+     * have no connection yet.
+     */
     private static final double SPARE_SHARE = 0.75;
-    /** Ours close this much sooner than the depots', so that no request crosses their close; but never by over half. */
+    /**
+     * Idle connections are closed this much before the depot would close them, so that no request crosses the depot's
+     * close, but at the earliest at half of the depot's timeout.
+     */
     private static final int IDLE_MARGIN_MS = 2_000;
 
-    /** What connections are held to. */
+    /**
+     * The limits on connections.
+     *
+     * @param maxStreams the maximum number of open calls on one connection
+     * @param depotIdleTimeoutMs the time after which depots close an idle connection
+     * @param maxConnections the maximum number of connections to all depots
+     */
     public record Limits(int streams, int idleMs, int mostConnections) {}
 
     private final Connector connector;
@@ -38,7 +50,7 @@
     private boolean reading = true;
     private long probes;
 
-    /** A client within these limits; {@code reportFields} are the names of what load reports hold. */
+    /** Creates a client; {@code reportFields} are the names of the values in load reports. */
     public DepotClient(Connector connector, Clock clock, Limits limits, List<String> reportFields) {
         this.connector = connector;
         this.clock = clock;
@@ -47,7 +59,7 @@
         sweepLater();
     }
 
-    /** One node: where it listens, and the connections to it. */
+    /** A node's listing and the connections to it. */
     private final class Depot {
         private NodeListing listing;
         private final List<DepotConnection> pool = new ArrayList<>(2);
@@ -57,9 +69,9 @@
         }
 
         /**
-         * The least loaded one that is up, else one that is coming up, else a new one; null: no room. Where each has
-         * something open another is opened beside, for the next: what spoils one answer takes all with it that
-         * is open on the same connection, so the fewer those are the better.
+         * Returns a connection for a call: the least loaded established one, else one that is being established, else a
+         * new one; null if none can be opened. If all connections have open calls, another one is opened for later
+         * calls: a fault on a connection fails all calls that are open on it, so few calls should share one.
          */
         DepotConnection connection(String id) {
             DepotConnection best = null;
@@ -120,7 +132,7 @@
         }
     }
 
-    /** Closes the idle connections to some depot, so that another that has none can be reached. */
+    /** Closes the idle connections to one depot so that another depot without connections can be reached. */
     private boolean makeRoom() {
         return depots.values().stream().anyMatch(d -> d.closeIdle(0));
     }
@@ -131,7 +143,8 @@
         NodeListing before = depot.listing;
         depot.listing = listing;
         if (!before.address().equals(listing.address()) || before.bootMs() != listing.bootMs()) {
-            // Connections to the process before, or to who holds its address now, are of no use for new work.
+            // The existing connections lead to the previous process, or to another node that has taken over its
+            // address, and must not be used for new calls.
             depot.retire();
         }
     }
@@ -144,7 +157,7 @@
         }
     }
 
-    /** Stops or goes on reading answers, on all connections. */
+    /** Pauses or resumes reading on all connections. */
     public void pauseReading(boolean pause) {
         reading = !pause;
         for (Depot depot : depots.values()) {
@@ -189,7 +202,7 @@
         });
     }
 
-    /** No connection can be had: told later, since an end never comes from within the call. */
+    /** Reports a failed connect. This is scheduled because a listener must not be notified from within the call. */
     private Call never(AttemptListener listener) {
         return clock.after(0, () -> listener.ended(Answer.of(Result.CONNECT_FAILED)))::cancel;
     }
--- a/doorman/src/main/java/barleyspur/depot/DepotConnection.java
+++ b/doorman/src/main/java/barleyspur/depot/DepotConnection.java
@@ -25,33 +25,38 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One connection to a depot, and all that is open on it. Calls given to it before it is up are written once it
- * is; if it never comes up, they never ran. Nothing is sent again here: how a call ended is for the director.
+ * One connection to a depot and the calls that are open on it. Calls opened before the connection is established are
+ * written once it is; if it never is, they never ran. Nothing is retried here: the director decides on the result of
+ * each call.
  */
 final class DepotConnection extends SimpleChannelInboundHandler<RespDecoder.Message> {
 
     private static final Logger LOG = LoggerFactory.getLogger("depot");
 
-    /** Ids that are remembered, in times of what may be open: more than can end while an answer is on its way. */
+    /**
+     * How many ids are remembered for each possible open call: more calls than can end while an answer is still on its
+     * way.
+     */
     private static final int REMEMBERED = 8;
     /**
-     * A connection on which calls wait and nothing has come for this long gets no new ones: a depot that broke off
-     * in an answer says nothing further on it, though it stays open. Costs another connection where it was slow.
+     * A connection with open calls on which nothing has arrived for this long gets no new calls: a depot that stopped
+     * in the middle of an answer sends nothing more, although its connection stays open. If the depot was only slow,
+     * the cost is one additional connection.
      */
     static final double SILENT_MS = 500;
-    /** An answer of which a part has come and then nothing for this long was broken off. */
+    /** An answer that has arrived in part and then made no progress for this long was cut off. */
     static final double STALLED_MS = 500;
 
-    /** What all connections of one client have in common. */
+    /** The state shared by all connections of one client. */
     record Shared(Clock clock, List<String> reportFields, int streams, CappedLog log) {}
 
     private final String uid;
     private final Shared client;
     private final RespDecoder decoder;
     private final Runnable onClosed;
-    /** By id, since answers come in any order; in the order in which they were sent. */
+    /** The open calls by id, in the order in which they were opened. Answers arrive in any order. */
     private final Map<String, Call> open = new LinkedHashMap<>();
-    /** The ids that went out here lately. */
+    /** The ids recently used on this connection. */
     private final Set<String> used = Collections.newSetFromMap(new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
@@ -66,7 +71,7 @@
     private boolean closed;
     private boolean retired;
     private double idleSince;
-    /** Since when calls have been waiting here, or since something was last read. */
+    /** Since when calls have been waiting for an answer, or when data was last read. */
     private double waitingSince;
 
     DepotConnection(String uid, Shared client, RespDecoder decoder, Runnable onClosed) {
@@ -81,17 +86,24 @@
         return client.clock().nowMs();
     }
 
-    /** One attempt or probe on this connection. It ends once: by its answer, by its connection's end, or given up. */
+    /**
+     * One attempt or probe on this connection. It ends exactly once: by its answer, by the end of the connection, or by
+     * being cancelled.
+     */
     final class Call implements Depots.Call {
 
+        /** The states of a call. */
         private enum State {
-            /** For the connection to come up: no byte has gone out, so it never ran. */
+            /** Waiting for the connection to be established. No byte was written, so the call cannot have run. */
             WAITING,
-            /** Written; owed: its answer, or a word that it is given up. */
+            /** Written, and waiting for its answer or a cancel. */
             SENT,
-            /** Not admitted: owed is its end, which comes with the loop's next turn. */
+            /**
+             * Rejected by the listener before the write. The listener is notified in the next iteration of the event
+             * loop.
+             */
             DENIED,
-            /** Nothing is owed any more. */
+            /** Ended. */
             OVER
         }
 
@@ -117,7 +129,7 @@
             giveUp();
         }
 
-        /** Forgets the call; its answer, should one come, has nobody waiting for it. */
+        /** Removes the call; its answer is ignored if it still arrives. */
         void giveUp() {
             if (state != State.OVER) {
                 state = State.OVER;
@@ -131,7 +143,7 @@
             idleFromNow();
         }
 
-        /** Sends it, unless it may no longer go. */
+        /** Writes the call, unless the listener rejects it. */
         private void write() {
             if (state != State.WAITING) {
                 return;
@@ -154,7 +166,7 @@
             listener.sent();
         }
 
-        /** Whether this was its end, and not one that crossed another. */
+        /** Ends the call and returns true, or returns false if it had ended before. */
         private boolean ended(Answer answer) {
             if (state == State.OVER) {
                 if (answer.body() != null) {
@@ -176,7 +188,7 @@
         }
     }
 
-    /** Follows the connect; called once, right after it was begun. */
+    /** Tracks the connect; called once, directly after it was started. */
     void connecting(ChannelFuture connect) {
         channel = connect.channel();
         connect.addListener(done -> {
@@ -199,8 +211,10 @@
     }
 
     /**
-     * Opens a call. {@code head} makes what is sent first, once it is, from how long it has waited for that, in ms;
-     * {@code body} null: a message of words alone; else it belongs to the call from now on.
+     * Opens a call.
+     *
+     * @param header creates the first bytes to send, given how long the call has waited to be written, in milliseconds
+     * @param body the body, which is owned by the call from now on; null for a message without a body
      */
     Call open(String id, DoubleFunction<ByteBuf> head, ByteBuf body, Depots.AttemptListener listener) {
         Call call = new Call(id, head, body, listener);
@@ -216,9 +230,9 @@
     }
 
     /**
-     * Whether a call under this id may go out here. Not while the depot does not read or has fallen silent, and not
-     * where the id went out before: an answer on its way to the earlier attempt of the same request, or a second
-     * copy of it, would be taken for the later one's.
+     * Returns whether a call with this id may be opened here. Not while the depot doesn't read or is unresponsive, and
+     * not if the id was used on this connection before: a late or duplicate answer to the earlier attempt would be
+     * taken for the answer to the new one.
      */
     boolean takes(String id, int streams) {
         boolean able = !closed && !retired && open.size() < streams && (!up || channel.isWritable() && !silent());
@@ -229,7 +243,7 @@
         return !open.isEmpty() && now() - waitingSince > SILENT_MS;
     }
 
-    /** Ends the connection if an answer has stopped short. */
+    /** Closes the connection if an answer was cut off. */
     void checkStalled() {
         if (up && channel.config().isAutoRead() && decoder.midMessage() && now() - waitingSince > STALLED_MS) {
             client.log().warn("connection closed: an answer has stopped short", "depot", uid);
@@ -253,13 +267,13 @@
         return open.isEmpty() && now() - idleSince >= ms;
     }
 
-    /** Back-pressure: while it is not read, a depot's answers wait on its own side. */
+    /** Applies back-pressure: while reading is off, answers are held back at the depot. */
     void read(boolean on) {
         channel.config().setAutoRead(on);
         waitingSince = now();
     }
 
-    /** Takes nothing new, and closes once what is open has ended. */
+    /** Accepts no new calls, and closes the connection once all open calls have ended. */
     void retire() {
         retired = true;
         closeIfDrained();
@@ -278,7 +292,7 @@
     private void idleFromNow() {
         if (open.isEmpty()) {
             idleSince = now();
-            // Its calls were given up, not answered: it may be of no further use.
+            // The calls were cancelled, not answered: the connection may not respond any more.
             retired |= up && now() - waitingSince > SILENT_MS;
             closeIfDrained();
         }
@@ -302,10 +316,10 @@
         try {
             List<String> words = message.words();
             if (words.size() < 2) {
-                throw new CorruptedFrameException("an answer without a word");
+                throw new CorruptedFrameException("answer without a status");
             }
             Call call = open.remove(words.get(0));
-            // An answer that crossed its cancel has nobody waiting for it.
+            // An answer that crossed its cancel has no call any more.
             if (call != null) {
                 Answer answer = answer(words.get(1), words.size() > 2 ? words.get(2) : "-", body);
                 idleFromNow();
@@ -357,9 +371,10 @@
         open.clear();
         Result next = result;
         for (Call call : left) {
-            // One that an earlier one's outcome has given up has no end any more.
+            // A call that was cancelled by the listener of an earlier call is not notified any more.
             if (call.ended(Answer.of(next)) && result == Result.RESET) {
-                // One fault of the node's, however many were open: the others only went down with the connection.
+                // Only the first call is reported as reset: it is a single fault of the node, however many calls were
+                // open.
                 next = Result.CANCELLED;
             }
         }
--- a/doorman/src/main/java/barleyspur/depot/Resp.java
+++ b/doorman/src/main/java/barleyspur/depot/Resp.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.StringJoiner;
 
-/** The words of the depots' protocol: requests as RESP arrays of bulk strings, and the fields of answers. */
+/** The messages of the depot protocol: requests as RESP arrays of bulk strings, and the fields of answers. */
 final class Resp {
 
     private static final int HEAD = 256;
@@ -19,8 +19,8 @@
     private Resp() {}
 
     /**
-     * A {@code serve} up to its body, which follows with {@link #END}. It goes out {@code waitedMs} after it was ordered,
-     * and what the order allows it to take counts from then.
+     * Encodes a {@code serve} command up to its body, which has to be followed by {@link #CRLF}. It is written
+     * {@code waitedMs} after it was ordered; the time limit that it carries is reduced by that wait.
      */
     static ByteBuf serveHead(ByteBufAllocator alloc, Order order, int bodyBytes, double waitedMs) {
         ByteBuf out = alloc.buffer(HEAD);
@@ -28,10 +28,10 @@
         return line(out, '$', bodyBytes);
     }
 
-    /** What ends a bulk string. */
+    /** The end of a line and of a bulk string. */
     static final byte[] END = {'\r', '\n'};
 
-    /** A message of words alone. */
+    /** Encodes an array of these strings. */
     static ByteBuf message(ByteBufAllocator alloc, String... words) {
         return words(alloc.buffer(HEAD), words.length, words);
     }
@@ -52,7 +52,10 @@
         return out.writeBytes(END);
     }
 
-    /** A request's fields. Ages are cut to whole milliseconds, so that no copy older than allowed will do. */
+    /**
+     * Returns the fields of a request. Ages are rounded down to whole milliseconds, so that no copy older than allowed
+     * is accepted.
+     */
     private static String fields(Order order, double waitedMs) {
         Request request = order.request();
         StringJoiner fields = new StringJoiner(",");
@@ -99,7 +102,7 @@
         return hints.toString();
     }
 
-    /** The value of {@code name} in a list of fields; null where there is none. */
+    /** Returns the value of the field {@code name} in a list of fields, or null if it is missing. */
     static String field(String fields, String name) {
         for (int at = 0; at < fields.length(); ) {
             int comma = fields.indexOf(',', at);
@@ -112,7 +115,7 @@
         return null;
     }
 
-    /** The note in {@code how}. */
+    /** Parses the value of the field {@code how}. */
     static Note note(String how) {
         return how == null
                 ? Note.NONE
@@ -125,7 +128,10 @@
                 };
     }
 
-    /** The report in {@code stats}, in the order of the settings; empty where a value is missing or no number. */
+    /**
+     * Parses a load report. Returns the values in the order of {@code names}, or an empty list if any is missing or not
+     * a number.
+     */
     static List<Float> load(String stats, List<String> names) {
         if (stats == null) {
             return List.of();
--- a/doorman/src/main/java/barleyspur/depot/RespDecoder.java
+++ b/doorman/src/main/java/barleyspur/depot/RespDecoder.java
@@ -8,21 +8,26 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads RESP arrays of bulk strings; a body is a slice of what was read. */
+/** Decodes RESP arrays of bulk strings. A body is a slice of the input buffer. */
 public final class RespDecoder extends ByteToMessageDecoder {
 
-    /** A message: its words, and the fourth bulk string as its body; null where there are fewer. */
+    /**
+     * A message.
+     *
+     * @param strings the bulk strings but the body
+     * @param body the fourth bulk string; null if there are fewer than four
+     */
     public record Message(List<String> words, ByteBuf body) {}
 
     private static final int MOST_ITEMS = 8;
     private static final int BODY_AT = 3;
     private static final int MAX_WORD = 4_096;
-    /** An object holds at most 240,000 bytes. */
+    /** An object is at most 240,000 bytes long. */
     private static final int MAX_BODY = 256 * 1024;
 
     private static final int MAX_DIGITS = 8;
 
-    /** Where the message being read goes on; what came before it is known to be whole. */
+    /** The position up to which the current message has been read. */
     private int at;
 
     @Override
@@ -30,13 +35,13 @@
         try {
             message(in, out);
         } catch (CorruptedFrameException e) {
-            // Else what is left would be read, and complained of, once more when the connection ends.
+            // Discards the rest. Otherwise the same bytes would be decoded and reported again when the connection ends.
             in.skipBytes(in.readableBytes());
             throw e;
         }
     }
 
-    /** Whether an answer has begun that is not whole. */
+    /** Returns whether part of a message has arrived. */
     boolean midMessage() {
         return actualReadableBytes() > 0;
     }
@@ -48,7 +53,7 @@
             return;
         }
         if (items == 0 || items > MOST_ITEMS) {
-            throw new CorruptedFrameException("an array of " + items);
+            throw new CorruptedFrameException("invalid array length " + items);
         }
         List<String> words = new ArrayList<>(items);
         int bodyAt = 0;
@@ -59,13 +64,13 @@
                 return;
             }
             if (length > (i == BODY_AT ? MAX_BODY : MAX_WORD)) {
-                throw new CorruptedFrameException("a bulk string of " + length);
+                throw new CorruptedFrameException("bulk string too long: " + length + " bytes");
             }
             if (in.writerIndex() - at < length + Resp.END.length) {
                 return;
             }
             if (in.getByte(at + length) != Resp.END[0] || in.getByte(at + length + 1) != Resp.END[1]) {
-                throw new CorruptedFrameException("a bulk string without its end");
+                throw new CorruptedFrameException("bulk string not terminated by CRLF");
             }
             if (i == BODY_AT) {
                 bodyAt = at;
@@ -79,14 +84,14 @@
         in.readerIndex(at);
     }
 
-    /** The number on a line that starts with {@code mark}; -1 where the line is not whole yet. */
+    /** Reads the number on a line that starts with {@code typeMarker}; returns -1 if the line is incomplete. */
     private int line(ByteBuf in, char mark) {
         int end = in.writerIndex();
         if (at >= end) {
             return -1;
         }
         if (in.getByte(at) != mark) {
-            throw new CorruptedFrameException("no '" + mark + "' where one is due");
+            throw new CorruptedFrameException("expected '" + mark + "'");
         }
         int value = 0;
         for (int i = at + 1; i < end; i++) {
@@ -99,12 +104,12 @@
                     return -1;
                 }
                 if (in.getByte(i + 1) != Resp.END[1]) {
-                    throw new CorruptedFrameException("a line without its end");
+                    throw new CorruptedFrameException("line not terminated by CRLF");
                 }
                 at = i + Resp.END.length;
                 return value;
             } else {
-                throw new CorruptedFrameException("no number after '" + mark + "'");
+                throw new CorruptedFrameException("invalid length after '" + mark + "'");
             }
         }
         return -1;
--- a/doorman/src/main/java/barleyspur/doorman/CappedLog.java
+++ b/doorman/src/main/java/barleyspur/doorman/CappedLog.java
@@ -6,14 +6,16 @@
 import org.slf4j.Logger;
 
 /**
- * Warns a few times a cause and period, then only counts. Guards the loop and the disk against whoever sends the
- * same fault at full speed. A cause is its event's text, so there are no more of them than there are calls.
+ * Limits how many warnings with the same event text are logged per period; further ones are only counted. Protects the
+ * event loop and the disk from a peer that triggers the same fault at full speed. Events are identified by their text,
+ * so there are no more counters than call sites.
  */
 public final class CappedLog {
 
     static final int MOST_LINES = 5;
     static final double PERIOD_MS = 10_000;
 
+    /** The state of one kind of event in the current period. */
     private static final class Cause {
         private double since = Double.NEGATIVE_INFINITY;
         private int lines;
@@ -23,13 +25,16 @@
     private final Clock clock;
     private final Map<String, Cause> causes = new HashMap<>();
 
-    /** A log that counts its periods by {@code clock}. */
+    /** Creates a log whose periods are measured on {@code clock}. */
     public CappedLog(Logger log, Clock clock) {
         this.log = log;
         this.clock = clock;
     }
 
-    /** Warns, unless this cause has had its lines; the next period's first line is preceded by how many it lacked. */
+    /**
+     * Logs a warning unless this event has reached its limit for the current period. The first line of a later period
+     * is preceded by the number of lines that were left out.
+     */
     public void warn(String event, Object... keysAndValues) {
         Cause cause = causes.computeIfAbsent(event, k -> new Cause());
         double now = clock.nowMs();
--- a/doorman/src/main/java/barleyspur/doorman/Clock.java
+++ b/doorman/src/main/java/barleyspur/doorman/Clock.java
@@ -1,17 +1,17 @@
 package barleyspur.doorman;
 
 /**
- * The director's time and its timers. The time is the Unix time of the process's start and what a steady clock
- * has counted since, so that Unix times that others name can be used as they are, and it never steps back.
+ * The time and timers that the core and the director use. The time is the Unix time at process start plus the elapsed
+ * time of a monotonic clock: it is comparable with Unix timestamps from other systems and never goes back.
  */
 public interface Clock {
 
-    /** Milliseconds. */
+    /** Returns the current time as a Unix timestamp in milliseconds. */
     double nowMs();
 
     /**
-     * The earliest moment at which what is being read from a socket may have come: before now, where the event loop was
-     * busy and it had to wait.
+     * Returns the earliest time at which the data now being read from a socket may have arrived. It is before
+     * {@link #nowMs} where the data had to wait because the event loop was busy.
      */
     default double pendingSinceMs() {
         return nowMs();
@@ -20,9 +20,9 @@
     /** Runs {@code task} on the event loop after {@code delayMs}, never from within this call. */
     Timer after(double delayMs, Runnable task);
 
-    /** A task to come. */
+    /** A scheduled task. */
     interface Timer {
-        /** The task does not run any more. */
+        /** Cancels the task if it has not run yet. */
         void cancel();
     }
 }
--- a/doorman/src/main/java/barleyspur/doorman/Commands.java
+++ b/doorman/src/main/java/barleyspur/doorman/Commands.java
@@ -2,15 +2,15 @@
 
 import java.util.List;
 
-/** What the command channel has to tell. */
+/** Receives the commands that arrive on the command channel. */
 public interface Commands {
 
-    /** The list of nodes, whole or what has changed of it. */
+    /** Handles a list of nodes: all nodes if {@code full}, otherwise only those that have changed. */
     void listed(boolean whole, List<NodeListing> listings);
 
-    /** An object was purged at a Unix time. */
+    /** Handles the purge of one object; {@code purgedAtMs} is a Unix timestamp. */
     void purgedObject(long object, double whenMs);
 
-    /** A group of objects was purged at a Unix time. */
+    /** Handles the purge of a group of objects; {@code purgedAtMs} is a Unix timestamp. */
     void purgedGroup(int group, double whenMs);
 }
--- a/doorman/src/main/java/barleyspur/doorman/Depots.java
+++ b/doorman/src/main/java/barleyspur/doorman/Depots.java
@@ -4,27 +4,42 @@
 import io.netty.buffer.ByteBuf;
 import java.util.List;
 
-/** The depots, parents and the origin, as the core uses them. Nothing here decides or tries again. */
+/**
+ * The core's client interface to depots, parents and the origin. Implementations make no routing decisions and never
+ * retry.
+ */
 public interface Depots {
 
-    /** The node is known from here on, under its new listing where it was known before. */
+    /** Adds the node, or replaces its listing if it is known already. */
     void list(long node, NodeListing listing);
 
-    /** The node is gone: what is open goes on, nothing new comes. */
+    /** Removes the node. Open attempts continue; no new ones are accepted. */
     void retire(long node);
 
-    /** Sends an attempt; {@code listener} is told once, never from within this call, unless it is cancelled. */
+    /**
+     * Sends an attempt. {@code listener} is notified of its end exactly once unless the attempt is cancelled, and never
+     * from within this call.
+     */
     Call send(long node, Order order, AttemptListener listener);
 
-    /** Asks for the node's report; {@code listener} is told once, never from within this call. */
+    /** Requests the node's load report. {@code listener} is notified exactly once, never from within this call. */
     void probe(long node, double timeoutMs, AttemptListener listener);
 
     /** Closes the idle connections to a node. */
     void closeIdle(long node);
 
     /**
-     * What an attempt asks for. {@code source} null: no fill; {@code tag} null: the client holds no copy.
-     * {@code body} is lent: who sends it takes a reference of its own.
+     * The parameters of one attempt. The request's body is borrowed: an implementation that sends it retains its own
+     * reference.
+     *
+     * @param timeoutMs how long the depot may take
+     * @param source the uid of the node that a miss is filled from; null for no fill
+     * @param copyRank the rank at which the depot keeps a filled copy; 0 passes it through without keeping it
+     * @param maxAgeMs the maximum age of the copy; 0 for the limit of the request's class
+     * @param join whether the attempt may join a fill that is already in progress
+     * @param onlyHeld whether the source may serve only what it already holds
+     * @param parentKeepsNone whether a parent passes the object through without keeping a copy
+     * @param renew whether the depot has to refresh its copy
      */
     record Order(
             Request request,
@@ -37,36 +52,37 @@
             boolean parentKeepsNone,
             boolean renew) {}
 
-    /** An attempt that is out. */
+    /** An attempt that has not ended yet. */
     interface Call {
-        /** Gives the attempt up: {@link AttemptListener} is not called any more. */
+        /** Cancels the attempt; its {@link AttemptListener} is not called any more. */
         void cancel();
     }
 
-    /** Told how an attempt or a probe ended. */
+    /** Is notified about the progress and the end of an attempt or a probe. */
     interface AttemptListener {
-        /** It has ended, with this. */
+        /** Called when the attempt has ended. */
         void ended(Answer answer);
 
         /**
-         * The admission check, last before the first byte goes out: OK, and it goes; else it doesn't, and the attempt ends
-         * with this result, one that proves that it never ran.
+         * Checks, directly before the first byte is written, whether the attempt may still be sent. Any result other
+         * than OK prevents the write and becomes the result of the attempt; it has to be one that proves that the
+         * attempt never ran.
          */
         default Director.Result beforeWrite() {
             return Director.Result.OK;
         }
 
-        /** It is on its way. */
+        /** Called when the attempt has been written to its connection. */
         default void sent() {}
     }
 
     /**
-     * How it ended. {@code body}, where it isn't null, belongs to whom it is told; it is null for all but OK,
-     * and for an OK that says that the client's copy is the one.
+     * The end of an attempt or probe. {@code body} is owned by the listener. It is null for all results but OK, and for
+     * an OK that confirms the client's own copy as current.
      */
     record Answer(Director.Result result, Director.Note note, List<Float> load, ByteBuf body, String tag) {
 
-        /** An end without an answer. */
+        /** Returns the end of an attempt that got no answer. */
         public static Answer of(Director.Result result) {
             return new Answer(result, Director.Note.NONE, List.of(), null, null);
         }
--- a/doorman/src/main/java/barleyspur/doorman/Doorman.java
+++ b/doorman/src/main/java/barleyspur/doorman/Doorman.java
@@ -16,17 +16,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The core: gives a director the events of one doorman and carries out what it orders. It knows neither the
- * clients' protocol nor the depots', and decides nothing itself. All calls come from one event loop thread.
+ * The core of a doorman: passes events to a director and executes the actions that it returns. It is independent of the
+ * client and depot protocols and makes no routing decisions itself. All calls have to come from the same event loop
+ * thread.
  */
 public final class Doorman implements Commands {
 
     private static final Logger LOG = LoggerFactory.getLogger("doorman");
-    /** Ids given to the director stay below 2^32, where its timer tokens begin. */
+    /** Request ids passed to the director stay below 2^32, where its timer tokens begin. */
     private static final long MOST_IDS = 1L << 32;
 
     private static final double PROBE_TIMEOUT_MS = 250;
-    /** Ids of earlier requests that are remembered, beside those of all that may be open. */
+    /** How many ids of earlier requests are remembered, in addition to {@code maxOpen}. */
     private static final int REMEMBERED_IDS = 8_192;
 
     private Director.Settings settings;
@@ -35,7 +36,7 @@
     private final Clock clock;
     private final Depots depots;
     private final Map<Long, RequestContext> contexts = new HashMap<>();
-    /** The clients' ids of the requests taken lately, so also of all that may be open. */
+    /** The client ids of recently accepted requests. The capacity covers all requests that can be open. */
     private final Set<String> takenIds = Collections.newSetFromMap(new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
@@ -51,13 +52,15 @@
     private final ArrayDeque<Director.Action> actions = new ArrayDeque<>();
     private boolean dispatching;
     private long lastId;
-    /** Requests whose answer is owed. */
+    /** The number of requests that have not been answered yet. */
     private int pendingResponses;
 
     private boolean draining;
     private Runnable drained;
 
-    /** A core that takes {@code maxOpen} open requests at most and acts as {@code director} orders. */
+    /**
+     * Creates a core that accepts at most {@code maxOpen} open requests and executes the actions of {@code director}.
+     */
     public Doorman(Director.Settings settings, int maxOpen, Director director, Clock clock, Depots depots) {
         this.settings = settings;
         this.maxOpen = maxOpen;
@@ -67,18 +70,18 @@
         this.listings = new NodeTable(depots);
     }
 
-    // ---- the front -------------------------------------------------------------------------------------
+    // ---- client requests --------------------------------------------------------------------------------
 
-    /** A request on its way through the core, to be named when its client leaves. */
+    /** A handle on an open request that lets a client front report that its client has left. */
     public interface Cancellable {
-        /** The client has left: no answer is owed any more. */
+        /** Reports that the client has left and needs no answer any more. */
         void cancel();
     }
 
     /**
-     * Takes a request and its body, which may have come to this machine as early as {@code arrivedMs}: its time counts from
-     * there, however late the event loop was to read it, and is cut by what the loop may be late to end it. The handler may
-     * be called from within this call.
+     * Accepts a request and takes ownership of its body. The request's time limit starts at {@code arrivedMs}, the
+     * earliest time at which it may have reached this machine, and is shortened by a margin for process stalls at its
+     * end. The handler may be called from within this call.
      */
     public Cancellable take(Request request, double arrivedMs, ResponseHandler handler) {
         if (pendingResponses >= maxOpen) {
@@ -104,7 +107,8 @@
         takenIds.add(request.id());
         RequestTrace.taken(request, now - arrivedMs);
         pendingResponses++;
-        // Guards rule 1 against a director that leaves a request unanswered: half the slack is left by then.
+        // Guarantees every request an answer even if the director never gives one: at this time half of the answer
+        // slack remains.
         context.guard = clock.after(
                 context.deadline - now + settings.answerSlackMs() / 2, () -> abandon(context, "left unanswered"));
         dispatch(new Director.Request(
@@ -122,22 +126,26 @@
     }
 
     /**
-     * The settings have changed: requests are taken under these from now on. Classes keep their numbers, so open
-     * requests keep theirs; the director is told in turn.
+     * Applies changed settings to the requests accepted from now on and passes them to the director. Classes keep their
+     * numbers, so open requests keep their classes.
      */
     public void retune(Director.Settings next) {
         settings = next;
         dispatch(new Director.Retuned(next));
     }
 
-    /** Whether a request under this id was taken lately: each has a new one, also where a client asks again. */
+    /**
+     * Returns whether a request with this id was accepted recently. Every request needs a new id, retries by clients
+     * included.
+     */
     public boolean hasTaken(String id) {
         return takenIds.contains(id);
     }
 
     /**
-     * Goes on for {@code graceMs}, finishes what is open, then calls {@code then}, once. What is still open after
-     * {@code mostMs} is failed: the process may be killed right after, which would leave it without any answer.
+     * Drains: keeps accepting requests for {@code graceMs}, waits until all are answered, then calls {@code callback}
+     * once. Requests still open after {@code maxMs} are failed, because the process may be killed right afterwards,
+     * which would leave them without any answer.
      */
     public void drain(double graceMs, double mostMs, Runnable then) {
         if (draining) {
@@ -170,7 +178,7 @@
         }
     }
 
-    /** Fails a request without the director, and gives up all that is out for it. */
+    /** Fails a request without asking the director, and cancels all its open attempts. */
     private void abandon(RequestContext context, String why) {
         if (!context.over) {
             LogEvent.log(LOG.atError(), "failed without the director", "request", context.request.id(), "cause", why);
@@ -184,7 +192,7 @@
         }
     }
 
-    /** Ends an attempt that is out, from here. */
+    /** Cancels an open attempt and ends it with {@code result}. */
     private void giveUp(RequestContext context, int number, Result result) {
         RequestContext.Attempt attempt = context.attempts.get(number);
         if (!attempt.ended) {
@@ -193,7 +201,7 @@
         }
     }
 
-    /** The request is over: nothing further is sent for it. */
+    /** Marks the request as finished: nothing more is sent for it. */
     private void close(RequestContext context, String how) {
         context.over = true;
         RequestTrace.over(context, how, clock.nowMs() - context.takenAt);
@@ -224,8 +232,9 @@
     }
 
     /**
-     * What has just been told overtakes attempts of which no byte has gone out yet, for they wait for a connection: they
-     * were decided before it. They end as never sent, and the director, told first, decides anew.
+     * Cancels the affected attempts that wait for a connection and have not written a byte yet: they were decided
+     * before the change that has just been reported. They end as never sent. The director has received the change
+     * first, so it decides again with current information.
      */
     private void cancelUnsent(BiPredicate<RequestContext, RequestContext.Attempt> concerns) {
         for (RequestContext context : List.copyOf(contexts.values())) {
@@ -252,7 +261,9 @@
 
     // ---- the director ----------------------------------------------------------------------------------
 
-    /** Tells the director one event after another: what its actions bring about waits for its turn. */
+    /**
+     * Passes an event to the director. Events caused by the resulting actions are queued and handled one after another.
+     */
     private void dispatch(Director.Event event) {
         events.add(event);
         if (dispatching) {
@@ -268,7 +279,10 @@
         }
     }
 
-    /** A fault in the decisions costs the request it struck, which is failed at once, not the process. */
+    /**
+     * Runs the director on one event and executes its actions. An exception in the director fails the affected request
+     * at once instead of ending the process.
+     */
     private void handle(Director.Event event) {
         try {
             director.handle(clock.nowMs(), event, actions::add);
@@ -291,26 +305,26 @@
     }
 
     private void carryOut(Director.Action action) {
-        if (action instanceof Director.Get a) {
-            send(a.request(), a.node(), a.timeoutMs(), a);
-        } else if (action instanceof Director.Send a) {
-            send(a.request(), a.node(), a.timeoutMs(), null);
-        } else if (action instanceof Director.Cancel a) {
-            cancel(a);
-        } else if (action instanceof Director.Refuse a) {
-            complete(a.request(), "refused", context -> context.handler.refused(a.pauseMs()));
-        } else if (action instanceof Director.Fail a) {
-            fail(a.request());
-        } else if (action instanceof Director.WakeAt a) {
-            clock.after(a.atMs() - clock.nowMs(), () -> dispatch(new Director.Alarm(a.token())));
-        } else if (action instanceof Director.Probe a) {
-            probe(a.node());
-        } else if (action instanceof Director.HangUp a) {
-            depots.closeIdle(a.node());
-        } else if (action instanceof Director.Log a) {
-            LOG.info("director: {}", a.line());
+        if (action instanceof Director.Get get) {
+            send(get.request(), get.node(), get.timeoutMs(), get);
+        } else if (action instanceof Director.Send send) {
+            send(send.request(), send.node(), send.timeoutMs(), null);
+        } else if (action instanceof Director.Cancel cancelAction) {
+            cancel(cancelAction);
+        } else if (action instanceof Director.Refuse refuse) {
+            complete(refuse.request(), "refused", context -> context.handler.refused(refuse.pauseMs()));
+        } else if (action instanceof Director.Fail fail) {
+            fail(fail.request());
+        } else if (action instanceof Director.WakeAt wake) {
+            clock.after(wake.atMs() - clock.nowMs(), () -> dispatch(new Director.Alarm(wake.token())));
+        } else if (action instanceof Director.Probe probe) {
+            probe(probe.node());
+        } else if (action instanceof Director.HangUp hangUp) {
+            depots.closeIdle(hangUp.node());
+        } else if (action instanceof Director.Log log) {
+            LOG.info("director: {}", log.line());
         } else {
-            // Peers and a list that must be asked for do not exist on these sockets.
+            // Messages to peers and requests for the node list are not available on this platform.
             LogEvent.log(
                     LOG.atWarn(),
                     "director ordered what this platform lacks",
@@ -319,7 +333,10 @@
         }
     }
 
-    /** Fails a request; one of which no byte has gone out has surely not run, so that trying again is harmless. */
+    /**
+     * Fails a request. If no byte of any attempt was written, the request cannot have run and is refused instead, so
+     * that the client knows that a retry is safe.
+     */
     private void fail(long id) {
         RequestContext found = contexts.get(id);
         if (found != null && found.neverSent()) {
@@ -386,8 +403,9 @@
     }
 
     /**
-     * Whether a repeat of a keyed request would go out later than its repeats are known to be dropped, counted from the
-     * first attempt that may have run: it was decided in time, but had to wait for a connection.
+     * Returns whether sending this repeat of a keyed request would exceed the window in which depots are known to drop
+     * repeats, measured from the first attempt that may have run. The repeat was decided in time but had to wait for a
+     * connection.
      */
     private boolean pastKeyWindow(RequestContext context, RequestContext.Attempt next) {
         Director.RequestClass c = settings.classes().get(context.request.category());
@@ -428,8 +446,8 @@
     }
 
     /**
-     * An attempt is back; the first OK is the request's answer. It ends once, whichever of two ends that cross comes
-     * first.
+     * Handles the end of an attempt; the first OK becomes the answer to the request. An attempt ends only once, even if
+     * two causes for its end coincide.
      */
     private void end(RequestContext context, int number, Depots.Answer told) {
         RequestContext.Attempt attempt = context.attempts.get(number);
@@ -443,7 +461,7 @@
         if (told.result() == Result.OK
                 && told.body() == null
                 && (told.tag() == null || !told.tag().equals(context.request.tag()))) {
-            // Only a copy that the depot has named may be called current.
+            // The client's copy is confirmed only if the depot named the same tag.
             LogEvent.log(
                     LOG.atWarn(),
                     "a copy that the client does not hold was called current",
--- a/doorman/src/main/java/barleyspur/doorman/LoopClock.java
+++ b/doorman/src/main/java/barleyspur/doorman/LoopClock.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 
-/** Time and timers of one event loop. */
+/** A {@link Clock} whose timers run on a Netty event loop. */
 public final class LoopClock implements Clock {
 
     private static final double NANOS_PER_MS = 1e6;
@@ -14,7 +14,7 @@
     private final double startedAtMs = System.currentTimeMillis();
     private final long startedAtNanos = System.nanoTime();
 
-    /** The clock of {@code loop}, whose sockets are polled by {@code polls}. */
+    /** Creates a clock for {@code loop}; {@code polls} records when the sockets of that loop are polled. */
     public LoopClock(EventLoop loop, SocketPolls polls) {
         this.loop = loop;
         this.polls = polls;
--- a/doorman/src/main/java/barleyspur/doorman/NodeListing.java
+++ b/doorman/src/main/java/barleyspur/doorman/NodeListing.java
@@ -6,7 +6,13 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** One node as the command channel lists it; {@code bootMs} is a Unix time, or 0 for long ago. */
+/**
+ * One node as listed by the command channel.
+ *
+ * @param kind the node's place in the settings' list of kinds: cache, parent or origin
+ * @param cell the group of nodes that the node belongs to
+ * @param bootMs when the node started, as a Unix timestamp; 0 if it started long ago
+ */
 public record NodeListing(
         String uid,
         InetSocketAddress address,
@@ -23,19 +29,20 @@
     private static final long FNV_PRIME = 0x100000001b3L;
 
     /**
-     * The node's number, the same at every doorman and after every start: the one that its id ends in, which is
-     * also what on-call staff find in the director's lines, or else a hash of its id, beyond all such numbers.
+     * Returns the node's number, which is the same in every doorman and after every restart. It is the hexadecimal
+     * number at the end of the uid, which on-call staff also find in the director's log lines, or else a hash of the
+     * uid that is above all such numbers.
      */
     public long node() {
         return number(uid);
     }
 
-    /** Whether the node still runs as the process that {@code later} lists, at the same address. */
+    /** Returns whether {@code other} lists the same process at the same address. */
     boolean sameProcess(NodeListing later) {
         return address.equals(later.address) && bootMs == later.bootMs;
     }
 
-    /** The number of a node with this id. */
+    /** Returns the number of the node with this uid. */
     public static long number(String uid) {
         Matcher numbered = NUMBERED.matcher(uid);
         if (numbered.matches()) {
--- a/doorman/src/main/java/barleyspur/doorman/NodeTable.java
+++ b/doorman/src/main/java/barleyspur/doorman/NodeTable.java
@@ -11,16 +11,22 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What was last listed of each node that is there, kept in step with the connections to them. */
+/** The latest listing of each known node. Passes additions and removals on to the depot client. */
 final class NodeTable {
 
     private static final Logger LOG = LoggerFactory.getLogger("doorman");
-    /** A log line names so many nodes: one for each of a thousand would hold up the event loop. */
+    /**
+     * Limits the nodes named in one log line. One line for each of a thousand nodes would block the event loop for too
+     * long.
+     */
     private static final int NODES_A_LINE = 64;
 
     /**
-     * What a list told: the nodes in the director's form, and the numbers of those on which work that was decided
-     * before must not go out any more.
+     * The changes made by one list.
+     *
+     * @param kind how the director has to read the list
+     * @param nodes the listed nodes in the director's form
+     * @param invalidated the numbers of nodes for which attempts decided earlier must not be sent any more
      */
     record Change(Director.ListKind kind, List<Director.Node> nodes, Set<Long> invalidated) {}
 
@@ -32,12 +38,12 @@
         this.depots = depots;
     }
 
-    /** The node as it was last listed; null: it is not there. */
+    /** Returns the latest listing of a node, or null if the node is unknown or gone. */
     NodeListing get(long node) {
         return listed.get(node);
     }
 
-    /** Takes a list over, a whole one or what has changed. */
+    /** Applies a list of nodes: all nodes if {@code full}, otherwise only the changes. */
     Change apply(boolean whole, List<NodeListing> listings) {
         Director.ListKind full = listedOnce ? Director.ListKind.FULL : Director.ListKind.CACHED;
         Change change =
@@ -88,7 +94,7 @@
         return change;
     }
 
-    /** A node that a whole list leaves out has gone. */
+    /** Removes the nodes that a full list does not contain. */
     private void retireOmitted(List<NodeListing> listings, Change change) {
         change.invalidated.addAll(listed.keySet());
         listings.forEach(l -> change.invalidated.remove(l.node()));
--- a/doorman/src/main/java/barleyspur/doorman/RequestContext.java
+++ b/doorman/src/main/java/barleyspur/doorman/RequestContext.java
@@ -3,26 +3,26 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One request from its arrival until it is over and all its attempts are back. */
+/** The state of one request, from its arrival until it is answered and all its attempts have ended. */
 final class RequestContext {
 
-    /** One attempt; its number is its place in the list. */
+    /** One attempt; its number is its index in {@link #attempts}. */
     static final class Attempt {
         final long node;
-        /** Where a miss is filled from; the node itself where it is not. */
+        /** The node that a miss is filled from; equal to {@link #node} for no fill. */
         final long source;
 
         final double sentAt;
-        /** Null where the attempt was never sent. */
+        /** Null if the attempt was never passed to the depot client. */
         Depots.Call call;
 
         Clock.Timer timeout;
         boolean ended;
-        /** Its first byte has gone out, and when; until then nothing can have run. */
+        /** Whether the first byte has been written. Until then the attempt cannot have run. */
         boolean written;
 
         double writtenAt;
-        /** It is back, and its end does not prove that it never ran. */
+        /** Whether the attempt has ended with a result that does not prove that it never ran. */
         boolean mayHaveRun;
 
         Attempt(long node, long source, double sentAt) {
@@ -42,7 +42,10 @@
     int out;
     boolean over;
 
-    /** The request came at {@code takenAt}, and is to end {@code marginMs} before its time is over. */
+    /**
+     * Creates the context of a request that arrived at {@code arrivedAtMs}. Its deadline is {@code marginMs} before its
+     * time limit.
+     */
     RequestContext(long id, Request request, ResponseHandler handler, double takenAt, double marginMs) {
         this.id = id;
         this.request = request;
@@ -51,7 +54,7 @@
         this.deadline = takenAt + request.remainingMs() - marginMs;
     }
 
-    /** Whether no byte of any attempt has gone out. */
+    /** Returns whether no byte of any attempt has been written. */
     boolean neverSent() {
         return attempts.stream().noneMatch(attempt -> attempt.written);
     }
--- a/doorman/src/main/java/barleyspur/doorman/RequestTrace.java
+++ b/doorman/src/main/java/barleyspur/doorman/RequestTrace.java
@@ -6,24 +6,25 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The way of each request through a doorman as log events: taken, attempts and their ends, the answer. Logger
- * {@code trail}, level debug, so it is off unless asked for ({@code -Dorg.slf4j.simpleLogger.log.trail=debug}); a
- * request's id is the client's, so that one can be followed, and many counted, across the doormans that it came to.
+ * Logs the steps of each request through a doorman: its arrival, its attempts and their ends, and its answer. The
+ * events go to the logger {@code trail} at level debug, so they are off by default ({@code
+ * -Dorg.slf4j.simpleLogger.log.trail=debug} turns them on). Requests are logged under the client's request id, so one
+ * request can be followed across several doormans.
  */
 public final class RequestTrace {
 
     private static final Logger LOG = LoggerFactory.getLogger("trail");
-    /** A timer that runs so late shows a busy event loop or process. */
+    /** A timer that runs later than this indicates a busy event loop or process. */
     private static final double LATE_MS = 50;
 
     private RequestTrace() {}
 
-    /** Whether requests are traced; costs nothing where they are not. */
+    /** Returns whether tracing is on. Lets callers skip the work of tracing while it is off. */
     static boolean isOn() {
         return LOG.isDebugEnabled();
     }
 
-    /** {@code waitedMs}: how long it may have waited to be read. */
+    /** Logs an accepted request that may have waited {@code waitedMs} before it was read. */
     static void taken(Request request, double waitedMs) {
         if (LOG.isDebugEnabled()) {
             LogEvent.log(
@@ -46,7 +47,7 @@
         }
     }
 
-    /** {@code get} is null for an attempt that fills nothing. */
+    /** Logs an attempt; {@code get} is null for an attempt without a fill. */
     static void sent(RequestContext context, int number, long node, Director.Get get) {
         if (LOG.isDebugEnabled()) {
             boolean sourced = get != null && get.source() != node;
@@ -68,6 +69,7 @@
         }
     }
 
+    /** Logs the end of an attempt. */
     static void ended(RequestContext context, int number, Depots.Answer answer, double ms) {
         if (LOG.isDebugEnabled()) {
             LogEvent.log(
@@ -88,7 +90,7 @@
         }
     }
 
-    /** {@code how}: served, refused, failed or gone. */
+    /** Logs the end of a request; {@code outcome} is served, refused, failed or gone. */
     static void over(RequestContext context, String how, double ms) {
         if (LOG.isDebugEnabled()) {
             LogEvent.log(
@@ -105,7 +107,7 @@
         }
     }
 
-    /** A timer ran {@code lateMs} after its time. */
+    /** Logs a timer that ran {@code lateMs} after its due time, if that is noticeably late. */
     static void timerRan(double lateMs) {
         if (lateMs > LATE_MS) {
             LogEvent.log(LOG.atDebug(), "event loop late", "ms", Math.round(lateMs));
@@ -113,8 +115,8 @@
     }
 
     /**
-     * The last byte of an answer was handed to the client's socket, or the write failed with {@code cause}; without
-     * this line after a request is over, its answer still waits in this process.
+     * Logs that the last byte of an answer was passed to the client's socket, or that the write failed with
+     * {@code cause}. If this line is missing after the end of a request, its answer still waits in this process.
      */
     public static void written(String requestId, String how, int bytes, Throwable cause) {
         if (LOG.isDebugEnabled()) {
@@ -132,14 +134,17 @@
         }
     }
 
-    /** No answer is owed any more; {@code why}: the client cancelled, or its connection has ended. */
+    /**
+     * Logs that a request needs no answer any more; {@code reason} says whether the client cancelled it or its
+     * connection has ended.
+     */
     public static void left(String requestId, String why) {
         if (LOG.isDebugEnabled()) {
             LogEvent.log(LOG.atDebug(), "client left", "request", requestId, "why", why);
         }
     }
 
-    /** A client's connection has ended: why, and how many answers were still open or unwritten on it. */
+    /** Logs the end of a client's connection, its reason, and how many of its answers were still open or unwritten. */
     public static void connectionEnded(Object client, Object why, int open, int unwritten) {
         if (LOG.isDebugEnabled()) {
             LogEvent.log(
--- a/doorman/src/main/java/barleyspur/doorman/ResponseHandler.java
+++ b/doorman/src/main/java/barleyspur/doorman/ResponseHandler.java
@@ -2,18 +2,18 @@
 
 import io.netty.buffer.ByteBuf;
 
-/** Who waits for the answer to one request: exactly one of these is called, once. */
+/** Receives the answer to one request: exactly one of these methods is called, once. */
 public interface ResponseHandler {
 
-    /** Served: {@code body}, which now belongs to the handler, under {@code tag} (null: none). */
+    /** Answers with {@code body}, which is now owned by the handler, under {@code tag}, which may be null. */
     void served(ByteBuf body, String tag);
 
-    /** Served: the copy that the client holds, under {@code tag} (null: none), is the one. */
+    /** Confirms the copy that the client holds as current, under {@code tag}, which may be null. */
     void unchanged(String tag);
 
-    /** Refused: trying again is harmless, after {@code pauseMs} at best. */
+    /** Refuses the request. It has not run, so a retry is safe, preferably after {@code retryAfterMs}. */
     void refused(double pauseMs);
 
-    /** Failed, with no promise about the effect. */
+    /** Fails the request; it may or may not have taken effect. */
     void failed();
 }
--- a/doorman/src/main/java/barleyspur/doorman/SocketPolls.java
+++ b/doorman/src/main/java/barleyspur/doorman/SocketPolls.java
@@ -13,50 +13,51 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * When the sockets of one event loop were polled, from which follows how long something that is read only now may have
- * waited: what a poll finds at once came while the loop was busy, after the poll before it; what ends a wait for sockets
- * has come that moment, unless the wait went on past its end: then the process stood still, and it may have come at any
- * moment of the wait. All calls come from the loop's thread, and times are those of the clock that is set.
+ * Records when the sockets of one event loop were polled, which bounds how long data may have waited before it is read.
+ * Data found by a poll that doesn't wait arrived while the loop was busy, after the previous poll. Data that ends a
+ * wait has just arrived, unless the wait ended late: then the process was stalled, and the data may have arrived at any
+ * time during the wait. All calls have to come from the loop's thread. Times are those of the clock set by
+ * {@link #setClock}.
  *
- * <p>Costs one more poll, which does not wait, before each that does. A standstill that ends before the wait would have
- * is not noticed; waits are short, since timers are many.
+ * <p>The cost is one additional non-blocking poll before each blocking one. A stall that ends before the wait was due
+ * to end goes unnoticed; waits are short because there are many timers.
  */
 public final class SocketPolls {
 
     private static final double NANOS_PER_MS = 1e6;
-    /** A wait ends some milliseconds late on any machine: the system rounds, and others run. */
+    /** Waits end a few milliseconds late on any machine, because of timer rounding and other processes. */
     private static final double PUNCTUAL_MS = 5;
 
     private DoubleSupplier nowMs = () -> 0;
-    /** When the sockets were last looked at. */
+    /** When the sockets were last polled. */
     private double polledAtMs;
 
     private double pendingSinceMs;
-    /** The loop has gone to wait for its sockets, or has just come back. */
+    /** Whether the loop is in a blocking poll, or has just returned from one. */
     private boolean waiting = true;
-    /** When the wait is to end at the latest. */
+    /** When the blocking poll has to end at the latest. */
     private double waitEndsMs = Double.POSITIVE_INFINITY;
 
-    /** Makes the I/O of the one event loop whose polls these are. */
+    /** Returns the factory of the I/O handler for the event loop whose polls are recorded. */
     public IoHandlerFactory ioHandlers() {
         return ObservedIoHandler::new;
     }
 
-    /** Counts by this clock from now on. */
+    /** Sets the clock that times are taken from. */
     public void setClock(DoubleSupplier clockMs) {
         nowMs = clockMs;
         polledAtMs = clockMs.getAsDouble();
         pendingSinceMs = polledAtMs;
     }
 
-    /** The earliest moment at which what is read in this turn of the loop may have come. */
+    /** Returns the earliest time at which the data read in this iteration of the event loop may have arrived. */
     public double pendingSinceMs() {
         return pendingSinceMs;
     }
 
     /**
-     * Looks whether something is there already; only where nothing is, and no task waits, the loop is to wait, for
-     * {@code longestWaitMs} at most.
+     * Polls without waiting. Only if nothing is ready and no task is pending, makes the loop wait, for at most
+     * {@code maxWaitMs}.
      */
     int poll(IntSupplier pollNow, boolean hasTasks, double longestWaitMs) throws Exception {
         double now = nowMs.getAsDouble();
@@ -72,7 +73,7 @@
         return ready;
     }
 
-    /** What is there is read from here on. */
+    /** Called after a poll has returned, before its results are processed. */
     void polled() {
         if (waiting) {
             waiting = false;
@@ -82,7 +83,10 @@
         }
     }
 
-    /** Netty's own handler, which asks its context one thing between a poll and what the poll found: there we are told. */
+    /**
+     * Wraps Netty's own handler. Netty calls {@link #shouldReportActiveIoTime} between a poll and the processing of its
+     * results, which serves here as the notification that a poll has returned.
+     */
     private final class ObservedIoHandler implements IoHandler, IoHandlerContext {
         private final IoHandler handler;
         private IoHandlerContext context;
--- a/doorman/src/main/java/barleyspur/doorman/StandstillMargin.java
+++ b/doorman/src/main/java/barleyspur/doorman/StandstillMargin.java
@@ -1,25 +1,26 @@
 package barleyspur.doorman;
 
 /**
- * How much earlier than its time a request is to be ended, so that its final answer comes in time also where the process
- * stands still just then: as long as the longest standstill seen lately, which counts for less as time goes by. Before any
- * was seen one is presumed, since the first comes unannounced; what is presumed costs only time after the request was wanted.
+ * Determines how much earlier than its time limit a request has to be finished, so that its final answer is in time
+ * even if the process stalls just then. The margin is the longest stall observed recently, with a weight that decays
+ * over time. A minimum stall is assumed even before any was observed, since the first one comes without warning. This
+ * assumed part only uses time after the request's target time.
  */
 final class StandstillMargin {
 
-    /** Time after which a standstill counts for half. */
+    /** The time after which an observed stall counts for half. */
     private static final double HALF_LIFE_MS = 10_000;
-    /** The part of a request's time that may be given up for standstills that were seen. */
+    /** The maximum share of a request's time that is reserved for observed stalls. */
     private static final double MOST_SHARE = 0.25;
-    /** What is presumed of any machine: waits that end late by up to this were seen where nothing was wrong. */
+    /** The stall assumed on any machine: waits ended late by up to this much where nothing was wrong. */
     private static final double PRESUMED_MS = 500;
-    /** The part of the time after a request was wanted that may be given up for what is presumed. */
+    /** The maximum share of the time after a request's target time that is reserved for the assumed stall. */
     private static final double PRESUMED_SHARE = 0.25;
 
     private double longestMs;
     private double seenAtMs;
 
-    /** Something waited for so long to be read. */
+    /** Records that some input waited for {@code waitedMs} before it was read. */
     void observe(double nowMs, double waitedMs) {
         if (waitedMs > longestMs(nowMs)) {
             longestMs = waitedMs;
@@ -31,7 +32,7 @@
         return longestMs * Math.pow(0.5, (nowMs - seenAtMs) / HALF_LIFE_MS);
     }
 
-    /** The margin for a request that has so much time, and is wanted within {@code wantedMs}. */
+    /** Returns the margin for a request with this time limit and target time. */
     double of(double remainingMs, double wantedMs, double nowMs) {
         double seen = Math.min(longestMs(nowMs), remainingMs * MOST_SHARE);
         double presumed = Math.min(PRESUMED_MS, Math.max(0, remainingMs - wantedMs) * PRESUMED_SHARE);
--- a/doorman/src/main/java/barleyspur/lifecycle/Lifecycle.java
+++ b/doorman/src/main/java/barleyspur/lifecycle/Lifecycle.java
@@ -3,49 +3,56 @@
 import java.util.Locale;
 
 /**
- * What a doorman owes its operators, decided apart from sockets and clocks: whether it says that it takes work, and
- * what becomes of a client connection that has nothing open. The phases follow the operators' calls and the
- * process's signals: starting, serving, quiesced (a drain that the operators asked for, which they end), leaving
- * (SIGTERM: the process ends once what is open is answered) and handing off (SIGTERM while a successor listens on the
- * same address: an upgrade).
+ * The lifecycle state machine of a doorman: decides whether it reports itself ready, whether it accepts a request, and
+ * whether it closes a client connection without open requests. It depends on neither sockets nor clocks. The phases
+ * follow the operators' calls and the process's signals: starting, serving, quiesced (a drain requested and ended by
+ * the operators), leaving (SIGTERM: the process ends once open requests are answered) and handing off (SIGTERM while a
+ * successor listens on the same address, during an upgrade).
  *
- * <p>Quiesced, a connection is closed as soon as it has no open request: the front that drains the doorman breaks the
- * rule on lost requests where a connection is held idle, or with a request from the last 2 s, 4 s after the call.
- * A request that crosses such a close is sent once more by its client (the protocol page's rule on closes).
+ * <p>While quiesced, a connection is closed as soon as it has no open request. The load balancer in front of the
+ * doorman counts a violation of the rule on lost requests if, 4 s after the call, a connection is still held idle or
+ * with a request from the last 2 s. A request that crosses such a close is sent once more by its client, as the
+ * protocol's rule on closes requires.
  */
 public final class Lifecycle {
 
     /**
-     * How long after a quiesce requests on kept connections are still taken; later ones are refused, so that each
-     * connection comes to a moment with nothing open and is closed. The front's rule looks at requests of the last 2 s,
-     * 4 s after the call: requests taken up to here are 3 s old by then.
+     * How long after a quiesce requests on existing connections are still accepted. Later ones are refused, so that
+     * each connection eventually has no open request and is closed. The load balancer looks at requests of the last
+     * 2 s, 4 s after the call; requests accepted within this time are at least 3 s old by then.
      */
     static final double QUIESCED_TAKES_MS = 1_000;
     /**
-     * How long after SIGTERM a process that hands off takes every request: SIGKILL may find a request unanswered that
-     * came within 0.7 s of SIGTERM (the protocol page's figures), and the clock of the platform may differ a little.
+     * How long after SIGTERM a process that hands off accepts every request. The protocol allows SIGKILL to leave
+     * requests unanswered that arrived within 0.7 s of SIGTERM; the difference allows for deviations of the platform's
+     * clock.
      */
     static final double HANDING_OFF_TAKES_MS = 500;
-    /** What an answer at its deadline may still take to be written, and the platform's clock to differ. */
+    /**
+     * Allows for the time to write an answer that is due at its deadline, and for deviations of the platform's clock.
+     */
     static final double KILL_MARGIN_MS = 200;
 
-    /** Where the doorman stands. */
+    /** The phases of a doorman. */
     public enum Phase {
-        /** Not yet listening for clients. */
+        /** Not listening for clients yet. */
         STARTING,
-        /** Takes clients. */
+        /** Accepts clients. */
         SERVING,
-        /** Sends clients away, for as long as the operators want; the process stays. */
+        /** Turns clients away until the operators resume it; the process keeps running. */
         QUIESCED,
-        /** SIGTERM came: new connections still come for a while, and it ends once what is open is answered. */
+        /**
+         * SIGTERM was received: new connections still arrive for a while, and the process ends once open requests are
+         * answered.
+         */
         LEAVING,
         /**
-         * SIGTERM came while a successor listens on the same address: new connections go there, so this one stops
-         * listening at once, and it ends once what is open is answered.
+         * SIGTERM was received while a successor listens on the same address: new connections go to the successor, so
+         * this process stops listening at once and ends once open requests are answered.
          */
         HANDING_OFF;
 
-        /** As operators read it: {@code handing-off}. */
+        /** Returns the name shown to operators, such as {@code handing-off}. */
         public String word() {
             return name().toLowerCase(Locale.ROOT).replace('_', '-');
         }
@@ -53,17 +60,17 @@
 
     private Phase phase = Phase.STARTING;
     private double sinceMs;
-    /** Leaving, all clients have been let in that still were to come. */
+    /** Whether the time for new connections and requests after SIGTERM is over. */
     private boolean graceOver;
-    /** After SIGTERM, when SIGKILL may come at the soonest. */
+    /** After SIGTERM, the earliest time at which SIGKILL may follow. */
     private double killAtMs = Double.POSITIVE_INFINITY;
 
-    /** The phase now. */
+    /** Returns the current phase. */
     public Phase phase() {
         return phase;
     }
 
-    /** The clients' address is bound: it takes work from here on. */
+    /** Called when the client address is bound: the doorman serves from now on. */
     public void serving(double nowMs) {
         if (phase == Phase.STARTING) {
             to(Phase.SERVING, nowMs);
@@ -71,9 +78,9 @@
     }
 
     /**
-     * The operators ask it to send clients away; true where that is new, so that the idle connections are closed now.
-     * Before the start it has no clients, and once leaving it won't take any again, so only a serving doorman is
-     * quiesced; a second call changes nothing.
+     * Quiesces the doorman. Returns true if this changed the phase, so that idle connections have to be closed now.
+     * Only a serving doorman is quiesced: before the start there are no clients, and after SIGTERM it won't serve
+     * again. A second call changes nothing.
      */
     public boolean quiesce(double nowMs) {
         if (phase != Phase.SERVING) {
@@ -83,7 +90,7 @@
         return true;
     }
 
-    /** The operators take it back: false where it can't be, for it is not yet started or is leaving. */
+    /** Ends a quiesce. Returns whether the doorman serves: false if it is not started yet or is leaving. */
     public boolean resume(double nowMs) {
         if (phase == Phase.QUIESCED) {
             to(Phase.SERVING, nowMs);
@@ -93,8 +100,10 @@
     }
 
     /**
-     * SIGTERM came; {@code successor}: another process listens on the clients' address and takes them.
-     * {@code killAfterMs}: how long after SIGTERM SIGKILL may come at the soonest. False where that is nothing new.
+     * Handles SIGTERM. Returns false if it was handled before.
+     *
+     * @param hasSuccessor whether another process listens on the client address
+     * @param killAfterMs the earliest time after SIGTERM at which SIGKILL may follow
      */
     public boolean leave(double nowMs, boolean successor, double killAfterMs) {
         if (phase == Phase.LEAVING || phase == Phase.HANDING_OFF) {
@@ -105,38 +114,41 @@
         return true;
     }
 
-    /** Leaving or handing off, nothing more is to come: whatever connection has nothing open is closed from now on. */
+    /**
+     * Ends the time for new connections and requests after SIGTERM: connections without open requests are closed from
+     * now on.
+     */
     public void graceOver() {
         graceOver = true;
     }
 
-    /** By when, at the latest, everything is to be answered: SIGKILL may come right after. */
+    /** Returns the time by which all requests have to be answered, since SIGKILL may come right afterwards. */
     public double answeredByMs() {
         return killAtMs - KILL_MARGIN_MS;
     }
 
     /**
-     * How long after SIGTERM SIGKILL may come at the soonest, for settings whose longest deadline is
-     * {@code longestDeadlineMs}: that deadline, taken as 3 s where it is longer, and 0.7 s (the protocol page).
+     * Returns the earliest time after SIGTERM at which SIGKILL may follow, according to the protocol: the longest
+     * deadline in the settings, at most 3 s, plus 0.7 s.
      */
     public static double killAfterMs(double longestDeadlineMs) {
         return Math.min(longestDeadlineMs, 3_000) + 700;
     }
 
-    /** Whether the clients' address is to be listened on: not once a successor has it. */
+    /** Returns whether the doorman should listen on the client address; not after a successor has taken it over. */
     public boolean listening() {
         return phase != Phase.HANDING_OFF;
     }
 
-    /** What health says: yes only while it takes clients. */
+    /** Returns the result of the health check: true only while serving. */
     public boolean ready() {
         return phase == Phase.SERVING;
     }
 
     /**
-     * Whether a request that a client sends now, and waits {@code remainingMs} for, is taken; if not, it is refused, and
-     * its connection closes. Handing off, a request is taken while SIGKILL would excuse it, or where its deadline comes
-     * before SIGKILL can, so that it is answered in any case.
+     * Returns whether a request that arrives now with {@code remainingMs} to its deadline is accepted. If not, it is
+     * refused and its connection closes. While handing off, a request is accepted if the protocol excuses its loss by
+     * SIGKILL, or if its deadline is before the earliest SIGKILL, so that it is answered in any case.
      */
     public boolean takes(double nowMs, double remainingMs) {
         return switch (phase) {
@@ -147,12 +159,12 @@
         };
     }
 
-    /** Whether a client connection that has nothing open is to be closed now. */
+    /** Returns whether client connections without open requests have to be closed now. */
     public boolean closeWhenIdle() {
         return phase == Phase.QUIESCED || phase == Phase.HANDING_OFF || graceOver;
     }
 
-    /** Whether a connection that has never asked is to be closed too: nothing more is to come. */
+    /** Returns whether connections that have not sent any request yet have to be closed too. */
     public boolean closeStrangers() {
         return graceOver;
     }
--- a/doorman/src/main/java/barleyspur/log/LogEvent.java
+++ b/doorman/src/main/java/barleyspur/log/LogEvent.java
@@ -3,14 +3,14 @@
 import org.slf4j.spi.LoggingEventBuilder;
 
 /**
- * Log events: a text that stays the same for all of a kind, and what each is about as keys with values, by SLF4J's
- * fluent interface. On-call staff search for the text and filter by the keys; the provider says how both are written.
+ * Writes structured log events: a constant message for each kind of event, and its details as key-value pairs, through
+ * SLF4J's fluent API. On-call staff search by message and filter by key; the logging provider determines the format.
  */
 public final class LogEvent {
 
     private LogEvent() {}
 
-    /** Logs an event; keys and values come by turns, and a level that is off costs nothing. */
+    /** Logs an event. Keys and values alternate; a level that is disabled costs nothing. */
     public static void log(LoggingEventBuilder at, String event, Object... keysAndValues) {
         LoggingEventBuilder builder = at;
         for (int i = 0; i + 1 < keysAndValues.length; i += 2) {
--- a/doorman/src/main/java/barleyspur/reload/RequestClassRegistry.java
+++ b/doorman/src/main/java/barleyspur/reload/RequestClassRegistry.java
@@ -7,28 +7,31 @@
 import java.util.Map;
 
 /**
- * The classes of a running doorman by number, as the director knows them, and the number that each name stands for.
- * Settings that SIGHUP brings may add classes, drop them, reorder them and change their effects; a number once given
- * keeps its class for as long as the process runs, so an open request keeps the class that it was taken under. A
- * class that is new or changed gets the next number; a name that the new settings no longer have goes on standing for
- * its last class, since clients may name it for a while after the change. Decisions only: no I/O, clock or randomness.
- * An instance is never changed: a retune makes a new one.
+ * The request classes of a running doorman: the classes by number, as the director knows them, and the current number
+ * of each class name. Reloaded settings may add, drop and reorder classes and change their effects. A number keeps its
+ * class for the lifetime of the process, so an open request keeps the class that it was accepted under. A new or
+ * changed class gets the next free number. A name that is dropped from the settings keeps its last class, since clients
+ * may use it for a while after the change. This class has no I/O, clock or randomness and is immutable: an update
+ * creates a new instance.
  */
 public final class RequestClassRegistry {
 
-    /** What a retune brought, by name, for the log. */
+    /**
+     * The result of an update: the new registry, and the names of the classes that were added, changed and dropped, for
+     * the log.
+     */
     public record Retune(RequestClassRegistry table, List<String> added, List<String> changed, List<String> dropped) {
 
-        /** Whether the classes are as before. */
+        /** Returns whether the update left all classes as they were. */
         public boolean same() {
             return added.isEmpty() && changed.isEmpty() && dropped.isEmpty();
         }
     }
 
     private final List<RequestClass> classes;
-    /** The number that each name stands for now. */
+    /** The current number of each class name. */
     private final Map<String, Integer> numbers;
-    /** The names that the latest settings have, in their order. */
+    /** The class names in the latest settings, in their order. */
     private final List<String> named;
 
     private RequestClassRegistry(List<RequestClass> classes, Map<String, Integer> numbers, List<String> named) {
@@ -37,21 +40,21 @@
         this.named = List.copyOf(named);
     }
 
-    /** The classes of the start: their numbers are their places in the settings. */
+    /** Creates the registry at process start; the numbers are the places of the classes in the settings. */
     public static RequestClassRegistry of(List<String> names, List<RequestClass> classes) {
         if (names.size() != classes.size()) {
-            throw new IllegalArgumentException(names.size() + " names for " + classes.size() + " classes");
+            throw new IllegalArgumentException(names.size() + " class names for " + classes.size() + " classes");
         }
         Map<String, Integer> numbers = new HashMap<>();
         for (int i = 0; i < names.size(); i++) {
             if (numbers.put(names.get(i), i) != null) {
-                throw new IllegalArgumentException("class " + names.get(i) + " is named twice");
+                throw new IllegalArgumentException("class " + names.get(i) + " is defined twice");
             }
         }
         return new RequestClassRegistry(classes, numbers, names);
     }
 
-    /** The table after settings that have these classes, and what changed. */
+    /** Returns the registry for changed settings with these classes, and what changed. */
     public Retune retune(List<String> names, List<RequestClass> next) {
         RequestClassRegistry fresh = of(names, next);
         List<RequestClass> all = new ArrayList<>(classes);
@@ -73,18 +76,18 @@
         return new Retune(new RequestClassRegistry(all, to, names), added, changed, dropped);
     }
 
-    /** The number that a client's class name stands for; -1 for a name that was never one. */
+    /** Returns the number of the class with this name, or -1 if the name was never defined. */
     public int number(String name) {
         Integer n = numbers.get(name);
         return n == null ? -1 : n;
     }
 
-    /** All classes by number: what the director is given. */
+    /** Returns all classes by number, as passed to the director. */
     public List<RequestClass> classes() {
         return classes;
     }
 
-    /** The longest that a request of any class may take, in milliseconds; 0 without classes. */
+    /** Returns the longest deadline of all classes in milliseconds; 0 without classes. */
     public double longestDeadlineMs() {
         return classes.stream().mapToDouble(RequestClass::deadlineMs).max().orElse(0);
     }
--- a/doorman/src/main/java/barleyspur/transport/Connector.java
+++ b/doorman/src/main/java/barleyspur/transport/Connector.java
@@ -11,13 +11,13 @@
 import io.netty.resolver.NoopAddressResolverGroup;
 import java.net.InetSocketAddress;
 
-/** Opens connections; over TCP in service, within the process where a test or a rehearsal says so. */
+/** Opens connections: over TCP in production, within the process in tests and during warm-up. */
 public interface Connector {
 
-    /** Begins to connect; the connection's channel gets these handlers. */
+    /** Starts to connect; the handlers are added to the pipeline of the new channel. */
     ChannelFuture connect(InetSocketAddress address, ChannelHandler... handlers);
 
-    /** Over TCP, on the event loop of {@code group}. */
+    /** Returns a connector for TCP on the event loop of {@code group}. */
     static Connector tcp(EventLoopGroup group, int timeoutMs) {
         Bootstrap bootstrap = new Bootstrap()
                 .group(group)
--- a/doorman/src/main/java/barleyspur/transport/LingeringClose.java
+++ b/doorman/src/main/java/barleyspur/transport/LingeringClose.java
@@ -6,32 +6,31 @@
 import io.netty.channel.socket.DuplexChannel;
 
 /**
- * How a connection that others opened to us ends: <em>open</em>; then <em>draining</em>, in which what was written goes
- * out and nothing more is taken; then <em>half-closed</em>, in which our side is shut and what still comes is read and
- * thrown away; then <em>closed</em>, once the peer has closed its side, or past a bound in bytes and time.
+ * Closes an accepted connection without losing data that the peer has not read yet. The states are <em>open</em>;
+ * <em>draining</em>, in which pending output is written and no input is processed; <em>half-closed</em>, in which our
+ * output is shut down and input is read and discarded; and <em>closed</em>, once the peer has closed its side or a
+ * limit in bytes or time is reached.
  *
- * <p>Guards the last answer: a close over input that was not read resets the connection, and a reset destroys what the
- * peer has not read yet. Guards the peer's next request too: one that crosses our shutdown is thrown away, never acted on,
- * so the peer may send it once more elsewhere.
- *
- * <p>Owed while draining: what was written before. Owed while half-closed: nothing but the time to read it.
+ * <p>Closing a socket with unread input resets the connection, and a reset discards data that the peer has not read
+ * yet, such as the last answer. A request that crosses our shutdown is discarded and never processed, so the peer may
+ * safely send it again elsewhere.
  */
 public final class LingeringClose {
 
-    /** More than this is not even read: who sends without end must not have the event loop for itself. */
+    /** Beyond this amount reading stops, so that a peer that sends without end can't occupy the event loop. */
     static final long MOST_DISCARDED = 256 * 1024;
 
     private final Channel channel;
     private final Clock clock;
     private Clock.Timer bound;
 
-    /** For a connection on {@code channel}, which stays open until {@link #begin}. */
+    /** Creates the close procedure for {@code channel}, which stays open until {@link #begin}. */
     public LingeringClose(Channel channel, Clock clock) {
         this.channel = channel;
         this.clock = clock;
     }
 
-    /** Begins to close, for {@code mostMs} at most; a second call changes nothing. */
+    /** Starts to close the connection, and forces the close after {@code maxMs}. Further calls have no effect. */
     public void begin(double mostMs) {
         if (bound != null) {
             return;
@@ -44,19 +43,19 @@
         });
     }
 
-    /** Whether it is no longer open. */
+    /** Returns whether closing has started. */
     public boolean begun() {
         return bound != null;
     }
 
-    /** Told how many bytes have been thrown away since it began. */
+    /** Reports the total number of bytes discarded since closing started. */
     public void discarded(long bytes) {
         if (bytes > MOST_DISCARDED) {
             channel.config().setAutoRead(false);
         }
     }
 
-    /** The connection has ended: nothing is to be waited for. */
+    /** Reports that the connection has ended, which cancels the forced close. */
     public void closed() {
         if (bound != null) {
             bound.cancel();
--- a/doorman/src/main/java/barleyspur/upgrade/HandOffNote.java
+++ b/doorman/src/main/java/barleyspur/upgrade/HandOffNote.java
@@ -8,22 +8,23 @@
 import java.nio.file.StandardCopyOption;
 
 /**
- * A note in the folder that an upgrade's two processes share ({@code $TMPDIR}), under the name of the clients'
- * address: the process that listens there last, by its id. The new process writes it once it takes clients; the old
- * one reads it on SIGTERM, and where it names another process that is alive, a successor has the address, so the old
- * one can stop listening at once. The note is replaced by an atomic rename, so a reader never sees half of one.
+ * A file with the id of the process that most recently started to listen on the client address. It is in the folder
+ * shared by the two processes of an upgrade ({@code $TMPDIR}), under a name derived from the address. The new process
+ * writes it once it accepts clients. The old process reads it on SIGTERM: if it names another live process, a successor
+ * has the address and the old process can stop listening at once. The file is replaced by an atomic rename, so a reader
+ * never sees a partial one.
  */
 public final class HandOffNote {
 
     private final Path file;
 
-    /** The note of the process that listens on {@code listen}. */
+    /** Refers to the file for the address {@code listen}. */
     public HandOffNote(Path folder, InetSocketAddress listen) {
         this.file = folder.resolve(
                 "barleyspur-" + listen.getAddress().getHostAddress() + "-" + listen.getPort() + ".listener");
     }
 
-    /** Says that this process listens now. */
+    /** Records that the process {@code pid} listens now. */
     public void announce(long pid) throws IOException {
         Path next = file.resolveSibling(file.getFileName() + "." + pid);
         Files.writeString(next, pid + "\n", StandardCharsets.US_ASCII);
@@ -31,8 +32,8 @@
     }
 
     /**
-     * The id of the process that listened last, where that is not {@code pid} and it is still alive; else -1. A note
-     * that can't be read names nobody.
+     * Returns the id of the process that most recently started to listen if it is not {@code pid} and is still alive,
+     * else -1. An unreadable file counts as no successor.
      */
     public long successorOf(long pid) {
         try {
--- a/doorman/src/test/java/barleyspur/Cuts.java
+++ b/doorman/src/test/java/barleyspur/Cuts.java
@@ -8,14 +8,17 @@
 import java.util.List;
 import java.util.Random;
 
-/** Feeds a parser bytes as a network might: in pieces of any length. */
+/** Feeds bytes to a decoder as a network may deliver them, in chunks of any size. */
 public final class Cuts {
 
     private static final int MOST_PIECE = 40;
 
     private Cuts() {}
 
-    /** What the parser in {@code channel} makes of {@code bytes}, cut at places that {@code seed} sets. */
+    /**
+     * Returns what the decoder in {@code channel} makes of {@code bytes}, split into chunks of random sizes determined
+     * by {@code seed}.
+     */
     public static List<Object> feed(EmbeddedChannel channel, byte[] bytes, long seed) {
         Random random = new Random(seed);
         for (int at = 0; at < bytes.length; ) {
@@ -30,7 +33,10 @@
         return read;
     }
 
-    /** As {@link #feed}; null where the parser finds the bytes malformed in the way it is meant to. */
+    /**
+     * Like {@link #feed}, but returns null if the decoder rejects the bytes with its own exception, as it should for
+     * malformed input.
+     */
     public static List<Object> feedGarbage(EmbeddedChannel channel, byte[] bytes, long seed) {
         try {
             return feed(channel, bytes, seed);
@@ -38,13 +44,13 @@
             if (e.getCause() != null) {
                 throw e;
             }
-            // The rest is not read, so the end of the connection brings no second complaint.
+            // The rest is released without decoding it, so the end of the connection causes no second error.
             channel.finishAndReleaseAll();
             return null;
         }
     }
 
-    /** The bytes of a buffer, which is released. */
+    /** Returns the bytes of a buffer and releases it. */
     public static byte[] take(ByteBuf buffer) {
         byte[] bytes = new byte[buffer.readableBytes()];
         buffer.readBytes(bytes);
--- a/doorman/src/test/java/barleyspur/Loopback.java
+++ b/doorman/src/test/java/barleyspur/Loopback.java
@@ -35,15 +35,17 @@
 import org.json.JSONObject;
 
 /**
- * One whole doorman on real sockets, with a box, an origin and a command channel that do as the test says, and a clock
- * that the test moves. Its event loop can be held, so that what arrives meanwhile is all there in one turn: crossings are
- * forced, nothing waits for luck.
+ * A complete doorman on real loopback sockets, with a box, an origin and a command channel scripted by the test, and a
+ * clock moved by the test. Its event loop can be held, so that everything that arrives meanwhile is processed in one
+ * iteration: races are forced and don't depend on timing.
  */
 public final class Loopback implements AutoCloseable {
 
-    /** Longest wait for what must come; no test takes that long unless it fails. */
+    /** The timeout for events that have to occur; only a failing test waits that long. */
     static final int PATIENCE_MS = 20_000;
-    /** A connect that has not come up by then, after the system has tried it again, waits for the listener to accept. */
+    /**
+     * A connect that is not established by then, although the system has retried it, waits for the listener to accept.
+     */
     private static final int QUEUED_MS = 1_500;
 
     private static final String SETTINGS =
@@ -64,22 +66,27 @@
           "tipMultiple": 3}}
         """;
 
+    /** The fake depot, listed as a cache. */
     public final Peer box;
+    /** The fake origin. */
     public final Peer origin;
+    /** The fake command channel. */
     public final Peer channel = new Peer(0);
+    /** The doorman under test. */
     public final Node node;
+
     private final Path file;
     private final JSONObject configuration;
     private final InetSocketAddress address;
     private ManualClock clock;
     private EventLoop loop;
 
-    /** A doorman that serves; {@code change} may change its configuration before it starts. */
+    /** Starts a doorman; {@code change} may change its configuration before the start. */
     public Loopback(Path folder, Consumer<JSONObject> change) throws Exception {
         this(folder, change, 0);
     }
 
-    /** The same with a box whose listener takes few connections before it accepts them; 0: many. */
+    /** Starts a doorman with a box that has this listen backlog; 0 for the default. */
     public Loopback(Path folder, Consumer<JSONObject> change, int boxBacklog) throws Exception {
         box = new Peer(boxBacklog);
         origin = new Peer(0);
@@ -128,7 +135,7 @@
         return Configuration.load(Map.of("RELAY_CONFIG", file.toString()));
     }
 
-    /** One node as the command channel lists it. */
+    /** Returns a node in the format of the command channel. */
     public static JSONObject target(String uid, Peer peer, String model) {
         return new JSONObject()
                 .put("uid", uid)
@@ -141,12 +148,12 @@
                 .put("boot_ms", 0);
     }
 
-    /** A client's connection. */
+    /** Opens a client connection. */
     public Wire client() throws IOException {
         return new Wire(new Socket(address.getAddress(), address.getPort()));
     }
 
-    /** A client's connection that takes little before it is read. */
+    /** Opens a client connection with a small receive buffer. */
     public Wire narrowClient() throws IOException {
         Socket socket = new Socket();
         socket.setReceiveBufferSize(4_096);
@@ -154,7 +161,10 @@
         return new Wire(socket);
     }
 
-    /** Holds the event loop until the runnable that comes back is run: what arrives meanwhile comes in one turn. */
+    /**
+     * Holds the event loop until the returned runnable is run, so that everything that arrives meanwhile is processed
+     * in one iteration.
+     */
     public Runnable hold() throws InterruptedException {
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
@@ -169,14 +179,17 @@
     private static void awaitRelease(CountDownLatch release) {
         try {
             if (!release.await(PATIENCE_MS, TimeUnit.MILLISECONDS)) {
-                throw new IllegalStateException("the loop was never released");
+                throw new IllegalStateException("the event loop was never released");
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Waits until an end of a client's connection has come to the doorman's side of it, whether it has been read or not. */
+    /**
+     * Waits until the end of a client's connection has arrived at the doorman's socket, whether it has been read or
+     * not.
+     */
     public void awaitEnded(Wire client) throws IOException, InterruptedException {
         String open =
                 String.format(":%04X", address.getPort()) + " [0-9A-F]+" + String.format(":%04X 01", client.localPort);
@@ -187,13 +200,13 @@
                                 .find();
                 i++) {
             if (i > PATIENCE_MS) {
-                throw new AssertionError("its end never came");
+                throw new AssertionError("the end of the connection never arrived");
             }
             TimeUnit.MILLISECONDS.sleep(1);
         }
     }
 
-    /** Waits until the doorman has read, and acted on, all that a client has written. */
+    /** Waits until the doorman has read and processed everything that a client has written. */
     public void awaitRead(Wire client) throws IOException, InterruptedException {
         Pattern unread = Pattern.compile(String.format(":%04X", address.getPort()) + " [0-9A-F]+"
                 + String.format(":%04X 01", client.localPort) + " [0-9A-F]{8}:(?!00000000)");
@@ -203,7 +216,7 @@
                                 .find();
                 i++) {
             if (i > PATIENCE_MS) {
-                throw new AssertionError("it is never read");
+                throw new AssertionError("the doorman never read the input");
             }
             TimeUnit.MILLISECONDS.sleep(1);
         }
@@ -211,26 +224,25 @@
         loop.submit(() -> {}).syncUninterruptibly();
     }
 
-    /** What is run once, within the turn of the loop that next asks for the time. */
+    /** Runs {@code task} once, within the iteration of the event loop that next reads the clock. */
     public void whenTheTimeIsNextAsked(Runnable task) {
         loop.submit(() -> clock.asked = task).syncUninterruptibly();
     }
 
-    /** Lets time pass while nothing comes, with all timers that come due, each at its time. */
+    /** Advances the clock while nothing arrives, and runs each timer at its due time. */
     public void pass(double ms) {
         loop.submit(() -> clock.pass(ms)).syncUninterruptibly();
-        // Due in a later turn than this one's: by then the loop has looked at its sockets again, and what comes after
-        // this
-        // call is not taken for something that came before the time passed.
+        // This runs in a later iteration than the current one. By then the loop has polled its sockets again, so data
+        // that arrives after this call isn't dated to before the advance.
         loop.schedule(() -> {}, 1, TimeUnit.MILLISECONDS).awaitUninterruptibly();
     }
 
-    /** The same while the event loop is held, as when it is busy: no timer runs before it is released. */
+    /** Advances the clock while the event loop is held, as if it were busy: no timer runs before it is released. */
     public void passHeld(double ms) {
         clock.now += ms;
     }
 
-    /** Gives the doorman its configuration anew, changed, as SIGHUP does. */
+    /** Changes the configuration and makes the doorman reload it, as SIGHUP does. */
     public void reload(Consumer<JSONObject> change) {
         change.accept(configuration);
         node.reload(this::read, OwnSettings::none);
@@ -244,7 +256,7 @@
                 pass(100);
             }
         } catch (RejectedExecutionException e) {
-            // It has ended in between.
+            // The event loop has shut down meanwhile.
         }
         try {
             node.awaitEnd();
@@ -256,9 +268,10 @@
         channel.close();
     }
 
+    /** A scheduled task; tasks due at the same time run in order of {@code sequence}. */
     private record Task(double at, long order, Runnable run) {}
 
-    /** Time that stands still until the test moves it; what is due at once comes with the loop's next turn. */
+    /** A clock that only the test advances. Tasks without a delay run in the next iteration of the event loop. */
     private static final class ManualClock implements Clock {
         private final EventLoop loop;
         private final SocketPolls polls;
@@ -322,25 +335,28 @@
         }
     }
 
-    /** One that others connect to: it hands the test every connection, and what comes on those that it is told to read. */
+    /**
+     * A fake server. Passes each connection to the test, or after {@link #serve} each message received on any
+     * connection.
+     */
     public static final class Peer implements AutoCloseable {
         private final ServerSocket server;
         private final BlockingQueue<Request> requests = new LinkedBlockingQueue<>();
         private final List<Socket> accepted = new ArrayList<>();
 
-        /** A {@code serve} or {@code cancel} as it came, and on which connection. */
+        /** A received message, such as {@code serve} or {@code cancel}, and its connection. */
         public record Request(Wire wire, List<String> words) {
-            /** The first word. */
+            /** Returns the name of the command. */
             public String verb() {
                 return words.get(0);
             }
 
-            /** The request's id. */
+            /** Returns the request id. */
             public String id() {
                 return words.get(1);
             }
 
-            /** Answers with a word, fields, and where there are any, bytes. */
+            /** Answers with a status, fields, and a body unless {@code bytes} is null. */
             public void answer(String word, String fields, byte[] bytes) throws IOException {
                 wire.resp(id(), word, fields, bytes);
             }
@@ -358,7 +374,7 @@
             return server.getLocalPort();
         }
 
-        /** The next connection, for the test to read itself. */
+        /** Accepts the next connection, which the test reads itself. */
         public Wire accept() throws IOException {
             server.setSoTimeout(PATIENCE_MS);
             Wire wire = new Wire(server.accept());
@@ -368,7 +384,10 @@
             return wire;
         }
 
-        /** Fills the queue of the listener, so that connects come up only once it accepts; who fills it comes back. */
+        /**
+         * Fills the accept queue, so that further connects are established only once the listener accepts. Returns the
+         * connections that fill it.
+         */
         public List<Wire> fillQueue() throws IOException {
             List<Wire> registry = new ArrayList<>();
             try {
@@ -382,7 +401,7 @@
             }
         }
 
-        /** From now on accepts and reads by itself; requests wait for {@link #next}. */
+        /** Accepts and reads connections in the background from now on; messages are queued for {@link #next}. */
         public Peer serve() {
             Thread acceptor = new Thread(
                     () -> {
@@ -394,7 +413,7 @@
                                 reader.start();
                             }
                         } catch (IOException e) {
-                            // The test has ended.
+                            // The listener was closed at the end of the test.
                         }
                     },
                     "peer-acceptor");
@@ -409,20 +428,20 @@
                     requests.add(new Request(wire, words));
                 }
             } catch (IOException e) {
-                // Reset by the doorman, or the test has ended.
+                // The doorman reset the connection, or the test has ended.
             }
         }
 
-        /** The next message on any connection. */
+        /** Returns the next message on any connection, and waits for it. */
         public Request next() throws InterruptedException {
             Request request = requests.poll(PATIENCE_MS, TimeUnit.MILLISECONDS);
             if (request == null) {
-                throw new AssertionError("nothing came");
+                throw new AssertionError("no message arrived");
             }
             return request;
         }
 
-        /** A message that has come; null: none has. */
+        /** Returns the next message that has already arrived, or null. */
         public Request come() {
             return requests.poll();
         }
@@ -438,7 +457,7 @@
         }
     }
 
-    /** One connection, read by the test. */
+    /** A connection that the test reads and writes. */
     public static final class Wire implements AutoCloseable {
         private final Socket socket;
         private final int localPort;
@@ -454,17 +473,17 @@
             out = socket.getOutputStream();
         }
 
-        /** Writes bytes, and says nothing of their meaning. */
+        /** Writes bytes as they are. */
         public void write(byte[] bytes) throws IOException {
             out.write(bytes);
         }
 
-        /** Writes a text. */
+        /** Writes text in UTF-8. */
         public void write(String text) throws IOException {
             write(text.getBytes(StandardCharsets.UTF_8));
         }
 
-        /** One line without its end; null at the end of the connection. */
+        /** Reads one line without its line end; null at the end of the connection. */
         public String line() throws IOException {
             ByteArrayOutputStream line = new ByteArrayOutputStream();
             for (int b = in.read(); b != '\n'; b = in.read()) {
@@ -476,7 +495,7 @@
             return line.toString(StandardCharsets.UTF_8).strip();
         }
 
-        /** One RESP array of bulk strings; null at the end of the connection. */
+        /** Reads one RESP array of bulk strings; null at the end of the connection. */
         List<String> resp() throws IOException {
             String head = line();
             if (head == null) {
@@ -492,7 +511,7 @@
             return words;
         }
 
-        /** Writes an answer of a depot's; {@code bytes} null: words alone. */
+        /** Writes a depot's answer; {@code bytes} is null for one without a body. */
         synchronized void resp(String id, String word, String fields, byte[] bytes) throws IOException {
             ByteArrayOutputStream whole = new ByteArrayOutputStream();
             whole.writeBytes(("*" + (bytes == null ? 3 : 4) + "\r\n").getBytes(StandardCharsets.US_ASCII));
@@ -507,7 +526,7 @@
             write(whole.toByteArray());
         }
 
-        /** One frame without its length; null at the end of the connection. */
+        /** Reads one frame without its length prefix; null at the end of the connection. */
         public byte[] frame() throws IOException {
             int length;
             try {
@@ -520,45 +539,45 @@
             return frame;
         }
 
-        /** Reads so many bytes. */
+        /** Reads exactly {@code count} bytes. */
         public byte[] bytes(int count) throws IOException {
             byte[] bytes = new byte[count];
             in.readFully(bytes);
             return bytes;
         }
 
-        /** Writes bytes to one that may have reset the connection, or does so meanwhile. */
+        /** Writes to a connection that the peer may reset before or during the write. */
         public void writeWhatGoes(byte[] bytes) {
             try {
                 write(bytes);
             } catch (IOException e) {
-                // It is gone, which is what it may be.
+                // The connection was reset, which is allowed here.
             }
         }
 
-        /** Reads until the connection has ended, in order or by a reset. */
+        /** Reads and discards input until the connection has ended, normally or by a reset. */
         public void awaitEnd() throws IOException {
             try {
                 while (in.read() >= 0) {
-                    // Thrown away.
+                    // Discard.
                 }
             } catch (SocketException e) {
-                // A reset is an end too.
+                // A reset ends the connection as well.
             }
         }
 
-        /** Shuts this side only. */
+        /** Shuts down the output side only. */
         public void shutOutput() throws IOException {
             socket.shutdownOutput();
         }
 
-        /** Ends the connection by a reset. */
+        /** Resets the connection. */
         public void reset() throws IOException {
             socket.setSoLinger(true, 0);
             socket.close();
         }
 
-        /** Ends the connection in order, with a FIN. */
+        /** Closes the connection normally, with a FIN. */
         public void end() throws IOException {
             socket.close();
         }
--- a/doorman/src/test/java/barleyspur/RehearsalTest.java
+++ b/doorman/src/test/java/barleyspur/RehearsalTest.java
@@ -7,7 +7,7 @@
 import io.netty.channel.nio.NioIoHandler;
 import org.junit.jupiter.api.Test;
 
-/** A rehearsal has to go through parsers, core and decisions to warm them: it shows in answers of whole bodies. */
+/** The warm-up has to run through parsers, core and routing policy, which shows in answers with complete bodies. */
 class RehearsalTest {
 
     @Test
--- a/doorman/src/test/java/barleyspur/channel/CommandChannelTest.java
+++ b/doorman/src/test/java/barleyspur/channel/CommandChannelTest.java
@@ -16,9 +16,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What becomes of the command channel when it breaks, stops or moves, on a clock that the test moves. */
+/** Tests the command channel on disconnects, missing heartbeats and address changes, with a manual clock. */
 class CommandChannelTest implements Clock {
 
+    /** A scheduled task. */
     private record Task(double at, Runnable run) {}
 
     private final List<Task> timers = new ArrayList<>();
@@ -103,8 +104,8 @@
     }
 
     /**
-     * Guards a channel that is well: its heartbeats may name a number from before. Given up for that, it was asked anew each
-     * 2 s, all day long.
+     * A heartbeat may carry an older command number. Treating that as an error made a healthy channel reconnect every
+     * 2 s.
      */
     @Test
     void aHeartbeatFromBeforeIsASignOfLife() {
@@ -114,7 +115,7 @@
         assertTrue(last().isOpen());
     }
 
-    /** Guards drains and purges: half a line is no sign of what is to come. */
+    /** Guards drains and purges: a partial line must not count as a heartbeat, since its rest may never arrive. */
     @Test
     void halfALineIsNoHeartbeat() {
         say(last(), "{\"cursor\":5,");
@@ -126,7 +127,7 @@
         assertResumes(2, 4);
     }
 
-    /** The old address tells nothing further, so waiting there for the end would cost the time to be told in. */
+    /** The old address delivers nothing more, so waiting there for the end of the connection would delay commands. */
     @Test
     void aMoveResumesAtOnceAndDropsTheConnectionBefore() {
         EmbeddedChannel before = last();
@@ -138,11 +139,11 @@
         assertEquals(List.of(1, 2, 3, 4), ports);
         assertFalse(before.isOpen());
         pass(CommandChannel.AGAIN_MS);
-        assertEquals(4, connections.size(), "the end of a connection that was left is no break");
+        assertEquals(4, connections.size(), "the end of a replaced connection causes no reconnect");
         say(last(), "{\"cursor\":5,\"drop\":{\"family\":17,\"when\":1764576000480}}\n");
         assertEquals(5, reader.cursor());
         channel.close();
         channel.moveTo(address(5));
-        assertEquals(4, connections.size(), "nothing is opened once the doorman has drained");
+        assertEquals(4, connections.size(), "no connection is opened after close");
     }
 }
--- a/doorman/src/test/java/barleyspur/channel/LinePropertiesTest.java
+++ b/doorman/src/test/java/barleyspur/channel/LinePropertiesTest.java
@@ -19,7 +19,7 @@
 import net.jqwik.api.constraints.StringLength;
 import org.json.JSONObject;
 
-/** The command channel's parsers against lines in pieces, gaps and garbage. */
+/** Property tests of the command channel's parsers: chunked lines, gaps and garbage. */
 class LinePropertiesTest implements Commands {
 
     private static final int MAX_LINE = 1_000;
@@ -69,7 +69,7 @@
         reader.known(new JSONObject("{\"cursor\":4,\"cmds\":[]}"));
         assertTrue(reader.line("4"));
         assertTrue(reader.line(DROP.formatted(5)));
-        assertTrue(reader.line(DROP.formatted(5)), "what was told already is passed over");
+        assertTrue(reader.line(DROP.formatted(5)), "a repeated command is skipped");
         assertEquals(List.of(17), told);
         assertFalse(reader.line(DROP.formatted(7)), "command 6 was missed");
         assertFalse(reader.line("6"), "a heartbeat shows that command 6 was missed");
--- a/doorman/src/test/java/barleyspur/depot/DepotClientTest.java
+++ b/doorman/src/test/java/barleyspur/depot/DepotClientTest.java
@@ -17,7 +17,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which connection a call goes out on while the list changes under it: six in ten boxes may be replaced in 7 s. */
+/** Tests which connection a call uses while the node list changes. Six in ten boxes may be replaced within 7 s. */
 class DepotClientTest {
 
     private static final InetSocketAddress HERE = new InetSocketAddress("127.0.0.1", 7_001);
@@ -70,8 +70,8 @@
     }
 
     /**
-     * A new box at the address of one that has gone gets connections of its own. Guards against its first calls going
-     * out on a connection to the process before, where they would be reset.
+     * A new box at the address of a removed one gets its own connections. Otherwise its first calls would go out on a
+     * connection to the previous process and be reset.
      */
     @Test
     void aBoxAtAnAddressTakenOverGetsItsOwnConnections() {
@@ -81,14 +81,14 @@
         client.retire(1);
         send(2, "b1");
         assertEquals(List.of(HERE, HERE), connects);
-        assertTrue(channels.get(0).isOpen(), "its call is still out");
+        assertTrue(channels.get(0).isOpen(), "its call is still open");
         channels.get(0).writeInbound(Resp.message(channels.get(0).alloc(), "a1", "LACK", "-", ""));
         channels.get(0).runPendingTasks();
         assertFalse(channels.get(0).isOpen());
         assertEquals(List.of(Result.MISS), ends);
     }
 
-    /** A box that the list moves or restarts is reached anew; the same listing twice changes nothing. */
+    /** A box that moves or restarts gets new connections; an unchanged listing has no effect. */
     @Test
     void aBoxThatMovesOrRestartsIsReachedAnewAndTheSameListingTwiceChangesNothing() {
         client.list(1, box(1, HERE, 0));
@@ -105,7 +105,10 @@
         assertEquals(List.of(HERE, HERE, THERE), connects);
     }
 
-    /** Calls to one box are spread over eight connections; of all that may be open a quarter is left to boxes that have none. */
+    /**
+     * Calls to one box are spread over eight connections. A quarter of all allowed connections is reserved for boxes
+     * that have none.
+     */
     @Test
     void connectionsToOneBoxAreFewAndCallsShareThem() {
         client.list(1, box(1, HERE, 0));
@@ -114,10 +117,13 @@
         }
         assertEquals(8, connects.size());
         send(1, "b");
-        assertEquals(9, connects.size(), "all are full");
+        assertEquals(9, connects.size(), "all existing connections are full");
     }
 
-    /** With all connections in use, idle ones to another box make room; where none is idle, a call never ran. */
+    /**
+     * When all connections are in use, idle ones to another box are closed. If none is idle, the call fails as one that
+     * never ran.
+     */
     @Test
     void idleConnectionsMakeRoomAndNoMoreAreOpened() {
         for (int i = 0; i < CONNECTIONS; i++) {
@@ -127,7 +133,7 @@
         client.list(1_000, box(1_000, THERE, 0));
         send(1_000, "b");
         soon.forEach(Runnable::run);
-        assertEquals(List.of(Result.CONNECT_FAILED), ends, "all have a call open");
+        assertEquals(List.of(Result.CONNECT_FAILED), ends, "every connection has an open call");
         channels.get(7).writeInbound(Resp.message(channels.get(7).alloc(), "a7", "LACK", "-", ""));
         send(1_000, "c");
         assertEquals(CONNECTIONS + 1, connects.size());
@@ -136,14 +142,14 @@
                 CONNECTIONS, channels.stream().filter(EmbeddedChannel::isOpen).count());
     }
 
-    /** What was never listed, or has gone twice, is no box: a call there ends as one that never ran. */
+    /** A box that was never listed, or was removed twice, is unknown: a call to it ends as one that never ran. */
     @Test
     void aCallToABoxThatIsNotListedNeverRan() {
         client.retire(9);
         client.retire(9);
         client.closeIdle(9);
         send(9, "a1");
-        assertEquals(List.of(), ends, "never from within the call");
+        assertEquals(List.of(), ends, "the listener is never notified from within the call");
         soon.forEach(Runnable::run);
         assertEquals(List.of(Result.CONNECT_FAILED), ends);
         assertEquals(List.of(), connects);
--- a/doorman/src/test/java/barleyspur/depot/DepotConnectionTest.java
+++ b/doorman/src/test/java/barleyspur/depot/DepotConnectionTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 import org.slf4j.LoggerFactory;
 
-/** What becomes of the calls on one connection. */
+/** Tests the calls on one connection. */
 class DepotConnectionTest {
 
     private static final int STREAMS = 2;
@@ -73,21 +73,21 @@
         channel.writeInbound(Resp.message(channel.alloc(), id, word, "-", ""));
     }
 
-    /** Guards a depot that writes in pieces of any size, down to one byte: the answer is read whole, once. */
+    /** A depot may write in chunks of any size, down to one byte: the answer is decoded completely and once. */
     @Test
     void anAnswerThatComesOneByteAtATimeIsReadWhole() {
         up();
         open("a");
         ByteBuf whole = Resp.message(channel.alloc(), "a", "DONE", "digest=4be0c1927d55a6f3", "bytes of the part");
         while (whole.isReadable()) {
-            assertEquals(List.of(), ends, "nothing before the last byte");
+            assertEquals(List.of(), ends, "no answer before the last byte");
             channel.writeInbound(whole.readRetainedSlice(1));
         }
         whole.release();
         assertEquals(List.of(Result.OK), ends);
     }
 
-    /** A call that is asked last before its first byte goes whether it may. */
+    /** Opens a call whose check before the write returns OK only while {@code admitted[0]} is true. */
     private DepotConnection.Call openIf(String id, boolean[] may) {
         return connection.open(id, waitedMs -> head(id), null, new Depots.AttemptListener() {
             @Override
@@ -102,21 +102,21 @@
         });
     }
 
-    /** Guards: what may no longer go when its connection is up is not written, and ends as one that never ran. */
+    /** A call that is rejected once its connection is established is not written, and ends as one that never ran. */
     @Test
     void aCallThatMayNoLongerGoIsNotWritten() {
         boolean[] may = {true};
         openIf("a", may);
         may[0] = false;
         up();
-        assertEquals(List.of(), ends, "never from within");
+        assertEquals(List.of(), ends, "the listener is never notified from within the call");
         assertTrue(channel.outboundMessages().isEmpty(), "nothing is written");
         later.forEach(Runnable::run);
         assertEquals(List.of(Result.FULL), ends);
         assertFalse(Result.FULL.mayHaveRun());
     }
 
-    /** Guards: a call that may not go and is cancelled before its end has none. */
+    /** A call that is rejected and then cancelled before its end was reported is not reported. */
     @Test
     void aCallThatMayNotGoAndIsCancelledHasNoEnd() {
         up();
@@ -127,7 +127,7 @@
         assertTrue(channel.outboundMessages().isEmpty());
     }
 
-    /** Guards: an end that gives up another call of the same connection must not bring that one a second end. */
+    /** A listener that cancels another call of the same connection must not cause a second end of that call. */
     @Test
     void aCallGivenUpByAnotherOnesEndHasNone() {
         up();
@@ -140,10 +140,10 @@
         open("c");
         channel.close();
         channel.runPendingTasks();
-        assertEquals(List.of(Result.RESET, Result.CANCELLED), ends, "a and c; b was given up");
+        assertEquals(List.of(Result.RESET, Result.CANCELLED), ends, "a and c; b was cancelled");
     }
 
-    /** Guards the depot's own time-out: what waited for its connection has that much less left. */
+    /** Guards the depot's own timeout: a call that waited for its connection has that much less time left. */
     @Test
     void theTimeThatACallWaitedIsToldToItsHead() {
         List<Double> waited = new ArrayList<>();
@@ -162,7 +162,7 @@
         assertEquals(List.of(300.0), waited);
     }
 
-    /** Guards: bytes that no depot sent must not pass for an object, however whole the message is. */
+    /** An answer without a body must not be taken for an object, even if the message is complete. */
     @Test
     void anAnswerWithoutItsBytesIsNone() {
         up();
@@ -184,7 +184,9 @@
         assertEquals(List.of(Result.MISS, Result.OK), ends);
     }
 
-    /** The answer to a cancelled attempt may cross its cancel: it must not pass for a later attempt's. */
+    /**
+     * The answer to a cancelled attempt may cross its cancel: it must not be taken for the answer to a later attempt.
+     */
     @Test
     void anIdThatIsOutOrCancelledIsNotUsedAgain() {
         up();
@@ -204,12 +206,12 @@
         open("b");
         channel.close();
         channel.runPendingTasks();
-        assertEquals(List.of(Result.RESET, Result.CANCELLED), ends, "one fault, however many were open");
+        assertEquals(List.of(Result.RESET, Result.CANCELLED), ends, "one fault, however many calls were open");
         assertFalse(connection.takes("c", STREAMS));
         assertEquals(1, closed);
     }
 
-    /** While clients are slow a depot keeps its answers to itself: they are not lost. */
+    /** While clients are slow, answers wait at the depot and are not lost. */
     @Test
     void whatIsNotReadIsNotLost() {
         up();
@@ -221,7 +223,7 @@
         assertEquals(List.of(Result.OK), ends);
     }
 
-    /** Nothing of a call was written before the connection was up, so it never ran. */
+    /** Nothing was written before the connection was established, so the call never ran. */
     @Test
     void aConnectionThatNeverComesUpProvesThatNothingRan() {
         connection.connecting(connect);
@@ -231,7 +233,7 @@
         assertEquals(List.of(Result.CONNECT_FAILED), ends);
     }
 
-    /** A second copy of an answer must not pass for a later attempt's. */
+    /** A duplicate answer must not be taken for the answer to a later attempt. */
     @Test
     void anAnswerThatComesTwiceCountsOnce() {
         up();
@@ -244,7 +246,7 @@
         assertTrue(connection.takes("b", STREAMS));
     }
 
-    /** Where an answer was never to come the connection stays open, but brings nothing any more. */
+    /** After a lost answer the connection may stay open without delivering anything more. */
     @Test
     void aConnectionThatHasFallenSilentIsNotUsedAgain() {
         up();
@@ -252,7 +254,7 @@
         now += DepotConnection.SILENT_MS + 1;
         assertFalse(connection.takes("b", STREAMS));
         answer("unknown", "DONE");
-        assertTrue(connection.takes("b", STREAMS), "it was only slow");
+        assertTrue(connection.takes("b", STREAMS), "the depot was only slow");
         now += DepotConnection.SILENT_MS + 1;
         call.cancel();
         channel.runPendingTasks();
--- a/doorman/src/test/java/barleyspur/depot/RespPropertiesTest.java
+++ b/doorman/src/test/java/barleyspur/depot/RespPropertiesTest.java
@@ -18,7 +18,7 @@
 import net.jqwik.api.constraints.Size;
 import net.jqwik.api.constraints.StringLength;
 
-/** The depots' parser against valid answers in pieces and against garbage. */
+/** Property tests of the depot protocol's decoder: chunked answers and garbage. */
 class RespPropertiesTest {
 
     private static byte[] answer(String id, String word, String fields, byte[] body) {
@@ -44,7 +44,7 @@
             assertEquals(List.of(id, "DONE", "digest=ab,how=h"), message.words());
             assertArrayEquals(body, Cuts.take(message.body()));
         }
-        read.forEach(o -> assertEquals(0, ((RespDecoder.Message) o).body().refCnt(), "nothing holds on to the bytes"));
+        read.forEach(o -> assertEquals(0, ((RespDecoder.Message) o).body().refCnt(), "the body is released"));
     }
 
     @Property(seed = "22")
--- a/doorman/src/test/java/barleyspur/doorman/DoormanTest.java
+++ b/doorman/src/test/java/barleyspur/doorman/DoormanTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The director's contract, with a director that does as each test says and a clock that the test moves. */
+/** Tests the core's side of the contract with the director, with a scripted director and a manual clock. */
 class DoormanTest {
 
     private static final NodeListing NODE =
@@ -34,6 +34,7 @@
         limits.retryAfter=true\nlimits.maxRetryAfterMs=700
         """;
 
+    /** A scheduled task; {@code cancelled} has one element. */
     private record Task(double at, int order, Runnable run, boolean[] cancelled) {}
 
     private double now = 1_000;
@@ -222,7 +223,7 @@
                 outcomes().stream().map(Director.Outcome::result).toList());
     }
 
-    /** A silent machine keeps its connections open: the time-out is the host's to keep. */
+    /** An unresponsive machine keeps its connections open, so the core has to enforce the timeout. */
     @Test
     void aSilentDepotIsTimedOutAndCancelled() {
         take(e -> sendAll(1, e));
@@ -231,7 +232,7 @@
         assertEquals(
                 List.of(Result.TIMEOUT),
                 outcomes().stream().map(Director.Outcome::result).toList());
-        assertFalse(outcomes().get(0).closed(), "the final answer is still owed");
+        assertFalse(outcomes().get(0).closed(), "the request still needs its final answer");
     }
 
     @Test
@@ -252,11 +253,11 @@
         assertEquals(0, body.refCnt());
     }
 
-    /** A fault in the decisions must not cost the client its answer, nor the process its life. */
+    /** An exception in the director must neither leave the client without an answer nor end the process. */
     @Test
     void aDirectorThatFailsCostsTheRequestAtOnce() {
         take(e -> {
-            throw new IllegalStateException("as a faulty decision would");
+            throw new IllegalStateException("simulated director failure");
         });
         assertEquals(List.of("failed"), answers);
         moveTo(2_004);
@@ -264,13 +265,13 @@
         assertEquals(0, body.refCnt());
     }
 
-    /** A fault over an outcome leaves nothing out for the request: neither attempts nor their timers. */
+    /** An exception while handling an outcome must leave neither attempts nor their timers behind. */
     @Test
     void aDirectorThatFailsOverAnOutcomeGivesUpTheRest() {
         take(e -> {
             sendAll(2, e);
             if (e instanceof Director.Outcome) {
-                throw new IllegalStateException("as a faulty decision would");
+                throw new IllegalStateException("simulated director failure");
             }
         });
         sent.get(0).ended(Answer.of(Result.MISS));
@@ -291,7 +292,7 @@
         assertEquals(List.of("failed"), answers);
     }
 
-    /** Two ends of one attempt may cross, such as its time-out and its connection's end: the first counts. */
+    /** Two causes may end the same attempt, such as its timeout and its connection's end: the first one counts. */
     @Test
     void anAttemptEndsOnce() {
         take(e -> sendAll(1, e));
@@ -304,7 +305,7 @@
         assertEquals(0, late.refCnt());
     }
 
-    /** Guards those who have gone, also where attempts may not be cancelled: what still waits does not go out. */
+    /** Once the client has left, attempts that still wait are not sent, even where cancels are not allowed. */
     @Test
     void nothingGoesOutForWhoHasGone() {
         take(e -> sendAll(1, e));
@@ -313,7 +314,10 @@
         assertEquals(Result.MOOT, sent.get(0).beforeWrite());
     }
 
-    /** Guards drains, cold nodes and purges: what waits for a connection was decided before they were told. */
+    /**
+     * Guards drains, cold nodes and purges: an attempt that waits for a connection was decided before the change was
+     * reported.
+     */
     @Test
     void whatIsToldOvertakesWhatHasNotGoneOut() {
         List<Runnable> news = List.of(
@@ -334,13 +338,14 @@
             doorman.listed(false, List.of(NODE));
             doorman.purgedObject(6, 900);
             doorman.purgedGroup(8, 900);
-            assertEquals(List.of(), outcomes(), "news of others");
+            assertEquals(List.of(), outcomes(), "changes that concern other nodes and objects");
             one.run();
-            assertEquals(List.of("attempt 1"), cancelled, "what has gone out goes on");
+            assertEquals(List.of("attempt 1"), cancelled, "an attempt that was written continues");
             assertEquals(
                     List.of(Result.MOOT),
                     outcomes().stream().map(Director.Outcome::result).toList());
-            assertFalse(events.get(events.size() - 2) instanceof Director.Outcome, "the news come first");
+            assertFalse(
+                    events.get(events.size() - 2) instanceof Director.Outcome, "the director gets the change first");
             sent.get(0).ended(ok(Unpooled.copiedBuffer(new byte[5])));
         }
     }
@@ -349,7 +354,7 @@
         return new NodeListing("s-1", new InetSocketAddress("127.0.0.1", port), 0, 0, 0, state, 1, bootMs);
     }
 
-    /** Guards repeats of keyed requests: one decided in time may not go out when its key is forgotten. */
+    /** A repeat that was decided in time but delayed must not be sent once its key may be forgotten. */
     @Test
     void aKeyedRepeatThatWaitedPastItsWindowDoesNotGo() {
         doorman.retune(
@@ -362,10 +367,10 @@
         now += 1;
         assertEquals(Result.MOOT, sent.get(1).beforeWrite());
         sent.get(0).ended(Answer.of(Result.FULL));
-        assertEquals(Result.OK, sent.get(1).beforeWrite(), "the first has never run");
+        assertEquals(Result.OK, sent.get(1).beforeWrite(), "the first attempt never ran");
     }
 
-    /** A spoilt answer may call any copy current: only the one that the client holds can be. */
+    /** A damaged answer may confirm any copy: only the copy that the client holds can be current. */
     @Test
     void onlyTheCopyThatTheClientHoldsIsCurrent() {
         take(e -> sendAll(2, e));
@@ -377,7 +382,7 @@
                 outcomes().stream().map(Director.Outcome::result).toList());
     }
 
-    /** Guards the last answers: what is still open when SIGKILL may come is failed, not left. */
+    /** Requests still open when SIGKILL may come are failed, not left without an answer. */
     @Test
     void aDrainFailsWhatIsOpenAtItsEnd() {
         boolean[] ended = new boolean[1];
@@ -425,8 +430,8 @@
     }
 
     /**
-     * The list may say a thing twice, speak of boxes that were never listed, and take up one again that had gone. Guards
-     * against losing the doorman, or the other boxes of the same event, by any of these.
+     * The list may repeat entries, name boxes that were never listed, and list removed boxes again. None of these may
+     * end the doorman or hide the other boxes of the same command.
      */
     @Test
     void listEventsThatComeTwiceOrForUnknownBoxesHarmNothing() {
@@ -449,13 +454,13 @@
         assertEquals(List.of(2L, 2L, 2L), retired);
     }
 
-    /** Two nodes under one number would get each other's requests. */
+    /** Two nodes with the same number would get each other's requests. */
     @Test
     void aNumberStandsForOneNode() {
         NodeListing same = new NodeListing("t-1", NODE.address(), 0, 0, 0, Director.State.READY, 1, 0);
         NodeListing named = new NodeListing("box", NODE.address(), 0, 0, 0, Director.State.READY, 1, 0);
         assertEquals(NODE.node(), same.node());
-        assertTrue(named.node() >= 1L << 32, "no number that an id may end in");
+        assertTrue(named.node() >= 1L << 32, "above all numbers that a uid may end in");
         doorman.listed(false, List.of(same, named));
         assertEquals(
                 List.of(named.node()),
@@ -473,7 +478,7 @@
         doorman.take(request("9b1f03aa5c7e2d4" + number, 7, Unpooled.EMPTY_BUFFER), clock.nowMs() - waitedMs, caller);
     }
 
-    /** Guards the last answer of each request: a process that has stood still for a while may do so again when it is due. */
+    /** A process that has stalled may stall again when the answer is due, so later requests get earlier deadlines. */
     @Test
     void requestsEndSoonerOnceTheProcessHasStoodStill() {
         List<Double> told = new ArrayList<>();
@@ -484,18 +489,21 @@
             }
         };
         takeThatWaited(2, 0);
-        assertEquals(850, told.get(0), 1e-6, "a quarter of the 600 ms after it was wanted");
+        assertEquals(850, told.get(0), 1e-6, "a quarter of the 600 ms after the target time");
         takeThatWaited(3, 200);
-        assertEquals(600, told.get(1), 1e-6, "200 ms waited, and as much again may be lost at its end");
+        assertEquals(600, told.get(1), 1e-6, "200 ms waited, and 200 ms reserved for another stall");
         takeThatWaited(4, 0);
         assertEquals(800, told.get(2), 1e-6);
         takeThatWaited(5, 900);
-        assertEquals(0, told.get(3), 1e-6, "its time is over");
+        assertEquals(0, told.get(3), 1e-6, "its time limit has passed");
         takeThatWaited(6, 0);
-        assertEquals(750, told.get(4), 1e-6, "a quarter at most");
+        assertEquals(750, told.get(4), 1e-6, "at most a quarter");
     }
 
-    /** Guards unsafe requests whose connect hung to the end: nothing went out, so the client may safely try again. */
+    /**
+     * Guards unsafe requests whose connect hung until the deadline: nothing was written, so the client may safely
+     * retry.
+     */
     @Test
     void whatNeverWentOutIsRefusedAndNotFailed() {
         take(e -> {
--- a/doorman/src/test/java/barleyspur/doorman/SilentDepots.java
+++ b/doorman/src/test/java/barleyspur/doorman/SilentDepots.java
@@ -1,6 +1,6 @@
 package barleyspur.doorman;
 
-/** Depots for tests of what stands in front of them: they take all and answer nothing. */
+/** A stub for tests of the layers above the depots: accepts everything and never answers. */
 public final class SilentDepots implements Depots {
 
     @Override
--- a/doorman/src/test/java/barleyspur/doorman/SocketPollsTest.java
+++ b/doorman/src/test/java/barleyspur/doorman/SocketPollsTest.java
@@ -5,7 +5,7 @@
 import io.netty.channel.SelectStrategy;
 import org.junit.jupiter.api.Test;
 
-/** Since when what a turn of the event loop reads may have waited. */
+/** Tests the lower bound for the arrival time of data that an iteration of the event loop reads. */
 class SocketPollsTest {
 
     private static final double LONGEST_WAIT_MS = 5_000;
@@ -27,7 +27,7 @@
         now = 5_000;
         polls.polled();
         now = 5_400;
-        assertEquals(5_000, polls.pendingSinceMs(), "the turn itself is long, and began with the end of the wait");
+        assertEquals(5_000, polls.pendingSinceMs(), "the iteration is long and began at the end of the wait");
     }
 
     @Test
@@ -59,7 +59,7 @@
         assertEquals(9_000, polls.pendingSinceMs());
     }
 
-    /** A process that stood still in a wait can't know when in it something came. */
+    /** A process that stalled during a wait can't know when during the wait its input arrived. */
     @Test
     void whatIsFoundAfterAStandstillMayHaveComeAtAnyMomentOfTheWait() throws Exception {
         now = 2_000;
--- a/doorman/src/test/java/barleyspur/lifecycle/LifecycleTest.java
+++ b/doorman/src/test/java/barleyspur/lifecycle/LifecycleTest.java
@@ -6,12 +6,12 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The phases of a doorman's lifecycle, on times that the test gives. */
+/** Tests the phases of a doorman's lifecycle, with times set by the test. */
 class LifecycleTest {
 
     private final Lifecycle lifecycle = new Lifecycle();
 
-    /** Guards health: no before the clients' address is bound, yes from then on. */
+    /** The health check fails until the client address is bound, and succeeds from then on. */
     @Test
     void healthSaysYesOnlyOnceItTakesClients() {
         assertFalse(lifecycle.ready());
@@ -21,22 +21,28 @@
         assertEquals(Lifecycle.Phase.SERVING, lifecycle.phase());
     }
 
-    /** Guards the drain: no at once on a quiesce, yes at once on a resume, idle connections closed meanwhile. */
+    /**
+     * The health check fails at once on a quiesce and succeeds at once on a resume; idle connections are closed in
+     * between.
+     */
     @Test
     void aQuiesceSaysNoUntilTheResume() {
         lifecycle.serving(0);
         assertTrue(lifecycle.quiesce(100));
-        assertFalse(lifecycle.quiesce(150), "a second call is nothing new");
+        assertFalse(lifecycle.quiesce(150), "a second call changes nothing");
         assertFalse(lifecycle.ready());
         assertTrue(lifecycle.closeWhenIdle());
-        assertTrue(lifecycle.listening(), "new connections still come for 0.2 s");
+        assertTrue(lifecycle.listening(), "new connections still arrive for 0.2 s");
         assertTrue(lifecycle.resume(5_000));
         assertTrue(lifecycle.ready());
         assertFalse(lifecycle.closeWhenIdle());
-        assertTrue(lifecycle.resume(5_100), "a resume of a serving doorman is a yes");
+        assertTrue(lifecycle.resume(5_100), "resuming a serving doorman succeeds");
     }
 
-    /** Guards the drain's rule on requests of the last 2 s: kept connections are refused from 1 s on. */
+    /**
+     * Guards the rule on requests of the last 2 s during a drain: requests on existing connections are refused after
+     * 1 s.
+     */
     @Test
     void quiescedRequestsAreTakenForASecond() {
         lifecycle.serving(0);
@@ -48,30 +54,32 @@
     }
 
     /**
-     * Guards an upgrade: with a successor the old process stops listening and hands its clients over. It takes what
-     * SIGKILL would excuse, and later only what is answered before SIGKILL can come; the rest is refused, so that
-     * SIGKILL finds nothing it would charge as lost.
+     * Guards an upgrade: with a successor, the old process stops listening. It accepts requests whose loss by SIGKILL
+     * is excused, and later only those answered before SIGKILL can come. It refuses the rest, so that SIGKILL leaves no
+     * request that counts as lost.
      */
     @Test
     void sigtermWithASuccessorHandsOff() {
         lifecycle.serving(0);
         double kill = Lifecycle.killAfterMs(4_740);
-        assertEquals(3_700, kill, "the longest deadline counts as 3 s, and 0.7 s more");
+        assertEquals(3_700, kill, "the longest deadline counts as at most 3 s, plus 0.7 s");
         lifecycle.leave(2_000, true, kill);
         assertEquals(Lifecycle.Phase.HANDING_OFF, lifecycle.phase());
         assertFalse(lifecycle.listening());
         assertTrue(lifecycle.closeWhenIdle());
-        assertTrue(lifecycle.takes(2_000 + Lifecycle.HANDING_OFF_TAKES_MS - 1, 4_000), "excused by SIGKILL's 0.7 s");
+        assertTrue(
+                lifecycle.takes(2_000 + Lifecycle.HANDING_OFF_TAKES_MS - 1, 4_000),
+                "within the 0.7 s that excuse a loss by SIGKILL");
         assertFalse(
                 lifecycle.takes(2_000 + Lifecycle.HANDING_OFF_TAKES_MS, 4_000), "it could still be open at SIGKILL");
         double left = 2_000 + kill - Lifecycle.KILL_MARGIN_MS - 3_000;
         assertTrue(lifecycle.takes(3_000, left - 1), "answered before SIGKILL");
         assertFalse(lifecycle.takes(3_000, left));
-        assertFalse(lifecycle.resume(3_000), "a process that leaves is not taken back");
+        assertFalse(lifecycle.resume(3_000), "a process that is leaving can't resume");
         assertFalse(lifecycle.ready());
     }
 
-    /** Guards a planned restart: without a successor new connections still come, and are all taken. */
+    /** Guards a planned restart: without a successor new connections still arrive, and all requests are accepted. */
     @Test
     void sigtermAloneGoesOnListening() {
         lifecycle.serving(0);
@@ -81,11 +89,14 @@
         assertTrue(lifecycle.listening());
         assertFalse(lifecycle.closeWhenIdle());
         assertTrue(lifecycle.takes(60_000, 4_000));
-        assertFalse(lifecycle.leave(2_100, true, 3_700), "a second SIGTERM is nothing new");
+        assertFalse(lifecycle.leave(2_100, true, 3_700), "a second SIGTERM changes nothing");
         assertEquals(Lifecycle.Phase.LEAVING, lifecycle.phase(), "the first SIGTERM decides");
     }
 
-    /** Guards the end of a planned restart: then all connections end, and only what SIGKILL leaves time for is taken. */
+    /**
+     * Guards the end of a planned restart: all connections close, and only requests answered before SIGKILL are
+     * accepted.
+     */
     @Test
     void onceAllHaveComeTheRestIsSentAway() {
         lifecycle.serving(0);
--- a/doorman/src/test/java/barleyspur/reload/RequestClassRegistryTest.java
+++ b/doorman/src/test/java/barleyspur/reload/RequestClassRegistryTest.java
@@ -10,7 +10,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Classes across retunes: numbers that stay, so that open requests keep the class they were taken under. */
+/**
+ * Tests that class numbers are stable across reloads, so that open requests keep the class they were accepted under.
+ */
 class RequestClassRegistryTest {
 
     private static RequestClass kind(Effect effect, double deadlineMs) {
@@ -25,7 +27,7 @@
     private final RequestClassRegistry start =
             RequestClassRegistry.of(List.of("parts", "files", "record"), List.of(PARTS, FILES, RECORD));
 
-    /** Guards open requests: an added class comes behind, and the numbers before stay as they were. */
+    /** An added class comes last, so the numbers of the existing classes, which open requests use, are unchanged. */
     @Test
     void anAddedClassComesBehind() {
         RequestClassRegistry.Retune r =
@@ -36,20 +38,20 @@
         assertEquals(List.of(PARTS, FILES, RECORD, FILES), r.table().classes());
     }
 
-    /** Guards a changed effect: new requests get it, an open one keeps the class it was taken under. */
+    /** New requests get the changed class; open requests keep the class they were accepted under. */
     @Test
     void aChangedClassGetsANewNumberAndTheOldOneStays() {
         RequestClass once = kind(Effect.UNSAFE, 2_000);
         RequestClassRegistry.Retune r = start.retune(List.of("parts", "files", "record"), List.of(PARTS, once, RECORD));
         assertEquals(List.of("files"), r.changed());
         assertEquals(3, r.table().number("files"));
-        assertEquals(FILES, r.table().classes().get(1), "open requests of number 1 keep what they were taken under");
+        assertEquals(FILES, r.table().classes().get(1), "open requests with number 1 keep their class");
         assertEquals(once, r.table().classes().get(3));
     }
 
     /**
-     * Guards clients that name a dropped class in the moment after the change: the name still stands for its class,
-     * and the reordered others keep their numbers.
+     * Clients may use a dropped class name shortly after the change: it keeps its class, and reordering the other
+     * classes doesn't change their numbers.
      */
     @Test
     void aDroppedNameStaysAndReorderingMovesNothing() {
@@ -60,7 +62,7 @@
         assertEquals(2, r.table().number("record"));
         assertEquals(1, r.table().number("files"));
         assertEquals(-1, r.table().number("never"));
-        assertEquals(3, r.table().classes().size(), "nothing new for the director");
+        assertEquals(3, r.table().classes().size(), "the director gets no new class");
     }
 
     @Test
--- a/doorman/src/test/java/barleyspur/upgrade/HandOffNoteTest.java
+++ b/doorman/src/test/java/barleyspur/upgrade/HandOffNoteTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The note by which an upgrade's old process learns that a successor listens. */
+/** Tests the file by which the old process of an upgrade learns that a successor listens. */
 class HandOffNoteTest {
 
     private static final InetSocketAddress LISTEN = new InetSocketAddress("127.0.0.1", 7001);
@@ -17,18 +17,18 @@
     @TempDir
     Path folder;
 
-    /** Guards the hand-off: the old process sees the new one, and the new one never sees itself. */
+    /** Guards the hand-off: the old process finds the new one, and the new one doesn't take itself for a successor. */
     @Test
     void theLastToListenIsTheSuccessor() throws IOException {
         HandOffNote note = new HandOffNote(folder, LISTEN);
         long self = ProcessHandle.current().pid();
-        assertEquals(-1, note.successorOf(self), "no note: nobody");
+        assertEquals(-1, note.successorOf(self), "no file");
         note.announce(self);
-        assertEquals(-1, note.successorOf(self), "its own note names nobody else");
-        assertEquals(self, note.successorOf(self + 1), "another process, still alive, is named");
+        assertEquals(-1, note.successorOf(self), "a process is not its own successor");
+        assertEquals(self, note.successorOf(self + 1), "another live process");
     }
 
-    /** Guards a plain SIGTERM after a successor has died: it is not handed off to a process that is gone. */
+    /** Guards a plain SIGTERM after a successor has died: a process that is gone is no successor. */
     @Test
     void aDeadOrUnreadableNoteNamesNobody() throws IOException {
         HandOffNote note = new HandOffNote(folder, LISTEN);
@@ -41,6 +41,6 @@
         assertEquals(
                 -1,
                 new HandOffNote(folder, new InetSocketAddress("127.0.0.1", 7002)).successorOf(1),
-                "another address has a note of its own");
+                "each address has its own file");
     }
 }
