--- a/doorman/src/main/java/barleyspur/Node.java
+++ b/doorman/src/main/java/barleyspur/DoormanServer.java
@@ -14,15 +14,15 @@
 import barleyspur.depot.DepotClient;
 import barleyspur.doorman.Clock;
 import barleyspur.doorman.Doorman;
-import barleyspur.doorman.LoopClock;
-import barleyspur.doorman.SocketPolls;
+import barleyspur.doorman.EventLoopClock;
+import barleyspur.doorman.SocketPollTimes;
 import barleyspur.fleet.net.FleetPort;
 import barleyspur.front.thrift.ThriftFront;
 import barleyspur.lifecycle.Lifecycle;
 import barleyspur.log.LogEvent;
 import barleyspur.reload.RequestClassRegistry;
 import barleyspur.transport.Connector;
-import barleyspur.upgrade.HandOffNote;
+import barleyspur.upgrade.ListenerPidFile;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
@@ -45,7 +45,7 @@
 /**
  * One doorman process: assembles its components on a single event loop thread, starts them, and shuts them down again.
  */
-public final class Node {
+public final class DoormanServer {
 
     private static final Logger LOG = LoggerFactory.getLogger("node");
     /**
@@ -54,41 +54,41 @@
      * needs about 20 descriptors itself, and during a burst up to 32 sockets are accepted, or closed but not yet
      * released, between two checks.
      */
-    private static final int SHARES = 3;
+    private static final int SOCKET_SHARES = 3;
 
-    private static final int OWN_SOCKETS = 64;
+    private static final int RESERVED_SOCKETS = 64;
     private static final long MEGABYTE = 1 << 20;
     /**
      * Unread answers may use one part in this many of the memory limit: their buffers were measured to occupy three
      * times the size of the answers.
      */
-    private static final int UNREAD_SHARE = 24;
+    private static final int UNREAD_MEMORY_DIVISOR = 24;
     /** Synthetic requests run before the start; by then the code on the path of a request is compiled. */
-    private static final int REHEARSED = 200;
+    private static final int WARM_UP_REQUESTS = 200;
     /** New requests may arrive for 0.6 s after SIGTERM and still have to be answered. */
-    private static final double DRAIN_MS = 750;
+    private static final double ACCEPT_AFTER_SIGTERM_MS = 750;
     /**
      * How long clients have to read their last answers and close before the process ends, if SIGKILL leaves that much
      * time.
      */
-    private static final double LAST_READ_MS = 1_000;
+    private static final double FINAL_READ_MS = 1_000;
 
     /** Reads the platform's configuration. */
-    public interface Source {
+    public interface ConfigurationSource {
         /** Returns the current configuration; an error names the invalid key. */
         Configuration read() throws Configuration.Invalid;
     }
 
     /** Reads the program's own settings. */
-    public interface OwnSource {
+    public interface OwnSettingsSource {
         /** Returns the current settings; an error names the invalid line. */
         OwnSettings read() throws Configuration.Invalid;
     }
 
     private Configuration configuration;
-    private final OwnSettings own;
+    private final OwnSettings ownSettings;
     /** Reads configurations one at a time, off the event loop. The thread ends when there is nothing to read. */
-    private final ThreadPoolExecutor reloads = new ThreadPoolExecutor(
+    private final ThreadPoolExecutor reloadExecutor = new ThreadPoolExecutor(
             0,
             1,
             1,
@@ -97,21 +97,21 @@
             new DefaultThreadFactory("reload", true),
             new ThreadPoolExecutor.DiscardPolicy());
 
-    private final SocketPolls polls = new SocketPolls();
-    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, polls.ioHandlers());
-    private final CountDownLatch ended = new CountDownLatch(1);
+    private final SocketPollTimes pollTimes = new SocketPollTimes();
+    private final EventLoopGroup eventLoops = new MultiThreadIoEventLoopGroup(1, pollTimes.ioHandlerFactory());
+    private final CountDownLatch stopped = new CountDownLatch(1);
     private final Doorman doorman;
-    private final CommandChannel channel;
+    private final CommandChannel commandChannel;
     private final ThriftFront front;
-    private final CommandReader commands;
+    private final CommandReader commandReader;
     private final Clock clock;
     private final Lifecycle lifecycle = new Lifecycle();
     /** The classes that requests may name; replaced by each reload that changes them. */
-    private RequestClassRegistry classes;
+    private RequestClassRegistry requestClasses;
     /** The server on the management address; null if the platform configures none. */
     private final AdminServer admin;
     /** Tells the two processes of an upgrade which of them listens; null without a management address. */
-    private final HandOffNote handOff;
+    private final ListenerPidFile listenerPidFile;
     /** The view of the other doormans; null without a fleet block in the settings. */
     private final Subsystem fleet;
     /** The budgets shared by all doormans; null without a budgets block in the settings. */
@@ -121,43 +121,47 @@
      * Creates a doorman with the optional components that its own settings enable; with empty settings it only does
      * what the platform requires.
      */
-    public Node(Configuration configuration, OwnSettings own) {
-        this(configuration, own, LoopClock::new);
+    public DoormanServer(Configuration configuration, OwnSettings ownSettings) {
+        this(configuration, ownSettings, EventLoopClock::new);
     }
 
     /** Creates a doorman with a custom clock, made for its event loop, for tests of clocks that drift. */
-    public Node(Configuration configuration, OwnSettings own, BiFunction<EventLoop, SocketPolls, Clock> clocks) {
+    public DoormanServer(
+            Configuration configuration,
+            OwnSettings ownSettings,
+            BiFunction<EventLoop, SocketPollTimes, Clock> clockFactory) {
         this.configuration = configuration;
-        this.own = own;
+        this.ownSettings = ownSettings;
         Configuration.Limits limits = configuration.limits();
         Director.Settings settings = configuration.settings();
-        clock = clocks.apply(group.next(), polls);
+        clock = clockFactory.apply(eventLoops.next(), pollTimes);
         DepotClient depots = new DepotClient(
-                Connector.tcp(group, limits.connectTimeoutMs()),
+                Connector.tcp(eventLoops, limits.connectTimeoutMs()),
                 clock,
-                new DepotClient.Limits(limits.streams(), limits.idleMs(), limits.sockets() / SHARES),
+                new DepotClient.Limits(limits.streams(), limits.idleMs(), limits.sockets() / SOCKET_SHARES),
                 settings.reportFields());
         Director director = new Decide(settings, configuration.seed());
         // The configuration's seed is not used here: several doormans, and successive processes of one, may share it
         // but have to be distinguishable.
-        long life = own.fleet() == null ? 0 : new SecureRandom().nextLong();
-        FleetPort port = own.fleet() == null
+        long incarnation = ownSettings.fleet() == null ? 0 : new SecureRandom().nextLong();
+        FleetPort fleetPort = ownSettings.fleet() == null
                 ? null
                 : new FleetPort(
-                        group,
+                        eventLoops,
                         clock,
-                        own.fleet(),
+                        ownSettings.fleet(),
                         lifecycle,
                         configuration.name(),
                         configuration.names().zones().get(settings.zone()),
                         version(),
                         configuration.digest(),
                         System.currentTimeMillis(),
-                        life);
-        fleet = port;
-        budgets = own.budgets() == null
+                        incarnation);
+        fleet = fleetPort;
+        budgets = ownSettings.budgets() == null
                 ? null
-                : new BudgetPort(port, clock, own.budgets().terms(), configuration.name(), life + 1);
+                : new BudgetPort(
+                        fleetPort, clock, ownSettings.budgets().terms(), configuration.name(), incarnation + 1);
         doorman = new Doorman(
                 settings,
                 limits.maxOpen(),
@@ -169,74 +173,84 @@
                                 depots,
                                 budgets,
                                 clock,
-                                own.budgets().terms(),
-                                own.budgets().guarded(configuration.names().kinds())));
-        commands = new CommandReader(
+                                ownSettings.budgets().terms(),
+                                ownSettings
+                                        .budgets()
+                                        .guarded(configuration.names().kinds())));
+        commandReader = new CommandReader(
                 configuration.names().zones(), configuration.names().kinds(), doorman);
-        channel = new CommandChannel(
-                Connector.tcp(group, CommandChannel.CONNECT_TIMEOUT_MS), configuration.channel(), clock, commands);
-        classes = RequestClassRegistry.of(configuration.names().classes(), settings.classes());
+        commandChannel = new CommandChannel(
+                Connector.tcp(eventLoops, CommandChannel.CONNECT_TIMEOUT_MS),
+                configuration.channel(),
+                clock,
+                commandReader);
+        requestClasses = RequestClassRegistry.of(configuration.names().classes(), settings.classes());
         front = new ThriftFront(
-                group,
+                eventLoops,
                 doorman,
                 clock,
-                classes,
-                Math.max(limits.sockets() / SHARES + 1, limits.sockets() - limits.sockets() / SHARES - OWN_SOCKETS),
-                limits.memoryMb() * MEGABYTE / UNREAD_SHARE,
+                requestClasses,
+                Math.max(
+                        limits.sockets() / SOCKET_SHARES + 1,
+                        limits.sockets() - limits.sockets() / SOCKET_SHARES - RESERVED_SOCKETS),
+                limits.memoryMb() * MEGABYTE / UNREAD_MEMORY_DIVISOR,
                 depots::pauseReading,
                 lifecycle,
                 configuration.mgmt() != null);
         if (configuration.mgmt() == null) {
             admin = null;
-            handOff = null;
+            listenerPidFile = null;
         } else {
             // Only a platform that configures a management address runs upgrades with two processes side by side.
             Routes.Builder routes =
-                    new LifecycleCalls(lifecycle, clock, this::lifecycleChanged).addTo(Routes.builder());
+                    new LifecycleCalls(lifecycle, clock, this::onLifecycleChanged).addTo(Routes.builder());
             if (fleet != null) {
                 fleet.addTo(routes);
             }
             if (budgets != null) {
                 budgets.addTo(routes);
             }
-            admin = new AdminServer(group, clock, routes.build());
-            handOff = new HandOffNote(configuration.scratch(), configuration.listen());
+            admin = new AdminServer(eventLoops, clock, routes.build());
+            listenerPidFile = new ListenerPidFile(configuration.scratch(), configuration.listen());
         }
     }
 
     private static String version() {
-        String version = Node.class.getPackage().getImplementationVersion();
+        String version = DoormanServer.class.getPackage().getImplementationVersion();
         return version == null ? "" : version;
     }
 
-    private void lifecycleChanged() {
+    private void onLifecycleChanged() {
         front.closeIdle();
         if (fleet != null) {
-            fleet.refresh();
+            fleet.onLifecycleChange();
         }
     }
 
     /** Warms up, applies the commands known at start, then listens. Throws if an address can't be bound. */
     public void start() throws IOException, InterruptedException, ExecutionException {
-        long answered = group.submit(() -> new Rehearsal(group, configuration).play(REHEARSED))
+        long answerBytes = eventLoops
+                .submit(() -> new WarmUp(eventLoops, configuration).run(WARM_UP_REQUESTS))
                 .get();
-        LogEvent.log(LOG.atInfo(), "rehearsed", "requests", REHEARSED, "bytes", answered);
-        group.submit(() -> {
-                    commands.known(configuration.known());
-                    channel.start();
+        LogEvent.log(LOG.atInfo(), "rehearsed", "requests", WARM_UP_REQUESTS, "bytes", answerBytes);
+        eventLoops
+                .submit(() -> {
+                    commandReader.readInitial(configuration.known());
+                    commandChannel.connect();
                 })
                 .sync();
-        listen(front.listen(configuration.listen()), configuration.listen());
-        group.submit(() -> {
-                    lifecycle.serving(clock.nowMs());
+        awaitBound(front.listen(configuration.listen()), configuration.listen());
+        eventLoops
+                .submit(() -> {
+                    lifecycle.startServing(clock.nowMs());
                     if (fleet != null) {
                         fleet.start();
                     }
                 })
                 .sync();
         if (admin != null) {
-            listen(admin.listen(configuration.mgmt()), configuration.mgmt());
-            handOff.announce(ProcessHandle.current().pid());
+            awaitBound(admin.listen(configuration.mgmt()), configuration.mgmt());
+            listenerPidFile.write(ProcessHandle.current().pid());
         }
         LogEvent.log(
                 LOG.atInfo(),
@@ -249,10 +263,10 @@
                 configuration.mgmt());
     }
 
-    private void listen(ChannelFuture future, InetSocketAddress address) throws IOException, InterruptedException {
+    private void awaitBound(ChannelFuture future, InetSocketAddress address) throws IOException, InterruptedException {
         ChannelFuture bound = future.await();
         if (!bound.isSuccess()) {
-            end();
+            shutDown();
             throw new IOException(
                     "can't listen on " + address + ": " + bound.cause().getMessage());
         }
@@ -262,13 +276,13 @@
      * Reloads the configuration and applies it; if it is invalid, logs the error and keeps the previous one. If several
      * calls come at once, the last ones are dropped, as a reload that is still waiting will read the same files.
      */
-    public void reload(Source source, OwnSource ownSource) {
-        reloads.execute(() -> {
+    public void reload(ConfigurationSource configurationSource, OwnSettingsSource ownSettingsSource) {
+        reloadExecutor.execute(() -> {
             try {
-                OwnSettings nextOwn = ownSource.read();
-                Configuration next = source.read();
-                group.execute(() -> apply(next));
-                group.execute(() -> apply(nextOwn));
+                OwnSettings nextOwnSettings = ownSettingsSource.read();
+                Configuration next = configurationSource.read();
+                eventLoops.execute(() -> apply(next));
+                eventLoops.execute(() -> apply(nextOwnSettings));
             } catch (RejectedExecutionException e) {
                 // The event loop has shut down meanwhile, so there is nothing left to update.
             } catch (Configuration.Invalid e) {
@@ -279,10 +293,13 @@
 
     /** Applies changed own settings. Only the amounts and weights of budgets take effect without a restart. */
     private void apply(OwnSettings next) {
-        List<String> fixed = own.fixedChanges(next);
-        if (!fixed.isEmpty()) {
+        List<String> restartKeys = ownSettings.fixedChanges(next);
+        if (!restartKeys.isEmpty()) {
             LogEvent.log(
-                    LOG.atWarn(), "reload: changes that count from the next start on", "keys", String.join(",", fixed));
+                    LOG.atWarn(),
+                    "reload: changes that count from the next start on",
+                    "keys",
+                    String.join(",", restartKeys));
         }
         if (budgets != null && next.budgets() != null) {
             budgets.retune(next.budgets().terms());
@@ -290,33 +307,36 @@
     }
 
     private void apply(Configuration next) {
-        List<String> fixed = configuration.fixedChanges(next);
-        if (!fixed.isEmpty()) {
+        List<String> restartKeys = configuration.fixedChanges(next);
+        if (!restartKeys.isEmpty()) {
             LogEvent.log(
-                    LOG.atWarn(), "reload: changes that count from the next start on", "keys", String.join(",", fixed));
+                    LOG.atWarn(),
+                    "reload: changes that count from the next start on",
+                    "keys",
+                    String.join(",", restartKeys));
         }
-        RequestClassRegistry.Retune retune =
-                classes.retune(next.names().classes(), next.settings().classes());
+        RequestClassRegistry.Update update =
+                requestClasses.update(next.names().classes(), next.settings().classes());
         int attempts = next.settings().maxAttempts();
-        if (!retune.same() || attempts != configuration.settings().maxAttempts()) {
-            classes = retune.table();
-            doorman.retune(configuration.settings().retuned(classes.classes(), attempts));
-            front.retune(classes);
+        if (!update.isUnchanged() || attempts != configuration.settings().maxAttempts()) {
+            requestClasses = update.registry();
+            doorman.applySettings(configuration.settings().retuned(requestClasses.classes(), attempts));
+            front.retune(requestClasses);
             LogEvent.log(
                     LOG.atInfo(),
                     "reload: classes retuned",
                     "added",
-                    String.join(",", retune.added()),
+                    String.join(",", update.added()),
                     "changed",
-                    String.join(",", retune.changed()),
+                    String.join(",", update.changed()),
                     "dropped",
-                    String.join(",", retune.dropped()),
+                    String.join(",", update.dropped()),
                     "attempts",
                     attempts);
         }
         LOG.info("reload: done");
         configuration = configuration.retuned(next);
-        channel.moveTo(next.channel());
+        commandChannel.reconnectTo(next.channel());
     }
 
     /**
@@ -326,57 +346,58 @@
      * here because this method runs off the event loop.
      */
     public void drain() {
-        long successor = handOff == null
+        long successor = listenerPidFile == null
                 ? -1
-                : handOff.successorOf(ProcessHandle.current().pid());
+                : listenerPidFile.liveSuccessorOf(ProcessHandle.current().pid());
         try {
-            group.execute(() -> leave(successor));
+            eventLoops.execute(() -> startLeaving(successor));
         } catch (RejectedExecutionException e) {
             // The event loop has shut down already, after a drain or a failed start.
         }
     }
 
-    private void leave(long successor) {
-        boolean served = lifecycle.phase() != Lifecycle.Phase.STARTING;
-        if (!lifecycle.leave(clock.nowMs(), successor >= 0, Lifecycle.killAfterMs(classes.longestDeadlineMs()))) {
+    private void startLeaving(long successor) {
+        boolean wasServing = lifecycle.phase() != Lifecycle.Phase.STARTING;
+        if (!lifecycle.startLeaving(
+                clock.nowMs(), successor >= 0, Lifecycle.earliestKillAfterMs(requestClasses.longestDeadlineMs()))) {
             return;
         }
         LogEvent.log(LOG.atInfo(), "leaving", "successor", successor);
-        if (served && !lifecycle.listening()) {
+        if (wasServing && !lifecycle.shouldListen()) {
             front.stopListening();
             front.closeIdle();
         }
         if (fleet != null) {
-            fleet.refresh();
+            fleet.onLifecycleChange();
         }
-        double graceMs = served && lifecycle.listening() ? DRAIN_MS : 0;
-        if (lifecycle.listening()) {
-            clock.after(graceMs, () -> {
-                lifecycle.graceOver();
+        double graceMs = wasServing && lifecycle.shouldListen() ? ACCEPT_AFTER_SIGTERM_MS : 0;
+        if (lifecycle.shouldListen()) {
+            clock.schedule(graceMs, () -> {
+                lifecycle.endGrace();
                 front.closeIdle();
             });
         }
-        doorman.drain(graceMs, lifecycle.answeredByMs() - clock.nowMs(), () -> {
-            lifecycle.graceOver();
-            front.close(Math.max(LAST_READ_MS, lifecycle.answeredByMs() - clock.nowMs()), this::left);
+        doorman.drain(graceMs, lifecycle.answerDeadlineMs() - clock.nowMs(), () -> {
+            lifecycle.endGrace();
+            front.close(Math.max(FINAL_READ_MS, lifecycle.answerDeadlineMs() - clock.nowMs()), this::stopSubsystems);
         });
     }
 
-    private void left() {
-        channel.close();
+    private void stopSubsystems() {
+        commandChannel.close();
         if (fleet == null) {
-            end();
+            shutDown();
         } else {
-            fleet.leave(this::end);
+            fleet.stop(this::shutDown);
         }
     }
 
-    private void end() {
-        group.shutdownGracefully(0, 1, TimeUnit.SECONDS).addListener(done -> ended.countDown());
+    private void shutDown() {
+        eventLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS).addListener(done -> stopped.countDown());
     }
 
     /** Waits until the process has shut down after a drain. */
     public void awaitEnd() throws InterruptedException {
-        ended.await();
+        stopped.await();
     }
 }
--- a/doorman/src/main/java/barleyspur/Subsystem.java
+++ b/doorman/src/main/java/barleyspur/Subsystem.java
@@ -15,8 +15,8 @@
     void start();
 
     /** Called when the doorman's lifecycle has changed. */
-    void refresh();
+    void onLifecycleChange();
 
     /** Announces that the doorman is about to end, then runs {@code whenStopped}. */
-    void leave(Runnable left);
+    void stop(Runnable whenStopped);
 }
--- a/doorman/src/main/java/barleyspur/Rehearsal.java
+++ b/doorman/src/main/java/barleyspur/WarmUp.java
@@ -29,45 +29,45 @@
  * clock, and discards all resulting state. Without this, loading and compiling code held up the first clients after a
  * start for a second on part of a core. The build runs it as well, to record which classes have to be loaded.
  */
-final class Rehearsal implements Clock {
+final class WarmUp implements Clock {
 
-    private static final int CACHES = 8;
-    private static final int PARTS = 16;
-    private static final int CLIENTS = 4;
-    static final int BODY = 8_000;
+    private static final int CACHE_COUNT = 8;
+    private static final int PART_COUNT = 16;
+    private static final int CLIENT_COUNT = 4;
+    static final int BODY_BYTES = 8_000;
     private static final double STEP_MS = 3;
 
     /** A scheduled task; {@code run} holds null once the task is cancelled. */
-    private record Task(double at, long order, AtomicReference<Runnable> run) {}
+    private record Task(double dueMs, long sequence, AtomicReference<Runnable> run) {}
 
     private final PriorityQueue<Task> timers =
-            new PriorityQueue<>(Comparator.comparingDouble(Task::at).thenComparingLong(Task::order));
-    private final EventLoopGroup group;
+            new PriorityQueue<>(Comparator.comparingDouble(Task::dueMs).thenComparingLong(Task::sequence));
+    private final EventLoopGroup eventLoops;
     private final Configuration configuration;
     private final List<EmbeddedChannel> depots = new ArrayList<>();
-    private double now = 1_000_000;
-    private long tasks;
+    private double nowMs = 1_000_000;
+    private long taskCount;
 
-    Rehearsal(EventLoopGroup group, Configuration configuration) {
-        this.group = group;
+    WarmUp(EventLoopGroup eventLoops, Configuration configuration) {
+        this.eventLoops = eventLoops;
         this.configuration = configuration;
     }
 
     @Override
     public double nowMs() {
-        return now;
+        return nowMs;
     }
 
     @Override
-    public Timer after(double delayMs, Runnable run) {
+    public Timer schedule(double delayMs, Runnable run) {
         AtomicReference<Runnable> due = new AtomicReference<>(run);
-        timers.add(new Task(now + delayMs, tasks++, due));
+        timers.add(new Task(nowMs + delayMs, taskCount++, due));
         return () -> due.set(null);
     }
 
     /** Runs this many requests and returns the number of answer bytes that the clients received. */
-    long play(int requests) {
-        long answered = 0;
+    long run(int requests) {
+        long answerBytes = 0;
         Director.Settings settings = configuration.settings();
         DepotClient client = new DepotClient(
                 (address, handlers) -> {
@@ -76,47 +76,47 @@
                     return depot.newSucceededFuture();
                 },
                 this,
-                new DepotClient.Limits(configuration.limits().streams(), Integer.MAX_VALUE, CACHES * 8),
+                new DepotClient.Limits(configuration.limits().streams(), Integer.MAX_VALUE, CACHE_COUNT * 8),
                 settings.reportFields());
         Doorman doorman = new Doorman(settings, requests, new Decide(settings, 1), this, client);
-        doorman.listed(true, listings(settings));
+        doorman.onNodeList(true, listings(settings));
         Lifecycle lifecycle = new Lifecycle();
-        lifecycle.serving(now);
+        lifecycle.startServing(nowMs);
         ThriftFront front = new ThriftFront(
-                group,
+                eventLoops,
                 doorman,
                 this,
                 RequestClassRegistry.of(configuration.names().classes(), settings.classes()),
-                CLIENTS,
+                CLIENT_COUNT,
                 Long.MAX_VALUE,
                 full -> {},
                 lifecycle,
                 false);
         List<EmbeddedChannel> clients = new ArrayList<>();
-        for (int i = 0; i < CLIENTS; i++) {
+        for (int i = 0; i < CLIENT_COUNT; i++) {
             clients.add(new EmbeddedChannel(front.acceptor()));
         }
         for (int i = 0; i < requests; i++) {
-            clients.get(i % CLIENTS).writeInbound(dispatch(i));
+            clients.get(i % CLIENT_COUNT).writeInbound(requestFrame(i));
             for (EmbeddedChannel depot : List.copyOf(depots)) {
                 answer(depot, i);
             }
-            pass();
-            for (ByteBuf part = clients.get(i % CLIENTS).readOutbound();
+            advance();
+            for (ByteBuf part = clients.get(i % CLIENT_COUNT).readOutbound();
                     part != null;
-                    part = clients.get(i % CLIENTS).readOutbound()) {
-                answered += part.readableBytes();
+                    part = clients.get(i % CLIENT_COUNT).readOutbound()) {
+                answerBytes += part.readableBytes();
                 part.release();
             }
         }
         clients.forEach(EmbeddedChannel::finishAndReleaseAll);
         depots.forEach(EmbeddedChannel::finishAndReleaseAll);
-        return answered;
+        return answerBytes;
     }
 
-    private void pass() {
-        now += STEP_MS;
-        while (!timers.isEmpty() && timers.peek().at() <= now) {
+    private void advance() {
+        nowMs += STEP_MS;
+        while (!timers.isEmpty() && timers.peek().dueMs() <= nowMs) {
             Runnable due = timers.poll().run().get();
             if (due != null) {
                 due.run();
@@ -126,8 +126,8 @@
 
     private static List<NodeListing> listings(Director.Settings settings) {
         List<NodeListing> listings = new ArrayList<>();
-        for (int i = 0; i < CACHES + 2; i++) {
-            int kind = i < CACHES ? 0 : i == CACHES ? settings.parentKind() : settings.originKind();
+        for (int i = 0; i < CACHE_COUNT + 2; i++) {
+            int kind = i < CACHE_COUNT ? 0 : i == CACHE_COUNT ? settings.parentKind() : settings.originKind();
             listings.add(new NodeListing(
                     "s-" + i, new InetSocketAddress(1), settings.zone(), kind, 0, Director.State.READY, 1, 0));
         }
@@ -135,7 +135,7 @@
     }
 
     /** Returns the frame of a request; most requests repeat earlier parts, as clients do. */
-    private ByteBuf dispatch(int number) {
+    private ByteBuf requestFrame(int number) {
         int category = number % configuration.names().classes().size();
         String object = hex(number * number % 97);
         Map<String, String> fields = Map.of(
@@ -149,16 +149,16 @@
                 "o",
                 object,
                 "seg",
-                Integer.toString(number % PARTS),
+                Integer.toString(number % PART_COUNT),
                 "bucket",
                 "1",
                 "m",
                 "100.5");
         ByteBuf frame = Unpooled.buffer().writeInt(0).writeInt(0x80010001);
-        text(frame, "dispatch").writeInt(number / CLIENTS + 1);
+        writeText(frame, "dispatch").writeInt(number / CLIENT_COUNT + 1);
         frame.writeByte(13).writeShort(1).writeByte(11).writeByte(11).writeInt(fields.size());
-        fields.forEach((name, value) -> text(text(frame, name), value));
-        text(frame.writeByte(11).writeShort(2), "").writeByte(0);
+        fields.forEach((name, value) -> writeText(writeText(frame, name), value));
+        writeText(frame.writeByte(11).writeShort(2), "").writeByte(0);
         return frame.setInt(0, frame.readableBytes() - Integer.BYTES);
     }
 
@@ -166,26 +166,27 @@
         return Long.toHexString(1L << 60 | number);
     }
 
-    private static ByteBuf text(ByteBuf out, String text) {
-        return out.writeInt(text.length()).writeBytes(text.getBytes(StandardCharsets.US_ASCII));
+    private static ByteBuf writeText(ByteBuf buffer, String text) {
+        return buffer.writeInt(text.length()).writeBytes(text.getBytes(StandardCharsets.US_ASCII));
     }
 
     /** Answers everything that was sent to a depot, in most cases with a body. */
     private static void answer(EmbeddedChannel depot, int number) {
         for (ByteBuf sent = depot.readOutbound(); sent != null; sent = depot.readOutbound()) {
-            String head = sent.toString(StandardCharsets.US_ASCII);
+            String header = sent.toString(StandardCharsets.US_ASCII);
             sent.release();
-            if (head.startsWith("*4\r\n$5\r\nserve\r\n$16\r\n")) {
-                String id = head.substring(20, 36);
-                boolean lack = number % 50 == 0;
+            if (header.startsWith("*4\r\n$5\r\nserve\r\n$16\r\n")) {
+                String id = header.substring(20, 36);
+                boolean isMiss = number % 50 == 0;
                 ByteBuf answer = Unpooled.buffer();
                 ByteBufUtil.writeAscii(
                         answer,
-                        "*4\r\n$16\r\n" + id + "\r\n$4\r\n" + (lack ? "LACK" : "DONE")
-                                + "\r\n$40\r\nhow=h,digest=4be0c1927d55a6f3,dated=1000\r\n$" + (lack ? 0 : BODY)
+                        "*4\r\n$16\r\n" + id + "\r\n$4\r\n" + (isMiss ? "LACK" : "DONE")
+                                + "\r\n$40\r\nhow=h,digest=4be0c1927d55a6f3,dated=1000\r\n$" + (isMiss ? 0 : BODY_BYTES)
                                 + "\r\n");
-                depot.writeInbound(
-                        answer.writeZero(lack ? 0 : BODY).writeByte('\r').writeByte('\n'));
+                depot.writeInbound(answer.writeZero(isMiss ? 0 : BODY_BYTES)
+                        .writeByte('\r')
+                        .writeByte('\n'));
             }
         }
     }
--- a/doorman/src/main/java/barleyspur/admin/AdminConnection.java
+++ b/doorman/src/main/java/barleyspur/admin/AdminConnection.java
@@ -43,7 +43,7 @@
     public void channelActive(ChannelHandlerContext ctx) {
         channel = ctx.channel();
         closing = new LingeringClose(channel, clock);
-        late = clock.after(
+        late = clock.schedule(
                 CALL_MS, () -> answer(HttpAnswer.problem(408, "no whole call within " + (long) CALL_MS + " ms")));
         ctx.fireChannelActive();
     }
@@ -83,7 +83,7 @@
     public void channelInactive(ChannelHandlerContext ctx) {
         if (late != null) {
             late.cancel();
-            closing.closed();
+            closing.onClosed();
         }
         server.called(ctx.channel());
         ctx.fireChannelInactive();
--- a/doorman/src/main/java/barleyspur/admin/LifecycleCalls.java
+++ b/doorman/src/main/java/barleyspur/admin/LifecycleCalls.java
@@ -32,7 +32,7 @@
 
     /** Adds the calls to {@code routes}. */
     public Routes.Builder addTo(Routes.Builder routes) {
-        return routes.add("GET", "/admin/health", call -> state(lifecycle.ready() ? OK : UNAVAILABLE))
+        return routes.add("GET", "/admin/health", call -> state(lifecycle.isReady() ? OK : UNAVAILABLE))
                 .add("PUT", "/admin/quiesce", call -> quiesce())
                 .add("PUT", "/admin/resume", call -> resume());
     }
@@ -59,7 +59,7 @@
     private HttpAnswer state(int status) {
         return HttpAnswer.json(
                 status,
-                "{\"ready\":" + lifecycle.ready() + ",\"phase\":\""
-                        + lifecycle.phase().word() + "\"}");
+                "{\"ready\":" + lifecycle.isReady() + ",\"phase\":\""
+                        + lifecycle.phase().label() + "\"}");
     }
 }
--- a/doorman/src/main/java/barleyspur/budget/net/BudgetPort.java
+++ b/doorman/src/main/java/barleyspur/budget/net/BudgetPort.java
@@ -7,8 +7,8 @@
 import barleyspur.budget.Share;
 import barleyspur.budget.Terms;
 import barleyspur.budget.Word;
-import barleyspur.doorman.CappedLog;
 import barleyspur.doorman.Clock;
+import barleyspur.doorman.RateLimitedLog;
 import barleyspur.fleet.Saying;
 import barleyspur.fleet.net.FleetPort;
 import barleyspur.fleet.net.Passenger;
@@ -33,7 +33,7 @@
     private final Terms terms;
     private final String name;
     private final long seed;
-    private final CappedLog capped;
+    private final RateLimitedLog capped;
     private final WordCodec codec = new WordCodec();
     private final Counter taken;
     private final Counter turnedAway;
@@ -55,7 +55,7 @@
         this.terms = terms;
         this.name = name;
         this.seed = seed;
-        capped = new CappedLog(LOG, clock);
+        capped = new RateLimitedLog(LOG, clock);
         metrics = fleet.metrics();
         taken = metrics.counter("budget.taken");
         turnedAway = metrics.counter("budget.turned.away");
@@ -168,7 +168,7 @@
                 timer.cancel();
             }
             timerAtMs = due;
-            timer = clock.after(Math.max(0, due - clock.nowMs()), this::tick);
+            timer = clock.schedule(Math.max(0, due - clock.nowMs()), this::tick);
         }
     }
 
--- a/doorman/src/main/java/barleyspur/budget/net/GuardedDepots.java
+++ b/doorman/src/main/java/barleyspur/budget/net/GuardedDepots.java
@@ -92,30 +92,30 @@
         }
 
         @Override
-        public void sent() {
-            listener.sent();
+        public void onSent() {
+            listener.onSent();
             double now = clock.nowMs();
             shares.forEach(s -> s.sent(takenMs, now));
             if (!places.isEmpty()) {
-                longest = clock.after(holdMs, () -> {
+                longest = clock.schedule(holdMs, () -> {
                     if (!over) {
                         // Longer than a place may be held.
                         call.cancel();
-                        ended(Answer.of(Result.TIMEOUT));
+                        onEnd(Answer.of(Result.TIMEOUT));
                     }
                 });
             }
         }
 
         @Override
-        public void ended(Answer answer) {
+        public void onEnd(Answer answer) {
             over = true;
             if (answer.result() == Result.RESET) {
                 freeWhenDone();
             } else {
                 giveBack();
             }
-            listener.ended(answer);
+            listener.onEnd(answer);
         }
 
         @Override
@@ -131,7 +131,7 @@
         /** The node may still be at it: its place is free when it must be done. */
         private void freeWhenDone() {
             if (!places.isEmpty()) {
-                clock.after(Math.max(0, takenMs + holdMs - clock.nowMs()), this::giveBack);
+                clock.schedule(Math.max(0, takenMs + holdMs - clock.nowMs()), this::giveBack);
             }
         }
 
@@ -146,19 +146,19 @@
     }
 
     @Override
-    public void list(long node, NodeListing listing) {
+    public void updateNode(long node, NodeListing listing) {
         listings.put(node, listing);
-        depots.list(node, listing);
+        depots.updateNode(node, listing);
     }
 
     @Override
-    public void retire(long node) {
+    public void removeNode(long node) {
         listings.remove(node);
-        depots.retire(node);
+        depots.removeNode(node);
     }
 
     @Override
-    public Call send(long node, Order order, AttemptListener listener) {
+    public Call send(long node, AttemptRequest order, AttemptListener listener) {
         NodeListing listing = listings.get(node);
         if (listing == null || !guarded.containsValue(listing.kind())) {
             return depots.send(node, order, listener);
@@ -174,7 +174,7 @@
     }
 
     @Override
-    public void closeIdle(long node) {
-        depots.closeIdle(node);
+    public void closeIdleConnections(long node) {
+        depots.closeIdleConnections(node);
     }
 }
--- a/doorman/src/main/java/barleyspur/channel/CommandChannel.java
+++ b/doorman/src/main/java/barleyspur/channel/CommandChannel.java
@@ -1,7 +1,7 @@
 package barleyspur.channel;
 
-import barleyspur.doorman.CappedLog;
 import barleyspur.doorman.Clock;
+import barleyspur.doorman.RateLimitedLog;
 import barleyspur.log.LogEvent;
 import barleyspur.transport.Connector;
 import io.netty.buffer.ByteBufUtil;
@@ -21,21 +21,21 @@
 public final class CommandChannel {
 
     private static final Logger LOG = LoggerFactory.getLogger("channel");
-    private static final int MAX_LINE = 4 << 20;
+    private static final int MAX_LINE_BYTES = 4 << 20;
     /** The connect timeout, short enough that another attempt is made in time. */
     public static final int CONNECT_TIMEOUT_MS = 500;
 
-    static final double AGAIN_MS = 200;
+    static final double RECONNECT_DELAY_MS = 200;
     /**
      * Heartbeats arrive every second. Commands on a channel that has stopped are expected to be known 4 s after it
      * stopped.
      */
-    static final double SILENCE_MS = 2_000;
+    static final double HEARTBEAT_TIMEOUT_MS = 2_000;
 
     private final Connector connector;
     private final Clock clock;
     private final CommandReader reader;
-    private final CappedLog log;
+    private final RateLimitedLog log;
     private InetSocketAddress address;
     /** The current connection; events on any other are ignored. */
     private Connection current;
@@ -48,16 +48,16 @@
         this.address = address;
         this.clock = clock;
         this.reader = reader;
-        this.log = new CappedLog(LOG, clock);
+        this.log = new RateLimitedLog(LOG, clock);
     }
 
     /** Connects, and reconnects whenever the connection is lost. */
-    public void start() {
+    public void connect() {
         Connection connection = new Connection();
         current = connection;
-        connector.connect(address, new LineDecoder(MAX_LINE), connection).addListener((ChannelFuture done) -> {
+        connector.connect(address, new LineDecoder(MAX_LINE_BYTES), connection).addListener((ChannelFuture done) -> {
             if (!done.isSuccess()) {
-                again(connection, done.cause().getMessage());
+                scheduleReconnect(connection, done.cause().getMessage());
             }
         });
     }
@@ -66,16 +66,16 @@
      * Switches to another address and resumes there after the last command received. The previous connection is closed
      * at once: it may deliver nothing more before its end, and the next commands have to be known within a few seconds.
      */
-    public void moveTo(InetSocketAddress next) {
+    public void reconnectTo(InetSocketAddress next) {
         if (closed || next.equals(address)) {
             return;
         }
         LogEvent.log(LOG.atInfo(), "moves", "from", address, "to", next, "after", reader.cursor());
         address = next;
-        Connection before = current;
-        if (before != null) {
-            start();
-            before.drop();
+        Connection previous = current;
+        if (previous != null) {
+            connect();
+            previous.closeChannel();
         }
     }
 
@@ -83,16 +83,16 @@
     public void close() {
         closed = true;
         if (current != null) {
-            current.drop();
+            current.closeChannel();
         }
     }
 
-    private void again(Connection lost, String why) {
+    private void scheduleReconnect(Connection lost, String cause) {
         if (lost == current && !closed) {
-            log.warn("cut", "after", reader.cursor(), "cause", why);
-            clock.after(AGAIN_MS, () -> {
+            log.warn("cut", "after", reader.cursor(), "cause", cause);
+            clock.schedule(RECONNECT_DELAY_MS, () -> {
                 if (lost == current && !closed) {
-                    start();
+                    connect();
                 }
             });
         }
@@ -101,9 +101,9 @@
     /** The handler of one connection. */
     private final class Connection extends SimpleChannelInboundHandler<String> {
         private Channel channel;
-        private Clock.Timer silence;
+        private Clock.Timer heartbeatTimer;
 
-        void drop() {
+        void closeChannel() {
             if (channel != null) {
                 channel.close();
             }
@@ -112,10 +112,10 @@
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             channel = ctx.channel();
-            silence = clock.after(SILENCE_MS, this::silent);
+            heartbeatTimer = clock.schedule(HEARTBEAT_TIMEOUT_MS, this::onHeartbeatTimeout);
             if (this != current || closed) {
                 // The connection was established after the channel had switched to another one.
-                drop();
+                closeChannel();
                 return;
             }
             LogEvent.log(LOG.atInfo(), "connected", "address", address, "after", reader.cursor());
@@ -127,23 +127,23 @@
             if (this != current || closed) {
                 return;
             }
-            silence.cancel();
-            silence = clock.after(SILENCE_MS, this::silent);
-            if (!reader.line(line)) {
+            heartbeatTimer.cancel();
+            heartbeatTimer = clock.schedule(HEARTBEAT_TIMEOUT_MS, this::onHeartbeatTimeout);
+            if (!reader.readLine(line)) {
                 log.warn("gap: resuming", "after", reader.cursor());
                 ctx.close();
             }
         }
 
-        private void silent() {
+        private void onHeartbeatTimeout() {
             log.warn("silent", "after", reader.cursor());
-            drop();
+            closeChannel();
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            silence.cancel();
-            again(this, "the connection has ended");
+            heartbeatTimer.cancel();
+            scheduleReconnect(this, "the connection has ended");
         }
 
         @Override
--- a/doorman/src/main/java/barleyspur/channel/CommandReader.java
+++ b/doorman/src/main/java/barleyspur/channel/CommandReader.java
@@ -2,7 +2,7 @@
 
 import barleyspur.config.Configuration;
 import barleyspur.decision.Director.State;
-import barleyspur.doorman.Commands;
+import barleyspur.doorman.CommandListener;
 import barleyspur.doorman.NodeListing;
 import barleyspur.log.LogEvent;
 import java.util.ArrayList;
@@ -21,14 +21,14 @@
 
     private final List<String> zones;
     private final List<String> kinds;
-    private final Commands commands;
+    private final CommandListener listener;
     private long cursor;
 
     /** Creates a reader; zones and kinds are numbered by their places in these lists. */
-    public CommandReader(List<String> zones, List<String> kinds, Commands commands) {
+    public CommandReader(List<String> zones, List<String> kinds, CommandListener listener) {
         this.zones = zones;
         this.kinds = kinds;
-        this.commands = commands;
+        this.listener = listener;
     }
 
     /** Returns the number of the last command that was passed on. */
@@ -37,16 +37,16 @@
     }
 
     /** Passes on the commands known at process start. */
-    public void known(JSONObject known) {
-        JSONArray cmds = known.getJSONArray("cmds");
+    public void readInitial(JSONObject initialCommands) {
+        JSONArray cmds = initialCommands.getJSONArray("cmds");
         for (int i = 0; i < cmds.length(); i++) {
-            command(cmds.getJSONObject(i));
+            apply(cmds.getJSONObject(i));
         }
-        cursor = known.getLong("cursor");
+        cursor = initialCommands.getLong("cursor");
     }
 
     /** Reads one line. Returns false if the line shows that a command was missed, or can't be parsed. */
-    boolean line(String line) {
+    boolean readLine(String line) {
         String text = line.strip();
         if (text.isEmpty()) {
             return true;
@@ -62,7 +62,7 @@
             }
             if (number == cursor + 1) {
                 cursor = number;
-                command(command);
+                apply(command);
             }
             return true;
         } catch (JSONException | NumberFormatException e) {
@@ -72,12 +72,12 @@
     }
 
     /** Applies a command. A malformed one is skipped: requesting it again would return the same text. */
-    private void command(JSONObject command) {
+    private void apply(JSONObject command) {
         try {
             if (command.has("nodes")) {
-                nodes(command.getJSONObject("nodes"));
+                applyNodeList(command.getJSONObject("nodes"));
             } else if (command.has("drop")) {
-                drop(command.getJSONObject("drop"));
+                applyPurge(command.getJSONObject("drop"));
             } else {
                 LogEvent.log(
                         LOG.atWarn(),
@@ -93,20 +93,20 @@
         }
     }
 
-    private void nodes(JSONObject nodes) {
+    private void applyNodeList(JSONObject nodes) {
         List<NodeListing> listings = new ArrayList<>();
         JSONArray targets = nodes.getJSONArray("targets");
         for (int i = 0; i < targets.length(); i++) {
             try {
-                listings.add(listing(targets.getJSONObject(i)));
+                listings.add(parseListing(targets.getJSONObject(i)));
             } catch (JSONException | IllegalArgumentException e) {
                 LogEvent.log(LOG.atWarn(), "node passed over", "cause", e.getMessage());
             }
         }
-        commands.listed(nodes.optBoolean("all"), listings);
+        listener.onNodeList(nodes.optBoolean("all"), listings);
     }
 
-    private NodeListing listing(JSONObject target) {
+    private NodeListing parseListing(JSONObject target) {
         State state =
                 switch (target.getString("state")) {
                     case "in_service" -> State.READY;
@@ -117,28 +117,28 @@
         return new NodeListing(
                 target.getString("uid"),
                 Configuration.address("endpoint", target.getString("endpoint")),
-                place("az", zones, target.getString("az")),
-                place("model", kinds, target.getString("model")),
+                indexOf("az", zones, target.getString("az")),
+                indexOf("model", kinds, target.getString("model")),
                 target.optInt("pod_group"),
                 state,
                 target.optDouble("capacity_hint", 0),
                 target.optDouble("boot_ms", 0));
     }
 
-    private static int place(String key, List<String> names, String name) {
-        int place = names.indexOf(name);
-        if (place < 0) {
+    private static int indexOf(String key, List<String> names, String name) {
+        int index = names.indexOf(name);
+        if (index < 0) {
             throw new IllegalArgumentException(key + " " + name + " is unknown");
         }
-        return place;
+        return index;
     }
 
-    private void drop(JSONObject drop) {
-        double when = drop.getDouble("when");
-        if (drop.has("id")) {
-            commands.purgedObject(Long.parseUnsignedLong(drop.getString("id"), HEX), when);
+    private void applyPurge(JSONObject purge) {
+        double purgedAtMs = purge.getDouble("when");
+        if (purge.has("id")) {
+            listener.onObjectPurged(Long.parseUnsignedLong(purge.getString("id"), HEX), purgedAtMs);
         } else {
-            commands.purgedGroup(drop.getInt("family"), when);
+            listener.onGroupPurged(purge.getInt("family"), purgedAtMs);
         }
     }
 }
--- a/doorman/src/main/java/barleyspur/channel/LineDecoder.java
+++ b/doorman/src/main/java/barleyspur/channel/LineDecoder.java
@@ -10,29 +10,29 @@
 /** Splits a stream into lines, without their line feeds. */
 final class LineDecoder extends ByteToMessageDecoder {
 
-    private final int maxLine;
+    private final int maxLineBytes;
     /** The number of pending bytes already searched for a line feed. */
-    private int searched;
+    private int searchedBytes;
 
     LineDecoder(int maxLine) {
-        this.maxLine = maxLine;
+        this.maxLineBytes = maxLine;
     }
 
     @Override
     protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) {
         int start = in.readerIndex();
-        int end = in.indexOf(start + searched, in.writerIndex(), (byte) '\n');
+        int end = in.indexOf(start + searchedBytes, in.writerIndex(), (byte) '\n');
         int length = (end < 0 ? in.writerIndex() : end) - start;
-        if (length > maxLine) {
+        if (length > maxLineBytes) {
             // Discards the rest. Otherwise the same bytes would be decoded and reported again when the connection ends.
             in.skipBytes(in.readableBytes());
-            throw new TooLongFrameException("line longer than " + maxLine + " bytes");
+            throw new TooLongFrameException("line longer than " + maxLineBytes + " bytes");
         }
         if (end < 0) {
-            searched = length;
+            searchedBytes = length;
             return;
         }
-        searched = 0;
+        searchedBytes = 0;
         out.add(in.readCharSequence(length, StandardCharsets.UTF_8).toString());
         in.skipBytes(1);
     }
--- a/doorman/src/main/java/barleyspur/cli/Cli.java
+++ b/doorman/src/main/java/barleyspur/cli/Cli.java
@@ -1,6 +1,6 @@
 package barleyspur.cli;
 
-import barleyspur.Node;
+import barleyspur.DoormanServer;
 import barleyspur.config.Configuration;
 import barleyspur.config.ExpectationCheck;
 import barleyspur.config.Hcl;
@@ -162,7 +162,7 @@
 
     private static int rehearse() throws Command.Unusable, IOException {
         try {
-            Node node = new Node(Configuration.example(), OwnSettings.none());
+            DoormanServer node = new DoormanServer(Configuration.example(), OwnSettings.none());
             node.start();
             node.drain();
             node.awaitEnd();
@@ -209,7 +209,7 @@
         Configuration configuration = configuration();
         match(settings, configuration);
         try {
-            Node node = new Node(configuration, settings);
+            DoormanServer node = new DoormanServer(configuration, settings);
             reloadSignal.reloadBy(() -> node.reload(() -> reread(settings), () -> rereadOwn(line, settings)));
             // On SIGTERM the process stays until its hooks have ended, so the hook waits for the drain. Before the
             // start, so that there is no moment with clients and without it.
--- a/doorman/src/main/java/barleyspur/config/Sites.java
+++ b/doorman/src/main/java/barleyspur/config/Sites.java
@@ -67,7 +67,7 @@
                                 uid,
                                 new Box(
                                         uid,
-                                        NodeListing.number(uid),
+                                        NodeListing.numberOf(uid),
                                         place(at + ".az", names.zones(), t.getString("az")),
                                         place(at + ".model", names.kinds(), t.getString("model")),
                                         t.optInt("pod_group"),
--- a/doorman/src/main/java/barleyspur/depot/DepotClient.java
+++ b/doorman/src/main/java/barleyspur/depot/DepotClient.java
@@ -1,10 +1,10 @@
 package barleyspur.depot;
 
 import barleyspur.decision.Director.Result;
-import barleyspur.doorman.CappedLog;
 import barleyspur.doorman.Clock;
 import barleyspur.doorman.Depots;
 import barleyspur.doorman.NodeListing;
+import barleyspur.doorman.RateLimitedLog;
 import barleyspur.transport.Connector;
 import io.netty.buffer.ByteBufAllocator;
 import java.util.ArrayList;
@@ -18,14 +18,14 @@
 public final class DepotClient implements Depots {
 
     private static final Logger LOG = LoggerFactory.getLogger("depot");
-    private static final double SWEEP_MS = 100;
+    private static final double SWEEP_INTERVAL_MS = 100;
     /** The number of connections to one depot over which calls are spread. */
-    private static final int SPREAD = 8;
+    private static final int PREFERRED_CONNECTIONS = 8;
     /**
      * Connections for spreading are opened only up to this share of the limit; the rest is reserved for depots that
      * have no connection yet.
      */
-    private static final double SPARE_SHARE = 0.75;
+    private static final double MAX_SPREAD_SHARE = 0.75;
     /**
      * Idle connections are closed this much before the depot would close them, so that no request crosses the depot's
      * close, but at the earliest at half of the depot's timeout.
@@ -39,24 +39,25 @@
      * @param depotIdleTimeoutMs the time after which depots close an idle connection
      * @param maxConnections the maximum number of connections to all depots
      */
-    public record Limits(int streams, int idleMs, int mostConnections) {}
+    public record Limits(int maxStreams, int depotIdleTimeoutMs, int maxConnections) {}
 
     private final Connector connector;
     private final Clock clock;
     private final Limits limits;
     private final DepotConnection.Shared shared;
     private final Map<Long, Depot> depots = new HashMap<>();
-    private int connections;
+    private int connectionCount;
     private boolean reading = true;
-    private long probes;
+    private long probeCount;
 
     /** Creates a client; {@code reportFields} are the names of the values in load reports. */
     public DepotClient(Connector connector, Clock clock, Limits limits, List<String> reportFields) {
         this.connector = connector;
         this.clock = clock;
         this.limits = limits;
-        this.shared = new DepotConnection.Shared(clock, reportFields, limits.streams(), new CappedLog(LOG, clock));
-        sweepLater();
+        this.shared =
+                new DepotConnection.Shared(clock, reportFields, limits.maxStreams(), new RateLimitedLog(LOG, clock));
+        scheduleSweep();
     }
 
     /** A node's listing and the connections to it. */
@@ -75,85 +76,88 @@
          */
         DepotConnection connection(String id) {
             DepotConnection best = null;
-            boolean coming = false;
-            for (DepotConnection c : pool) {
-                coming |= !c.isUp();
-                if (c.takes(id, limits.streams()) && (best == null || better(c, best))) {
-                    best = c;
+            boolean connecting = false;
+            for (DepotConnection candidate : pool) {
+                connecting |= !candidate.isConnected();
+                if (candidate.canOpen(id, limits.maxStreams()) && (best == null || isBetter(candidate, best))) {
+                    best = candidate;
                 }
             }
             if (best == null) {
-                best = connections < limits.mostConnections() || makeRoom() ? connect() : null;
+                best = connectionCount < limits.maxConnections() || closeSomeIdleConnections() ? connect() : null;
                 if (best == null) {
-                    shared.log().warn("no connection: too many are open", "depot", listing.uid(), "open", connections);
+                    shared.log()
+                            .warn("no connection: too many are open", "depot", listing.uid(), "open", connectionCount);
                 }
-            } else if (best.load() > 0
-                    && !coming
-                    && pool.size() < SPREAD
-                    && connections < limits.mostConnections() * SPARE_SHARE) {
+            } else if (best.openCallCount() > 0
+                    && !connecting
+                    && pool.size() < PREFERRED_CONNECTIONS
+                    && connectionCount < limits.maxConnections() * MAX_SPREAD_SHARE) {
                 connect();
             }
-            return best != null && best.takes(id, limits.streams()) ? best : null;
+            return best != null && best.canOpen(id, limits.maxStreams()) ? best : null;
         }
 
-        private boolean better(DepotConnection c, DepotConnection than) {
-            return c.isUp() == than.isUp() ? c.load() < than.load() : c.isUp();
+        private boolean isBetter(DepotConnection candidate, DepotConnection other) {
+            return candidate.isConnected() == other.isConnected()
+                    ? candidate.openCallCount() < other.openCallCount()
+                    : candidate.isConnected();
         }
 
         private DepotConnection connect() {
-            connections++;
-            DepotConnection[] made = new DepotConnection[1];
+            connectionCount++;
+            DepotConnection[] created = new DepotConnection[1];
             RespDecoder decoder = new RespDecoder();
-            DepotConnection c = new DepotConnection(listing.uid(), shared, decoder, () -> {
-                if (pool.remove(made[0])) {
-                    connections--;
+            DepotConnection connection = new DepotConnection(listing.uid(), shared, decoder, () -> {
+                if (pool.remove(created[0])) {
+                    connectionCount--;
                 }
             });
-            made[0] = c;
-            pool.add(c);
-            c.connecting(connector.connect(listing.address(), decoder, c));
-            c.read(reading);
-            return c;
+            created[0] = connection;
+            pool.add(connection);
+            connection.trackConnect(connector.connect(listing.address(), decoder, connection));
+            connection.setReading(reading);
+            return connection;
         }
 
-        void retire() {
-            new ArrayList<>(pool).forEach(DepotConnection::retire);
+        void drainConnections() {
+            new ArrayList<>(pool).forEach(DepotConnection::drain);
         }
 
-        boolean closeIdle(double ms) {
-            boolean any = false;
-            for (DepotConnection c : new ArrayList<>(pool)) {
-                if (c.isUp() && c.idleFor(ms)) {
-                    c.close();
-                    any = true;
+        boolean closeIdleFor(double idleMs) {
+            boolean closedAny = false;
+            for (DepotConnection connection : new ArrayList<>(pool)) {
+                if (connection.isConnected() && connection.isIdleFor(idleMs)) {
+                    connection.close();
+                    closedAny = true;
                 }
             }
-            return any;
+            return closedAny;
         }
     }
 
     /** Closes the idle connections to one depot so that another depot without connections can be reached. */
-    private boolean makeRoom() {
-        return depots.values().stream().anyMatch(d -> d.closeIdle(0));
+    private boolean closeSomeIdleConnections() {
+        return depots.values().stream().anyMatch(d -> d.closeIdleFor(0));
     }
 
     @Override
-    public void list(long node, NodeListing listing) {
+    public void updateNode(long node, NodeListing listing) {
         Depot depot = depots.computeIfAbsent(node, k -> new Depot(listing));
-        NodeListing before = depot.listing;
+        NodeListing previous = depot.listing;
         depot.listing = listing;
-        if (!before.address().equals(listing.address()) || before.bootMs() != listing.bootMs()) {
+        if (!previous.address().equals(listing.address()) || previous.bootMs() != listing.bootMs()) {
             // The existing connections lead to the previous process, or to another node that has taken over its
             // address, and must not be used for new calls.
-            depot.retire();
+            depot.drainConnections();
         }
     }
 
     @Override
-    public void retire(long node) {
+    public void removeNode(long node) {
         Depot depot = depots.remove(node);
         if (depot != null) {
-            depot.retire();
+            depot.drainConnections();
         }
     }
 
@@ -161,67 +165,69 @@
     public void pauseReading(boolean pause) {
         reading = !pause;
         for (Depot depot : depots.values()) {
-            depot.pool.forEach(c -> c.read(reading));
+            depot.pool.forEach(c -> c.setReading(reading));
         }
     }
 
     @Override
-    public Call send(long node, Order order, AttemptListener listener) {
+    public Call send(long node, AttemptRequest attemptRequest, AttemptListener listener) {
         Depot depot = depots.get(node);
-        DepotConnection c =
-                depot == null ? null : depot.connection(order.request().id());
-        if (c == null) {
-            return never(listener);
+        DepotConnection connection =
+                depot == null ? null : depot.connection(attemptRequest.request().id());
+        if (connection == null) {
+            return failLater(listener);
         }
-        ByteBufAllocator alloc = c.channel().alloc();
-        int bodyBytes = order.request().body().readableBytes();
-        return c.open(
-                order.request().id(),
-                waitedMs -> Resp.serveHead(alloc, order, bodyBytes, waitedMs),
-                order.request().body().retainedDuplicate(),
+        ByteBufAllocator alloc = connection.channel().alloc();
+        int bodyBytes = attemptRequest.request().body().readableBytes();
+        return connection.openCall(
+                attemptRequest.request().id(),
+                waitedMs -> Resp.serveHeader(alloc, attemptRequest, bodyBytes, waitedMs),
+                attemptRequest.request().body().retainedDuplicate(),
                 listener);
     }
 
     @Override
     public void probe(long node, double timeoutMs, AttemptListener listener) {
-        String tag = "p" + ++probes;
+        String tag = "p" + ++probeCount;
         Depot depot = depots.get(node);
-        DepotConnection c = depot == null ? null : depot.connection(tag);
-        if (c == null) {
-            never(listener);
+        DepotConnection connection = depot == null ? null : depot.connection(tag);
+        if (connection == null) {
+            failLater(listener);
             return;
         }
-        DepotConnection.Call[] made = new DepotConnection.Call[1];
-        Clock.Timer timeout = clock.after(timeoutMs, () -> {
-            made[0].giveUp();
-            listener.ended(Answer.of(Result.TIMEOUT));
-        });
-        made[0] = c.open(tag, waitedMs -> Resp.message(c.channel().alloc(), "gauges", tag), null, answer -> {
-            timeout.cancel();
-            listener.ended(answer);
+        DepotConnection.Call[] call = new DepotConnection.Call[1];
+        Clock.Timer timeout = clock.schedule(timeoutMs, () -> {
+            call[0].abandon();
+            listener.onEnd(Answer.of(Result.TIMEOUT));
         });
+        call[0] = connection.openCall(
+                tag, waitedMs -> Resp.array(connection.channel().alloc(), "gauges", tag), null, answer -> {
+                    timeout.cancel();
+                    listener.onEnd(answer);
+                });
     }
 
     /** Reports a failed connect. This is scheduled because a listener must not be notified from within the call. */
-    private Call never(AttemptListener listener) {
-        return clock.after(0, () -> listener.ended(Answer.of(Result.CONNECT_FAILED)))::cancel;
+    private Call failLater(AttemptListener listener) {
+        return clock.schedule(0, () -> listener.onEnd(Answer.of(Result.CONNECT_FAILED)))::cancel;
     }
 
     @Override
-    public void closeIdle(long node) {
+    public void closeIdleConnections(long node) {
         Depot depot = depots.get(node);
         if (depot != null) {
-            depot.closeIdle(0);
+            depot.closeIdleFor(0);
         }
     }
 
-    private void sweepLater() {
-        clock.after(SWEEP_MS, () -> {
+    private void scheduleSweep() {
+        clock.schedule(SWEEP_INTERVAL_MS, () -> {
             for (Depot depot : depots.values()) {
-                depot.closeIdle(Math.max(limits.idleMs() / 2, limits.idleMs() - IDLE_MARGIN_MS));
+                depot.closeIdleFor(
+                        Math.max(limits.depotIdleTimeoutMs() / 2, limits.depotIdleTimeoutMs() - IDLE_MARGIN_MS));
                 new ArrayList<>(depot.pool).forEach(DepotConnection::checkStalled);
             }
-            sweepLater();
+            scheduleSweep();
         });
     }
 }
--- a/doorman/src/main/java/barleyspur/depot/DepotConnection.java
+++ b/doorman/src/main/java/barleyspur/depot/DepotConnection.java
@@ -1,10 +1,10 @@
 package barleyspur.depot;
 
 import barleyspur.decision.Director.Result;
-import barleyspur.doorman.CappedLog;
 import barleyspur.doorman.Clock;
 import barleyspur.doorman.Depots;
 import barleyspur.doorman.Depots.Answer;
+import barleyspur.doorman.RateLimitedLog;
 import barleyspur.log.LogEvent;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -37,53 +37,53 @@
      * How many ids are remembered for each possible open call: more calls than can end while an answer is still on its
      * way.
      */
-    private static final int REMEMBERED = 8;
+    private static final int REMEMBERED_IDS_PER_STREAM = 8;
     /**
      * A connection with open calls on which nothing has arrived for this long gets no new calls: a depot that stopped
      * in the middle of an answer sends nothing more, although its connection stays open. If the depot was only slow,
      * the cost is one additional connection.
      */
-    static final double SILENT_MS = 500;
+    static final double UNRESPONSIVE_MS = 500;
     /** An answer that has arrived in part and then made no progress for this long was cut off. */
     static final double STALLED_MS = 500;
 
     /** The state shared by all connections of one client. */
-    record Shared(Clock clock, List<String> reportFields, int streams, CappedLog log) {}
+    record Shared(Clock clock, List<String> reportFields, int maxStreams, RateLimitedLog log) {}
 
     private final String uid;
-    private final Shared client;
+    private final Shared shared;
     private final RespDecoder decoder;
     private final Runnable onClosed;
     /** The open calls by id, in the order in which they were opened. Answers arrive in any order. */
-    private final Map<String, Call> open = new LinkedHashMap<>();
+    private final Map<String, Call> openCalls = new LinkedHashMap<>();
     /** The ids recently used on this connection. */
-    private final Set<String> used = Collections.newSetFromMap(new LinkedHashMap<>() {
+    private final Set<String> recentIds = Collections.newSetFromMap(new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
-            return size() > REMEMBERED * client.streams();
+            return size() > REMEMBERED_IDS_PER_STREAM * shared.maxStreams();
         }
     });
 
     private Channel channel;
-    private boolean up;
+    private boolean connected;
     private boolean closed;
-    private boolean retired;
-    private double idleSince;
+    private boolean draining;
+    private double idleSinceMs;
     /** Since when calls have been waiting for an answer, or when data was last read. */
-    private double waitingSince;
+    private double waitingSinceMs;
 
-    DepotConnection(String uid, Shared client, RespDecoder decoder, Runnable onClosed) {
+    DepotConnection(String uid, Shared shared, RespDecoder decoder, Runnable onClosed) {
         this.uid = uid;
-        this.client = client;
+        this.shared = shared;
         this.decoder = decoder;
         this.onClosed = onClosed;
-        idleSince = now();
+        idleSinceMs = now();
     }
 
     private double now() {
-        return client.clock().nowMs();
+        return shared.clock().nowMs();
     }
 
     /**
@@ -102,45 +102,45 @@
              * Rejected by the listener before the write. The listener is notified in the next iteration of the event
              * loop.
              */
-            DENIED,
+            REJECTED,
             /** Ended. */
-            OVER
+            ENDED
         }
 
         private final String id;
-        private final DoubleFunction<ByteBuf> head;
+        private final DoubleFunction<ByteBuf> header;
         private final Depots.AttemptListener listener;
-        private final double openedAt = now();
+        private final double openedAtMs = now();
         private ByteBuf body;
         private State state = State.WAITING;
 
-        private Call(String id, DoubleFunction<ByteBuf> head, ByteBuf body, Depots.AttemptListener listener) {
+        private Call(String id, DoubleFunction<ByteBuf> header, ByteBuf body, Depots.AttemptListener listener) {
             this.id = id;
-            this.head = head;
+            this.header = header;
             this.body = body;
             this.listener = listener;
         }
 
         @Override
         public void cancel() {
-            if (state == State.SENT && up) {
-                channel.writeAndFlush(Resp.message(channel.alloc(), "cancel", id), channel.voidPromise());
+            if (state == State.SENT && connected) {
+                channel.writeAndFlush(Resp.array(channel.alloc(), "cancel", id), channel.voidPromise());
             }
-            giveUp();
+            abandon();
         }
 
         /** Removes the call; its answer is ignored if it still arrives. */
-        void giveUp() {
-            if (state != State.OVER) {
-                state = State.OVER;
-                leave();
+        void abandon() {
+            if (state != State.ENDED) {
+                state = State.ENDED;
+                remove();
             }
         }
 
-        private void leave() {
-            open.remove(id, this);
-            drop();
-            idleFromNow();
+        private void remove() {
+            openCalls.remove(id, this);
+            releaseBody();
+            onCallRemoved();
         }
 
         /** Writes the call, unless the listener rejects it. */
@@ -150,37 +150,37 @@
             }
             Result admitted = listener.beforeWrite();
             if (admitted != Result.OK) {
-                state = State.DENIED;
-                leave();
-                client.clock().after(0, () -> ended(Answer.of(admitted)));
+                state = State.REJECTED;
+                remove();
+                shared.clock().schedule(0, () -> end(Answer.of(admitted)));
                 return;
             }
             state = State.SENT;
-            channel.write(head.apply(now() - openedAt), channel.voidPromise());
+            channel.write(header.apply(now() - openedAtMs), channel.voidPromise());
             if (body != null) {
                 channel.write(body, channel.voidPromise());
-                channel.write(Unpooled.wrappedBuffer(Resp.END), channel.voidPromise());
+                channel.write(Unpooled.wrappedBuffer(Resp.CRLF), channel.voidPromise());
                 body = null;
             }
             channel.flush();
-            listener.sent();
+            listener.onSent();
         }
 
         /** Ends the call and returns true, or returns false if it had ended before. */
-        private boolean ended(Answer answer) {
-            if (state == State.OVER) {
+        private boolean end(Answer answer) {
+            if (state == State.ENDED) {
                 if (answer.body() != null) {
                     answer.body().release();
                 }
                 return false;
             }
-            state = State.OVER;
-            drop();
-            listener.ended(answer);
+            state = State.ENDED;
+            releaseBody();
+            listener.onEnd(answer);
             return true;
         }
 
-        private void drop() {
+        private void releaseBody() {
             if (body != null) {
                 body.release();
                 body = null;
@@ -189,13 +189,13 @@
     }
 
     /** Tracks the connect; called once, directly after it was started. */
-    void connecting(ChannelFuture connect) {
+    void trackConnect(ChannelFuture connect) {
         channel = connect.channel();
         connect.addListener(done -> {
             if (done.isSuccess()) {
-                up = true;
-                waitingSince = now();
-                new ArrayList<>(open.values()).forEach(Call::write);
+                connected = true;
+                waitingSinceMs = now();
+                new ArrayList<>(openCalls.values()).forEach(Call::write);
                 closeIfDrained();
             } else {
                 LogEvent.log(
@@ -216,14 +216,14 @@
      * @param header creates the first bytes to send, given how long the call has waited to be written, in milliseconds
      * @param body the body, which is owned by the call from now on; null for a message without a body
      */
-    Call open(String id, DoubleFunction<ByteBuf> head, ByteBuf body, Depots.AttemptListener listener) {
-        Call call = new Call(id, head, body, listener);
-        if (open.isEmpty()) {
-            waitingSince = now();
+    Call openCall(String id, DoubleFunction<ByteBuf> header, ByteBuf body, Depots.AttemptListener listener) {
+        Call call = new Call(id, header, body, listener);
+        if (openCalls.isEmpty()) {
+            waitingSinceMs = now();
         }
-        open.put(id, call);
-        used.add(id);
-        if (up) {
+        openCalls.put(id, call);
+        recentIds.add(id);
+        if (connected) {
             call.write();
         }
         return call;
@@ -234,48 +234,54 @@
      * not if the id was used on this connection before: a late or duplicate answer to the earlier attempt would be
      * taken for the answer to the new one.
      */
-    boolean takes(String id, int streams) {
-        boolean able = !closed && !retired && open.size() < streams && (!up || channel.isWritable() && !silent());
-        return able && !used.contains(id);
+    boolean canOpen(String id, int maxStreams) {
+        boolean available = !closed
+                && !draining
+                && openCalls.size() < maxStreams
+                && (!connected || channel.isWritable() && !isUnresponsive());
+        return available && !recentIds.contains(id);
     }
 
-    private boolean silent() {
-        return !open.isEmpty() && now() - waitingSince > SILENT_MS;
+    private boolean isUnresponsive() {
+        return !openCalls.isEmpty() && now() - waitingSinceMs > UNRESPONSIVE_MS;
     }
 
     /** Closes the connection if an answer was cut off. */
     void checkStalled() {
-        if (up && channel.config().isAutoRead() && decoder.midMessage() && now() - waitingSince > STALLED_MS) {
-            client.log().warn("connection closed: an answer has stopped short", "depot", uid);
+        if (connected
+                && channel.config().isAutoRead()
+                && decoder.hasPartialMessage()
+                && now() - waitingSinceMs > STALLED_MS) {
+            shared.log().warn("connection closed: an answer has stopped short", "depot", uid);
             close();
         }
     }
 
-    boolean isUp() {
-        return up;
+    boolean isConnected() {
+        return connected;
     }
 
     Channel channel() {
         return channel;
     }
 
-    int load() {
-        return open.size();
+    int openCallCount() {
+        return openCalls.size();
     }
 
-    boolean idleFor(double ms) {
-        return open.isEmpty() && now() - idleSince >= ms;
+    boolean isIdleFor(double idleMs) {
+        return openCalls.isEmpty() && now() - idleSinceMs >= idleMs;
     }
 
     /** Applies back-pressure: while reading is off, answers are held back at the depot. */
-    void read(boolean on) {
-        channel.config().setAutoRead(on);
-        waitingSince = now();
+    void setReading(boolean enabled) {
+        channel.config().setAutoRead(enabled);
+        waitingSinceMs = now();
     }
 
     /** Accepts no new calls, and closes the connection once all open calls have ended. */
-    void retire() {
-        retired = true;
+    void drain() {
+        draining = true;
         closeIfDrained();
     }
 
@@ -284,16 +290,16 @@
     }
 
     private void closeIfDrained() {
-        if (retired && open.isEmpty()) {
+        if (draining && openCalls.isEmpty()) {
             close();
         }
     }
 
-    private void idleFromNow() {
-        if (open.isEmpty()) {
-            idleSince = now();
+    private void onCallRemoved() {
+        if (openCalls.isEmpty()) {
+            idleSinceMs = now();
             // The calls were cancelled, not answered: the connection may not respond any more.
-            retired |= up && now() - waitingSince > SILENT_MS;
+            draining |= connected && now() - waitingSinceMs > UNRESPONSIVE_MS;
             closeIfDrained();
         }
     }
@@ -305,25 +311,25 @@
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        waitingSince = now();
+        waitingSinceMs = now();
         ctx.fireChannelReadComplete();
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, RespDecoder.Message message) {
-        waitingSince = now();
+        waitingSinceMs = now();
         ByteBuf body = message.body();
         try {
-            List<String> words = message.words();
-            if (words.size() < 2) {
+            List<String> strings = message.strings();
+            if (strings.size() < 2) {
                 throw new CorruptedFrameException("answer without a status");
             }
-            Call call = open.remove(words.get(0));
+            Call call = openCalls.remove(strings.get(0));
             // An answer that crossed its cancel has no call any more.
             if (call != null) {
-                Answer answer = answer(words.get(1), words.size() > 2 ? words.get(2) : "-", body);
-                idleFromNow();
-                call.ended(answer);
+                Answer answer = parseAnswer(strings.get(1), strings.size() > 2 ? strings.get(2) : "-", body);
+                onCallRemoved();
+                call.end(answer);
             }
         } finally {
             if (body != null) {
@@ -332,29 +338,29 @@
         }
     }
 
-    private Answer answer(String word, String fields, ByteBuf body) {
+    private Answer parseAnswer(String status, String fields, ByteBuf body) {
         Result result =
-                switch (word) {
+                switch (status) {
                     case "DONE", "KEEP", "FIT" -> Result.OK;
                     case "LACK" -> Result.MISS;
                     case "WAIT" -> Result.FULL;
                     case "PAST" -> Result.MOOT;
                     case "BROKE", "UNFIT" -> Result.ERROR;
                     default -> {
-                        client.log().warn("unknown answer", "depot", uid, "word", word);
+                        shared.log().warn("unknown answer", "depot", uid, "word", status);
                         yield Result.ERROR;
                     }
                 };
-        ByteBuf kept = word.equals("DONE") && body != null ? body.retain() : null;
-        if (word.equals("DONE") && kept == null) {
-            client.log().warn("an answer without its bytes", "depot", uid);
+        ByteBuf retainedBody = status.equals("DONE") && body != null ? body.retain() : null;
+        if (status.equals("DONE") && retainedBody == null) {
+            shared.log().warn("an answer without its bytes", "depot", uid);
             return Answer.of(Result.ERROR);
         }
         return new Answer(
                 result,
-                Resp.note(Resp.field(fields, "how")),
-                Resp.load(Resp.field(fields, "stats"), client.reportFields()),
-                kept,
+                Resp.parseNote(Resp.field(fields, "how")),
+                Resp.parseLoad(Resp.field(fields, "stats"), shared.reportFields()),
+                retainedBody,
                 Resp.field(fields, "digest"));
     }
 
@@ -365,17 +371,17 @@
 
     private void failAll(Result result) {
         closed = true;
-        up = false;
+        connected = false;
         onClosed.run();
-        List<Call> left = new ArrayList<>(open.values());
-        open.clear();
-        Result next = result;
-        for (Call call : left) {
+        List<Call> unfinished = new ArrayList<>(openCalls.values());
+        openCalls.clear();
+        Result callResult = result;
+        for (Call call : unfinished) {
             // A call that was cancelled by the listener of an earlier call is not notified any more.
-            if (call.ended(Answer.of(next)) && result == Result.RESET) {
+            if (call.end(Answer.of(callResult)) && result == Result.RESET) {
                 // Only the first call is reported as reset: it is a single fault of the node, however many calls were
                 // open.
-                next = Result.CANCELLED;
+                callResult = Result.CANCELLED;
             }
         }
     }
@@ -385,7 +391,7 @@
         if (cause instanceof IOException) {
             LogEvent.log(LOG.atDebug(), "connection lost", "depot", uid, "cause", cause.getMessage());
         } else {
-            client.log().warn("connection closed", "depot", uid, "cause", cause.getMessage());
+            shared.log().warn("connection closed", "depot", uid, "cause", cause.getMessage());
         }
         ctx.close();
     }
--- a/doorman/src/main/java/barleyspur/depot/Resp.java
+++ b/doorman/src/main/java/barleyspur/depot/Resp.java
@@ -1,7 +1,7 @@
 package barleyspur.depot;
 
 import barleyspur.decision.Director.Note;
-import barleyspur.doorman.Depots.Order;
+import barleyspur.doorman.Depots.AttemptRequest;
 import barleyspur.doorman.Request;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
@@ -14,7 +14,7 @@
 /** The messages of the depot protocol: requests as RESP arrays of bulk strings, and the fields of answers. */
 final class Resp {
 
-    private static final int HEAD = 256;
+    private static final int INITIAL_CAPACITY = 256;
 
     private Resp() {}
 
@@ -22,62 +22,62 @@
      * Encodes a {@code serve} command up to its body, which has to be followed by {@link #CRLF}. It is written
      * {@code waitedMs} after it was ordered; the time limit that it carries is reduced by that wait.
      */
-    static ByteBuf serveHead(ByteBufAllocator alloc, Order order, int bodyBytes, double waitedMs) {
-        ByteBuf out = alloc.buffer(HEAD);
-        words(out, 4, "serve", order.request().id(), fields(order, waitedMs));
-        return line(out, '$', bodyBytes);
+    static ByteBuf serveHeader(ByteBufAllocator alloc, AttemptRequest attemptRequest, int bodyBytes, double waitedMs) {
+        ByteBuf out = alloc.buffer(INITIAL_CAPACITY);
+        writeArray(out, 4, "serve", attemptRequest.request().id(), fields(attemptRequest, waitedMs));
+        return writeLength(out, '$', bodyBytes);
     }
 
     /** The end of a line and of a bulk string. */
-    static final byte[] END = {'\r', '\n'};
+    static final byte[] CRLF = {'\r', '\n'};
 
     /** Encodes an array of these strings. */
-    static ByteBuf message(ByteBufAllocator alloc, String... words) {
-        return words(alloc.buffer(HEAD), words.length, words);
+    static ByteBuf array(ByteBufAllocator alloc, String... strings) {
+        return writeArray(alloc.buffer(INITIAL_CAPACITY), strings.length, strings);
     }
 
-    private static ByteBuf words(ByteBuf out, int count, String... words) {
-        line(out, '*', count);
-        for (String word : words) {
-            line(out, '$', ByteBufUtil.utf8Bytes(word));
-            out.writeCharSequence(word, StandardCharsets.UTF_8);
-            out.writeBytes(END);
+    private static ByteBuf writeArray(ByteBuf out, int count, String... strings) {
+        writeLength(out, '*', count);
+        for (String string : strings) {
+            writeLength(out, '$', ByteBufUtil.utf8Bytes(string));
+            out.writeCharSequence(string, StandardCharsets.UTF_8);
+            out.writeBytes(CRLF);
         }
         return out;
     }
 
-    private static ByteBuf line(ByteBuf out, char mark, int number) {
-        out.writeByte(mark);
+    private static ByteBuf writeLength(ByteBuf out, char typeMarker, int number) {
+        out.writeByte(typeMarker);
         out.writeCharSequence(Integer.toString(number), StandardCharsets.US_ASCII);
-        return out.writeBytes(END);
+        return out.writeBytes(CRLF);
     }
 
     /**
      * Returns the fields of a request. Ages are rounded down to whole milliseconds, so that no copy older than allowed
      * is accepted.
      */
-    private static String fields(Order order, double waitedMs) {
-        Request request = order.request();
+    private static String fields(AttemptRequest attemptRequest, double waitedMs) {
+        Request request = attemptRequest.request();
         StringJoiner fields = new StringJoiner(",");
         fields.add("class=" + request.className())
                 .add("key=" + request.key())
-                .add("part=" + request.partWord())
-                .add("wait=" + Math.max(1, (long) (order.waitMs() - waitedMs)));
-        if (order.source() != null) {
-            fields.add("parent=" + order.source());
+                .add("part=" + request.partText())
+                .add("wait=" + Math.max(1, (long) (attemptRequest.timeoutMs() - waitedMs)));
+        if (attemptRequest.source() != null) {
+            fields.add("parent=" + attemptRequest.source());
         }
-        if (order.shelf() > 0) {
-            fields.add("shelf=" + order.shelf());
+        if (attemptRequest.copyRank() > 0) {
+            fields.add("shelf=" + attemptRequest.copyRank());
         }
-        if (order.maxAgeMs() > 0) {
-            fields.add("accept=" + Math.max(1, (long) order.maxAgeMs()));
+        if (attemptRequest.maxAgeMs() > 0) {
+            fields.add("accept=" + Math.max(1, (long) attemptRequest.maxAgeMs()));
         }
-        String hints = hints(order);
+        String hints = hints(attemptRequest);
         if (!hints.isEmpty()) {
             fields.add("hints=" + hints);
         }
-        if (request.repeatKey() != null) {
-            fields.add("once=" + request.repeatKey());
+        if (request.idempotencyKey() != null) {
+            fields.add("once=" + request.idempotencyKey());
         }
         if (request.tag() != null) {
             fields.add("got=" + request.tag());
@@ -85,18 +85,18 @@
         return fields.toString();
     }
 
-    private static String hints(Order order) {
+    private static String hints(AttemptRequest attemptRequest) {
         StringJoiner hints = new StringJoiner("+");
-        if (order.join()) {
+        if (attemptRequest.join()) {
             hints.add("ride");
         }
-        if (order.onlyHeld()) {
+        if (attemptRequest.onlyHeld()) {
             hints.add("have-only");
         }
-        if (order.parentKeepsNone()) {
+        if (attemptRequest.parentKeepsNone()) {
             hints.add("through");
         }
-        if (order.renew()) {
+        if (attemptRequest.renew()) {
             hints.add("update");
         }
         return hints.toString();
@@ -104,19 +104,21 @@
 
     /** Returns the value of the field {@code name} in a list of fields, or null if it is missing. */
     static String field(String fields, String name) {
-        for (int at = 0; at < fields.length(); ) {
-            int comma = fields.indexOf(',', at);
+        for (int position = 0; position < fields.length(); ) {
+            int comma = fields.indexOf(',', position);
             int end = comma < 0 ? fields.length() : comma;
-            if (fields.startsWith(name, at) && at + name.length() < end && fields.charAt(at + name.length()) == '=') {
-                return fields.substring(at + name.length() + 1, end);
+            if (fields.startsWith(name, position)
+                    && position + name.length() < end
+                    && fields.charAt(position + name.length()) == '=') {
+                return fields.substring(position + name.length() + 1, end);
             }
-            at = end + 1;
+            position = end + 1;
         }
         return null;
     }
 
     /** Parses the value of the field {@code how}. */
-    static Note note(String how) {
+    static Note parseNote(String how) {
         return how == null
                 ? Note.NONE
                 : switch (how) {
@@ -132,7 +134,7 @@
      * Parses a load report. Returns the values in the order of {@code names}, or an empty list if any is missing or not
      * a number.
      */
-    static List<Float> load(String stats, List<String> names) {
+    static List<Float> parseLoad(String stats, List<String> names) {
         if (stats == null) {
             return List.of();
         }
--- a/doorman/src/main/java/barleyspur/depot/RespDecoder.java
+++ b/doorman/src/main/java/barleyspur/depot/RespDecoder.java
@@ -17,23 +17,23 @@
      * @param strings the bulk strings but the body
      * @param body the fourth bulk string; null if there are fewer than four
      */
-    public record Message(List<String> words, ByteBuf body) {}
+    public record Message(List<String> strings, ByteBuf body) {}
 
-    private static final int MOST_ITEMS = 8;
-    private static final int BODY_AT = 3;
-    private static final int MAX_WORD = 4_096;
+    private static final int MAX_ITEMS = 8;
+    private static final int BODY_INDEX = 3;
+    private static final int MAX_STRING_BYTES = 4_096;
     /** An object is at most 240,000 bytes long. */
-    private static final int MAX_BODY = 256 * 1024;
+    private static final int MAX_BODY_BYTES = 256 * 1024;
 
     private static final int MAX_DIGITS = 8;
 
     /** The position up to which the current message has been read. */
-    private int at;
+    private int position;
 
     @Override
     protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) {
         try {
-            message(in, out);
+            decodeMessage(in, out);
         } catch (CorruptedFrameException e) {
             // Discards the rest. Otherwise the same bytes would be decoded and reported again when the connection ends.
             in.skipBytes(in.readableBytes());
@@ -42,74 +42,74 @@
     }
 
     /** Returns whether part of a message has arrived. */
-    boolean midMessage() {
+    boolean hasPartialMessage() {
         return actualReadableBytes() > 0;
     }
 
-    private void message(ByteBuf in, List<Object> out) {
-        at = in.readerIndex();
-        int items = line(in, '*');
+    private void decodeMessage(ByteBuf in, List<Object> out) {
+        position = in.readerIndex();
+        int items = readLength(in, '*');
         if (items < 0) {
             return;
         }
-        if (items == 0 || items > MOST_ITEMS) {
+        if (items == 0 || items > MAX_ITEMS) {
             throw new CorruptedFrameException("invalid array length " + items);
         }
-        List<String> words = new ArrayList<>(items);
-        int bodyAt = 0;
+        List<String> strings = new ArrayList<>(items);
+        int bodyStart = 0;
         int bodyBytes = 0;
         for (int i = 0; i < items; i++) {
-            int length = line(in, '$');
+            int length = readLength(in, '$');
             if (length < 0) {
                 return;
             }
-            if (length > (i == BODY_AT ? MAX_BODY : MAX_WORD)) {
+            if (length > (i == BODY_INDEX ? MAX_BODY_BYTES : MAX_STRING_BYTES)) {
                 throw new CorruptedFrameException("bulk string too long: " + length + " bytes");
             }
-            if (in.writerIndex() - at < length + Resp.END.length) {
+            if (in.writerIndex() - position < length + Resp.CRLF.length) {
                 return;
             }
-            if (in.getByte(at + length) != Resp.END[0] || in.getByte(at + length + 1) != Resp.END[1]) {
+            if (in.getByte(position + length) != Resp.CRLF[0] || in.getByte(position + length + 1) != Resp.CRLF[1]) {
                 throw new CorruptedFrameException("bulk string not terminated by CRLF");
             }
-            if (i == BODY_AT) {
-                bodyAt = at;
+            if (i == BODY_INDEX) {
+                bodyStart = position;
                 bodyBytes = length;
             } else {
-                words.add(in.toString(at, length, StandardCharsets.UTF_8));
+                strings.add(in.toString(position, length, StandardCharsets.UTF_8));
             }
-            at += length + Resp.END.length;
+            position += length + Resp.CRLF.length;
         }
-        out.add(new Message(words, items > BODY_AT ? in.retainedSlice(bodyAt, bodyBytes) : null));
-        in.readerIndex(at);
+        out.add(new Message(strings, items > BODY_INDEX ? in.retainedSlice(bodyStart, bodyBytes) : null));
+        in.readerIndex(position);
     }
 
     /** Reads the number on a line that starts with {@code typeMarker}; returns -1 if the line is incomplete. */
-    private int line(ByteBuf in, char mark) {
+    private int readLength(ByteBuf in, char typeMarker) {
         int end = in.writerIndex();
-        if (at >= end) {
+        if (position >= end) {
             return -1;
         }
-        if (in.getByte(at) != mark) {
-            throw new CorruptedFrameException("expected '" + mark + "'");
+        if (in.getByte(position) != typeMarker) {
+            throw new CorruptedFrameException("expected '" + typeMarker + "'");
         }
         int value = 0;
-        for (int i = at + 1; i < end; i++) {
+        for (int i = position + 1; i < end; i++) {
             byte b = in.getByte(i);
-            int digits = i - at - 1;
+            int digits = i - position - 1;
             if (b >= '0' && b <= '9' && digits < MAX_DIGITS) {
                 value = value * 10 + b - '0';
-            } else if (b == Resp.END[0] && digits > 0) {
+            } else if (b == Resp.CRLF[0] && digits > 0) {
                 if (i + 1 >= end) {
                     return -1;
                 }
-                if (in.getByte(i + 1) != Resp.END[1]) {
+                if (in.getByte(i + 1) != Resp.CRLF[1]) {
                     throw new CorruptedFrameException("line not terminated by CRLF");
                 }
-                at = i + Resp.END.length;
+                position = i + Resp.CRLF.length;
                 return value;
             } else {
-                throw new CorruptedFrameException("invalid length after '" + mark + "'");
+                throw new CorruptedFrameException("invalid length after '" + typeMarker + "'");
             }
         }
         return -1;
--- a/doorman/src/main/java/barleyspur/doorman/Clock.java
+++ b/doorman/src/main/java/barleyspur/doorman/Clock.java
@@ -13,12 +13,12 @@
      * Returns the earliest time at which the data now being read from a socket may have arrived. It is before
      * {@link #nowMs} where the data had to wait because the event loop was busy.
      */
-    default double pendingSinceMs() {
+    default double earliestArrivalMs() {
         return nowMs();
     }
 
     /** Runs {@code task} on the event loop after {@code delayMs}, never from within this call. */
-    Timer after(double delayMs, Runnable task);
+    Timer schedule(double delayMs, Runnable task);
 
     /** A scheduled task. */
     interface Timer {
--- a/doorman/src/main/java/barleyspur/doorman/Commands.java
+++ b/doorman/src/main/java/barleyspur/doorman/CommandListener.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /** Receives the commands that arrive on the command channel. */
-public interface Commands {
+public interface CommandListener {
 
     /** Handles a list of nodes: all nodes if {@code full}, otherwise only those that have changed. */
-    void listed(boolean whole, List<NodeListing> listings);
+    void onNodeList(boolean full, List<NodeListing> listings);
 
     /** Handles the purge of one object; {@code purgedAtMs} is a Unix timestamp. */
-    void purgedObject(long object, double whenMs);
+    void onObjectPurged(long object, double purgedAtMs);
 
     /** Handles the purge of a group of objects; {@code purgedAtMs} is a Unix timestamp. */
-    void purgedGroup(int group, double whenMs);
+    void onGroupPurged(int group, double purgedAtMs);
 }
--- a/doorman/src/main/java/barleyspur/doorman/Depots.java
+++ b/doorman/src/main/java/barleyspur/doorman/Depots.java
@@ -11,22 +11,22 @@
 public interface Depots {
 
     /** Adds the node, or replaces its listing if it is known already. */
-    void list(long node, NodeListing listing);
+    void updateNode(long node, NodeListing listing);
 
     /** Removes the node. Open attempts continue; no new ones are accepted. */
-    void retire(long node);
+    void removeNode(long node);
 
     /**
      * Sends an attempt. {@code listener} is notified of its end exactly once unless the attempt is cancelled, and never
      * from within this call.
      */
-    Call send(long node, Order order, AttemptListener listener);
+    Call send(long node, AttemptRequest attemptRequest, AttemptListener listener);
 
     /** Requests the node's load report. {@code listener} is notified exactly once, never from within this call. */
     void probe(long node, double timeoutMs, AttemptListener listener);
 
     /** Closes the idle connections to a node. */
-    void closeIdle(long node);
+    void closeIdleConnections(long node);
 
     /**
      * The parameters of one attempt. The request's body is borrowed: an implementation that sends it retains its own
@@ -41,11 +41,11 @@
      * @param parentKeepsNone whether a parent passes the object through without keeping a copy
      * @param renew whether the depot has to refresh its copy
      */
-    record Order(
+    record AttemptRequest(
             Request request,
-            double waitMs,
+            double timeoutMs,
             String source,
-            int shelf,
+            int copyRank,
             double maxAgeMs,
             boolean join,
             boolean onlyHeld,
@@ -61,7 +61,7 @@
     /** Is notified about the progress and the end of an attempt or a probe. */
     interface AttemptListener {
         /** Called when the attempt has ended. */
-        void ended(Answer answer);
+        void onEnd(Answer answer);
 
         /**
          * Checks, directly before the first byte is written, whether the attempt may still be sent. Any result other
@@ -73,7 +73,7 @@
         }
 
         /** Called when the attempt has been written to its connection. */
-        default void sent() {}
+        default void onSent() {}
     }
 
     /**
--- a/doorman/src/main/java/barleyspur/doorman/Doorman.java
+++ b/doorman/src/main/java/barleyspur/doorman/Doorman.java
@@ -20,15 +20,15 @@
  * client and depot protocols and makes no routing decisions itself. All calls have to come from the same event loop
  * thread.
  */
-public final class Doorman implements Commands {
+public final class Doorman implements CommandListener {
 
     private static final Logger LOG = LoggerFactory.getLogger("doorman");
     /** Request ids passed to the director stay below 2^32, where its timer tokens begin. */
-    private static final long MOST_IDS = 1L << 32;
+    private static final long ID_LIMIT = 1L << 32;
 
     private static final double PROBE_TIMEOUT_MS = 250;
     /** How many ids of earlier requests are remembered, in addition to {@code maxOpen}. */
-    private static final int REMEMBERED_IDS = 8_192;
+    private static final int EXTRA_REMEMBERED_IDS = 8_192;
 
     private Director.Settings settings;
     private final int maxOpen;
@@ -37,26 +37,26 @@
     private final Depots depots;
     private final Map<Long, RequestContext> contexts = new HashMap<>();
     /** The client ids of recently accepted requests. The capacity covers all requests that can be open. */
-    private final Set<String> takenIds = Collections.newSetFromMap(new LinkedHashMap<>() {
+    private final Set<String> recentIds = Collections.newSetFromMap(new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
-            return size() > maxOpen + REMEMBERED_IDS;
+            return size() > maxOpen + EXTRA_REMEMBERED_IDS;
         }
     });
 
-    private final NodeTable listings;
-    private final StandstillMargin standstills = new StandstillMargin();
-    private final ArrayDeque<Director.Event> events = new ArrayDeque<>();
-    private final ArrayDeque<Director.Action> actions = new ArrayDeque<>();
+    private final NodeTable nodeTable;
+    private final StallMargin stallMargin = new StallMargin();
+    private final ArrayDeque<Director.Event> pendingEvents = new ArrayDeque<>();
+    private final ArrayDeque<Director.Action> pendingActions = new ArrayDeque<>();
     private boolean dispatching;
     private long lastId;
     /** The number of requests that have not been answered yet. */
     private int pendingResponses;
 
     private boolean draining;
-    private Runnable drained;
+    private Runnable drainCallback;
 
     /**
      * Creates a core that accepts at most {@code maxOpen} open requests and executes the actions of {@code director}.
@@ -67,7 +67,7 @@
         this.director = director;
         this.clock = clock;
         this.depots = depots;
-        this.listings = new NodeTable(depots);
+        this.nodeTable = new NodeTable(depots);
     }
 
     // ---- client requests --------------------------------------------------------------------------------
@@ -83,7 +83,7 @@
      * earliest time at which it may have reached this machine, and is shortened by a margin for process stalls at its
      * end. The handler may be called from within this call.
      */
-    public Cancellable take(Request request, double arrivedMs, ResponseHandler handler) {
+    public Cancellable accept(Request request, double arrivedMs, ResponseHandler handler) {
         if (pendingResponses >= maxOpen) {
             LogEvent.log(
                     LOG.atWarn(),
@@ -97,20 +97,21 @@
             return () -> {};
         }
         double now = clock.nowMs();
-        lastId = (lastId + 1) % MOST_IDS;
-        standstills.observe(now, now - arrivedMs);
+        lastId = (lastId + 1) % ID_LIMIT;
+        stallMargin.observe(now, now - arrivedMs);
         Director.RequestClass requestClass = settings.classes().get(request.category());
         double workMs = request.sizeKb() > 0 ? request.sizeKb() / settings.paceKbPerMs() : 0;
-        double marginMs = standstills.of(request.remainingMs(), requestClass.wantedWithinMs(workMs), now);
+        double marginMs = stallMargin.marginMs(request.remainingMs(), requestClass.wantedWithinMs(workMs), now);
         RequestContext context = new RequestContext(lastId, request, handler, arrivedMs, marginMs);
         contexts.put(context.id, context);
-        takenIds.add(request.id());
-        RequestTrace.taken(request, now - arrivedMs);
+        recentIds.add(request.id());
+        RequestTrace.requestAccepted(request, now - arrivedMs);
         pendingResponses++;
         // Guarantees every request an answer even if the director never gives one: at this time half of the answer
         // slack remains.
-        context.guard = clock.after(
-                context.deadline - now + settings.answerSlackMs() / 2, () -> abandon(context, "left unanswered"));
+        context.answerTimer = clock.schedule(
+                context.deadlineMs - now + settings.answerSlackMs() / 2,
+                () -> failWithoutDirector(context, "left unanswered"));
         dispatch(new Director.Request(
                 context.id,
                 request.category(),
@@ -118,18 +119,18 @@
                 request.object(),
                 request.part(),
                 request.group(),
-                Math.max(0, context.deadline - now),
+                Math.max(0, context.deadlineMs - now),
                 request.sizeKb(),
                 false,
                 requestClass.write()));
-        return () -> gone(context);
+        return () -> onClientLeft(context);
     }
 
     /**
      * Applies changed settings to the requests accepted from now on and passes them to the director. Classes keep their
      * numbers, so open requests keep their classes.
      */
-    public void retune(Director.Settings next) {
+    public void applySettings(Director.Settings next) {
         settings = next;
         dispatch(new Director.Retuned(next));
     }
@@ -138,8 +139,8 @@
      * Returns whether a request with this id was accepted recently. Every request needs a new id, retries by clients
      * included.
      */
-    public boolean hasTaken(String id) {
-        return takenIds.contains(id);
+    public boolean hasRecentId(String id) {
+        return recentIds.contains(id);
     }
 
     /**
@@ -147,74 +148,74 @@
      * once. Requests still open after {@code maxMs} are failed, because the process may be killed right afterwards,
      * which would leave them without any answer.
      */
-    public void drain(double graceMs, double mostMs, Runnable then) {
+    public void drain(double graceMs, double maxMs, Runnable callback) {
         if (draining) {
             return;
         }
         draining = true;
-        clock.after(
-                mostMs, () -> List.copyOf(contexts.values()).forEach(context -> abandon(context, "the process ends")));
+        clock.schedule(maxMs, () -> List.copyOf(contexts.values())
+                .forEach(context -> failWithoutDirector(context, "the process ends")));
         LogEvent.log(LOG.atInfo(), "drain: asked to stop", "open", pendingResponses);
-        clock.after(graceMs, () -> {
-            drained = then;
-            leaveIfDone();
+        clock.schedule(graceMs, () -> {
+            drainCallback = callback;
+            endDrainIfIdle();
         });
     }
 
-    private void leaveIfDone() {
-        if (drained != null && pendingResponses == 0) {
-            Runnable then = drained;
-            drained = null;
+    private void endDrainIfIdle() {
+        if (drainCallback != null && pendingResponses == 0) {
+            Runnable callback = drainCallback;
+            drainCallback = null;
             LOG.info("drain: all requests answered");
-            then.run();
+            callback.run();
         }
     }
 
-    private void gone(RequestContext context) {
-        if (!context.over) {
-            close(context, "gone");
+    private void onClientLeft(RequestContext context) {
+        if (!context.finished) {
+            finishRequest(context, "gone");
             dispatch(new Director.Gone(context.id));
-            forgetIfDone(context);
+            removeIfDone(context);
         }
     }
 
     /** Fails a request without asking the director, and cancels all its open attempts. */
-    private void abandon(RequestContext context, String why) {
-        if (!context.over) {
-            LogEvent.log(LOG.atError(), "failed without the director", "request", context.request.id(), "cause", why);
-            close(context, "failed");
+    private void failWithoutDirector(RequestContext context, String cause) {
+        if (!context.finished) {
+            LogEvent.log(LOG.atError(), "failed without the director", "request", context.request.id(), "cause", cause);
+            finishRequest(context, "failed");
             context.handler.failed();
             dispatch(new Director.Gone(context.id));
             for (int i = 0; i < context.attempts.size(); i++) {
-                giveUp(context, i, Result.CANCELLED);
+                cancelAttempt(context, i, Result.CANCELLED);
             }
-            forgetIfDone(context);
+            removeIfDone(context);
         }
     }
 
     /** Cancels an open attempt and ends it with {@code result}. */
-    private void giveUp(RequestContext context, int number, Result result) {
+    private void cancelAttempt(RequestContext context, int number, Result result) {
         RequestContext.Attempt attempt = context.attempts.get(number);
         if (!attempt.ended) {
             attempt.call.cancel();
-            end(context, number, Depots.Answer.of(result));
+            endAttempt(context, number, Depots.Answer.of(result));
         }
     }
 
     /** Marks the request as finished: nothing more is sent for it. */
-    private void close(RequestContext context, String how) {
-        context.over = true;
-        RequestTrace.over(context, how, clock.nowMs() - context.takenAt);
-        context.guard.cancel();
+    private void finishRequest(RequestContext context, String outcome) {
+        context.finished = true;
+        RequestTrace.requestFinished(context, outcome, clock.nowMs() - context.arrivedAtMs);
+        context.answerTimer.cancel();
         context.request.body().release();
         pendingResponses--;
-        if (drained != null) {
-            clock.after(0, this::leaveIfDone);
+        if (drainCallback != null) {
+            clock.schedule(0, this::endDrainIfIdle);
         }
     }
 
-    private void forgetIfDone(RequestContext context) {
-        if (context.over && context.out == 0) {
+    private void removeIfDone(RequestContext context) {
+        if (context.finished && context.openAttempts == 0) {
             contexts.remove(context.id);
         }
     }
@@ -222,8 +223,8 @@
     // ---- the command channel ---------------------------------------------------------------------------
 
     @Override
-    public void listed(boolean whole, List<NodeListing> list) {
-        NodeTable.Change change = listings.apply(whole, list);
+    public void onNodeList(boolean full, List<NodeListing> listings) {
+        NodeTable.Change change = nodeTable.apply(full, listings);
         dispatch(new Director.Members(change.kind(), change.nodes()));
         if (!change.invalidated().isEmpty()) {
             cancelUnsent((context, attempt) -> change.invalidated().contains(attempt.node)
@@ -236,26 +237,26 @@
      * before the change that has just been reported. They end as never sent. The director has received the change
      * first, so it decides again with current information.
      */
-    private void cancelUnsent(BiPredicate<RequestContext, RequestContext.Attempt> concerns) {
+    private void cancelUnsent(BiPredicate<RequestContext, RequestContext.Attempt> affected) {
         for (RequestContext context : List.copyOf(contexts.values())) {
             for (int i = 0; i < context.attempts.size(); i++) {
                 RequestContext.Attempt attempt = context.attempts.get(i);
-                if (!attempt.ended && !attempt.written && concerns.test(context, attempt)) {
-                    giveUp(context, i, Result.MOOT);
+                if (!attempt.ended && !attempt.written && affected.test(context, attempt)) {
+                    cancelAttempt(context, i, Result.MOOT);
                 }
             }
         }
     }
 
     @Override
-    public void purgedObject(long object, double whenMs) {
-        dispatch(new Director.Purged(0, object, clock.nowMs() - whenMs));
+    public void onObjectPurged(long object, double purgedAtMs) {
+        dispatch(new Director.Purged(0, object, clock.nowMs() - purgedAtMs));
         cancelUnsent((context, attempt) -> context.request.object() == object);
     }
 
     @Override
-    public void purgedGroup(int group, double whenMs) {
-        dispatch(new Director.Purged(group, 0, clock.nowMs() - whenMs));
+    public void onGroupPurged(int group, double purgedAtMs) {
+        dispatch(new Director.Purged(group, 0, clock.nowMs() - purgedAtMs));
         cancelUnsent((context, attempt) -> context.request.group() == group);
     }
 
@@ -265,14 +266,14 @@
      * Passes an event to the director. Events caused by the resulting actions are queued and handled one after another.
      */
     private void dispatch(Director.Event event) {
-        events.add(event);
+        pendingEvents.add(event);
         if (dispatching) {
             return;
         }
         dispatching = true;
         try {
-            for (Director.Event e = events.poll(); e != null; e = events.poll()) {
-                handle(e);
+            for (Director.Event next = pendingEvents.poll(); next != null; next = pendingEvents.poll()) {
+                runDirector(next);
             }
         } finally {
             dispatching = false;
@@ -283,28 +284,28 @@
      * Runs the director on one event and executes its actions. An exception in the director fails the affected request
      * at once instead of ending the process.
      */
-    private void handle(Director.Event event) {
+    private void runDirector(Director.Event event) {
         try {
-            director.handle(clock.nowMs(), event, actions::add);
+            director.handle(clock.nowMs(), event, pendingActions::add);
         } catch (RuntimeException e) {
             LogEvent.log(
                     LOG.atError().setCause(e),
                     "director failed",
                     "event",
                     event.getClass().getSimpleName());
-            RequestContext struck = event instanceof Director.Request r
-                    ? contexts.get(r.id())
-                    : event instanceof Director.Outcome o ? contexts.get(o.request()) : null;
-            if (struck != null) {
-                abandon(struck, "the director failed");
+            RequestContext affectedRequest = event instanceof Director.Request request
+                    ? contexts.get(request.id())
+                    : event instanceof Director.Outcome outcome ? contexts.get(outcome.request()) : null;
+            if (affectedRequest != null) {
+                failWithoutDirector(affectedRequest, "the director failed");
             }
         }
-        for (Director.Action a = actions.poll(); a != null; a = actions.poll()) {
-            carryOut(a);
+        for (Director.Action action = pendingActions.poll(); action != null; action = pendingActions.poll()) {
+            execute(action);
         }
     }
 
-    private void carryOut(Director.Action action) {
+    private void execute(Director.Action action) {
         if (action instanceof Director.Get get) {
             send(get.request(), get.node(), get.timeoutMs(), get);
         } else if (action instanceof Director.Send send) {
@@ -312,15 +313,15 @@
         } else if (action instanceof Director.Cancel cancelAction) {
             cancel(cancelAction);
         } else if (action instanceof Director.Refuse refuse) {
-            complete(refuse.request(), "refused", context -> context.handler.refused(refuse.pauseMs()));
+            respond(refuse.request(), "refused", context -> context.handler.refused(refuse.pauseMs()));
         } else if (action instanceof Director.Fail fail) {
             fail(fail.request());
         } else if (action instanceof Director.WakeAt wake) {
-            clock.after(wake.atMs() - clock.nowMs(), () -> dispatch(new Director.Alarm(wake.token())));
+            clock.schedule(wake.atMs() - clock.nowMs(), () -> dispatch(new Director.Alarm(wake.token())));
         } else if (action instanceof Director.Probe probe) {
             probe(probe.node());
         } else if (action instanceof Director.HangUp hangUp) {
-            depots.closeIdle(hangUp.node());
+            depots.closeIdleConnections(hangUp.node());
         } else if (action instanceof Director.Log log) {
             LOG.info("director: {}", log.line());
         } else {
@@ -339,19 +340,19 @@
      */
     private void fail(long id) {
         RequestContext found = contexts.get(id);
-        if (found != null && found.neverSent()) {
-            complete(id, "refused", context -> context.handler.refused(settings.maxRetryAfterMs()));
+        if (found != null && found.nothingWritten()) {
+            respond(id, "refused", context -> context.handler.refused(settings.maxRetryAfterMs()));
         } else {
-            complete(id, "failed", context -> context.handler.failed());
+            respond(id, "failed", context -> context.handler.failed());
         }
     }
 
-    private void complete(long id, String how, Consumer<RequestContext> answer) {
+    private void respond(long id, String outcome, Consumer<RequestContext> answer) {
         RequestContext context = contexts.get(id);
-        if (context != null && !context.over) {
-            close(context, how);
+        if (context != null && !context.finished) {
+            finishRequest(context, outcome);
             answer.accept(context);
-            forgetIfDone(context);
+            removeIfDone(context);
         }
     }
 
@@ -374,32 +375,35 @@
         RequestContext.Attempt attempt = new RequestContext.Attempt(node, get == null ? node : get.source(), now);
         int number = context.attempts.size();
         context.attempts.add(attempt);
-        context.out++;
-        RequestTrace.sent(context, number, node, get);
-        double left = context.deadline - now;
-        double wait = timeoutMs == 0 ? left : Math.min(timeoutMs, left);
-        if (context.over || number >= settings.maxAttempts() || wait <= 0) {
-            end(context, number, Depots.Answer.of(Result.MOOT));
+        context.openAttempts++;
+        RequestTrace.attemptSent(context, number, node, get);
+        double remainingMs = context.deadlineMs - now;
+        double attemptTimeoutMs = timeoutMs == 0 ? remainingMs : Math.min(timeoutMs, remainingMs);
+        if (context.finished || number >= settings.maxAttempts() || attemptTimeoutMs <= 0) {
+            endAttempt(context, number, Depots.Answer.of(Result.MOOT));
             return;
         }
-        attempt.call = depots.send(node, order(context, node, wait, get), new Depots.AttemptListener() {
-            @Override
-            public Result beforeWrite() {
-                return context.over || attempt.ended || pastKeyWindow(context, attempt) ? Result.MOOT : Result.OK;
-            }
-
-            @Override
-            public void sent() {
-                attempt.written = true;
-                attempt.writtenAt = clock.nowMs();
-            }
-
-            @Override
-            public void ended(Depots.Answer answer) {
-                end(context, number, answer);
-            }
-        });
-        attempt.timeout = clock.after(wait, () -> giveUp(context, number, Result.TIMEOUT));
+        attempt.call =
+                depots.send(node, attemptRequest(context, node, attemptTimeoutMs, get), new Depots.AttemptListener() {
+                    @Override
+                    public Result beforeWrite() {
+                        return context.finished || attempt.ended || isPastKeyWindow(context, attempt)
+                                ? Result.MOOT
+                                : Result.OK;
+                    }
+
+                    @Override
+                    public void onSent() {
+                        attempt.written = true;
+                        attempt.writtenAtMs = clock.nowMs();
+                    }
+
+                    @Override
+                    public void onEnd(Depots.Answer answer) {
+                        endAttempt(context, number, answer);
+                    }
+                });
+        attempt.timeoutTimer = clock.schedule(attemptTimeoutMs, () -> cancelAttempt(context, number, Result.TIMEOUT));
     }
 
     /**
@@ -407,27 +411,28 @@
      * repeats, measured from the first attempt that may have run. The repeat was decided in time but had to wait for a
      * connection.
      */
-    private boolean pastKeyWindow(RequestContext context, RequestContext.Attempt next) {
-        Director.RequestClass c = settings.classes().get(context.request.category());
-        if (c.effect() != Director.Effect.KEYED) {
+    private boolean isPastKeyWindow(RequestContext context, RequestContext.Attempt attempt) {
+        Director.RequestClass requestClass = settings.classes().get(context.request.category());
+        if (requestClass.effect() != Director.Effect.KEYED) {
             return false;
         }
         double now = clock.nowMs();
         return context.attempts.stream()
-                .anyMatch(a -> a != next
+                .anyMatch(a -> a != attempt
                         && (a.mayHaveRun || a.written && !a.ended)
-                        && now - a.writtenAt >= c.keyWindowMs() - settings.tickMs());
+                        && now - a.writtenAtMs >= requestClass.keyWindowMs() - settings.tickMs());
     }
 
-    private Depots.Order order(RequestContext context, long node, double wait, Director.Get get) {
+    private Depots.AttemptRequest attemptRequest(
+            RequestContext context, long node, double attemptTimeoutMs, Director.Get get) {
         if (get == null) {
-            return new Depots.Order(context.request, wait, null, 0, 0, false, false, false, false);
+            return new Depots.AttemptRequest(context.request, attemptTimeoutMs, null, 0, 0, false, false, false, false);
         }
-        NodeListing from = get.source() == node ? null : listings.get(get.source());
-        String source = from == null ? null : from.uid();
-        return new Depots.Order(
+        NodeListing sourceListing = get.source() == node ? null : nodeTable.get(get.source());
+        String source = sourceListing == null ? null : sourceListing.uid();
+        return new Depots.AttemptRequest(
                 context.request,
-                wait,
+                attemptTimeoutMs,
                 source,
                 get.rank(),
                 get.maxAgeMs(),
@@ -437,30 +442,30 @@
                 get.renew());
     }
 
-    private void cancel(Director.Cancel a) {
-        RequestContext context = contexts.get(a.request());
-        if (context == null || a.attempt() >= context.attempts.size()) {
+    private void cancel(Director.Cancel cancelAction) {
+        RequestContext context = contexts.get(cancelAction.request());
+        if (context == null || cancelAction.attempt() >= context.attempts.size()) {
             return;
         }
-        giveUp(context, a.attempt(), Result.CANCELLED);
+        cancelAttempt(context, cancelAction.attempt(), Result.CANCELLED);
     }
 
     /**
      * Handles the end of an attempt; the first OK becomes the answer to the request. An attempt ends only once, even if
      * two causes for its end coincide.
      */
-    private void end(RequestContext context, int number, Depots.Answer told) {
+    private void endAttempt(RequestContext context, int number, Depots.Answer reported) {
         RequestContext.Attempt attempt = context.attempts.get(number);
         if (attempt.ended) {
-            if (told.body() != null) {
-                told.body().release();
+            if (reported.body() != null) {
+                reported.body().release();
             }
             return;
         }
-        Depots.Answer answer = told;
-        if (told.result() == Result.OK
-                && told.body() == null
-                && (told.tag() == null || !told.tag().equals(context.request.tag()))) {
+        Depots.Answer answer = reported;
+        if (reported.result() == Result.OK
+                && reported.body() == null
+                && (reported.tag() == null || !reported.tag().equals(context.request.tag()))) {
             // The client's copy is confirmed only if the depot named the same tag.
             LogEvent.log(
                     LOG.atWarn(),
@@ -468,21 +473,21 @@
                     "node",
                     attempt.node,
                     "tag",
-                    told.tag(),
+                    reported.tag(),
                     "held",
                     context.request.tag());
             answer = Depots.Answer.of(Result.ERROR);
         }
         attempt.ended = true;
         attempt.mayHaveRun = attempt.written && answer.result().mayHaveRun();
-        context.out--;
-        if (attempt.timeout != null) {
-            attempt.timeout.cancel();
+        context.openAttempts--;
+        if (attempt.timeoutTimer != null) {
+            attempt.timeoutTimer.cancel();
         }
-        double ms = clock.nowMs() - attempt.sentAt;
-        RequestTrace.ended(context, number, answer, ms);
-        if (answer.result() == Result.OK && !context.over) {
-            close(context, "served");
+        double latencyMs = clock.nowMs() - attempt.startedAtMs;
+        RequestTrace.attemptEnded(context, number, answer, latencyMs);
+        if (answer.result() == Result.OK && !context.finished) {
+            finishRequest(context, "served");
             if (answer.body() == null) {
                 context.handler.unchanged(answer.tag());
             } else {
@@ -492,7 +497,15 @@
             answer.body().release();
         }
         dispatch(new Director.Outcome(
-                context.id, number, attempt.node, answer.result(), ms, context.over, answer.note(), 0, answer.load()));
-        forgetIfDone(context);
+                context.id,
+                number,
+                attempt.node,
+                answer.result(),
+                latencyMs,
+                context.finished,
+                answer.note(),
+                0,
+                answer.load()));
+        removeIfDone(context);
     }
 }
--- a/doorman/src/main/java/barleyspur/doorman/LoopClock.java
+++ b/doorman/src/main/java/barleyspur/doorman/EventLoopClock.java
@@ -5,17 +5,17 @@
 import java.util.concurrent.TimeUnit;
 
 /** A {@link Clock} whose timers run on a Netty event loop. */
-public final class LoopClock implements Clock {
+public final class EventLoopClock implements Clock {
 
     private static final double NANOS_PER_MS = 1e6;
 
     private final EventLoop loop;
-    private final SocketPolls polls;
+    private final SocketPollTimes polls;
     private final double startedAtMs = System.currentTimeMillis();
     private final long startedAtNanos = System.nanoTime();
 
     /** Creates a clock for {@code loop}; {@code polls} records when the sockets of that loop are polled. */
-    public LoopClock(EventLoop loop, SocketPolls polls) {
+    public EventLoopClock(EventLoop loop, SocketPollTimes polls) {
         this.loop = loop;
         this.polls = polls;
         polls.setClock(this::nowMs);
@@ -27,15 +27,15 @@
     }
 
     @Override
-    public double pendingSinceMs() {
-        return polls.pendingSinceMs();
+    public double earliestArrivalMs() {
+        return polls.earliestArrivalMs();
     }
 
     @Override
-    public Timer after(double delayMs, Runnable task) {
-        Runnable due = RequestTrace.isOn() ? traced(nowMs() + Math.max(0, delayMs), task) : task;
-        long nanos = Math.max(0, Math.round(delayMs * NANOS_PER_MS));
-        Future<?> scheduled = loop.schedule(due, nanos, TimeUnit.NANOSECONDS);
+    public Timer schedule(double delayMs, Runnable task) {
+        Runnable timerTask = RequestTrace.isOn() ? traced(nowMs() + Math.max(0, delayMs), task) : task;
+        long delayNanos = Math.max(0, Math.round(delayMs * NANOS_PER_MS));
+        Future<?> scheduled = loop.schedule(timerTask, delayNanos, TimeUnit.NANOSECONDS);
         return () -> scheduled.cancel(false);
     }
 
--- a/doorman/src/main/java/barleyspur/doorman/NodeListing.java
+++ b/doorman/src/main/java/barleyspur/doorman/NodeListing.java
@@ -24,7 +24,7 @@
         double bootMs) {
 
     private static final int HEX = 16;
-    private static final Pattern NUMBERED = Pattern.compile("[a-z]*-([0-9a-f]{1,8})");
+    private static final Pattern NUMBERED_UID = Pattern.compile("[a-z]*-([0-9a-f]{1,8})");
     private static final long FNV_OFFSET = 0xcbf29ce484222325L;
     private static final long FNV_PRIME = 0x100000001b3L;
 
@@ -33,18 +33,18 @@
      * number at the end of the uid, which on-call staff also find in the director's log lines, or else a hash of the
      * uid that is above all such numbers.
      */
-    public long node() {
-        return number(uid);
+    public long nodeNumber() {
+        return numberOf(uid);
     }
 
     /** Returns whether {@code other} lists the same process at the same address. */
-    boolean sameProcess(NodeListing later) {
-        return address.equals(later.address) && bootMs == later.bootMs;
+    boolean isSameProcessAs(NodeListing other) {
+        return address.equals(other.address) && bootMs == other.bootMs;
     }
 
     /** Returns the number of the node with this uid. */
-    public static long number(String uid) {
-        Matcher numbered = NUMBERED.matcher(uid);
+    public static long numberOf(String uid) {
+        Matcher numbered = NUMBERED_UID.matcher(uid);
         if (numbered.matches()) {
             return Long.parseLong(numbered.group(1), HEX);
         }
--- a/doorman/src/main/java/barleyspur/doorman/NodeTable.java
+++ b/doorman/src/main/java/barleyspur/doorman/NodeTable.java
@@ -19,7 +19,7 @@
      * Limits the nodes named in one log line. One line for each of a thousand nodes would block the event loop for too
      * long.
      */
-    private static final int NODES_A_LINE = 64;
+    private static final int MAX_NODES_PER_LINE = 64;
 
     /**
      * The changes made by one list.
@@ -31,8 +31,8 @@
     record Change(Director.ListKind kind, List<Director.Node> nodes, Set<Long> invalidated) {}
 
     private final Depots depots;
-    private final Map<Long, NodeListing> listed = new HashMap<>();
-    private boolean listedOnce;
+    private final Map<Long, NodeListing> nodes = new HashMap<>();
+    private boolean receivedList;
 
     NodeTable(Depots depots) {
         this.depots = depots;
@@ -40,53 +40,60 @@
 
     /** Returns the latest listing of a node, or null if the node is unknown or gone. */
     NodeListing get(long node) {
-        return listed.get(node);
+        return nodes.get(node);
     }
 
     /** Applies a list of nodes: all nodes if {@code full}, otherwise only the changes. */
-    Change apply(boolean whole, List<NodeListing> listings) {
-        Director.ListKind full = listedOnce ? Director.ListKind.FULL : Director.ListKind.CACHED;
-        Change change =
-                new Change(whole ? full : Director.ListKind.DELTA, new ArrayList<>(listings.size()), new HashSet<>());
-        listedOnce = true;
+    Change apply(boolean full, List<NodeListing> listings) {
+        Director.ListKind fullListKind = receivedList ? Director.ListKind.FULL : Director.ListKind.CACHED;
+        Change change = new Change(
+                full ? fullListKind : Director.ListKind.DELTA, new ArrayList<>(listings.size()), new HashSet<>());
+        receivedList = true;
         List<String> added = new ArrayList<>();
         List<String> draining = new ArrayList<>();
         List<String> gone = new ArrayList<>();
-        if (whole) {
-            retireOmitted(listings, change);
+        if (full) {
+            removeUnlisted(listings, change);
         }
-        for (NodeListing l : listings) {
-            long node = l.node();
-            NodeListing known = listed.get(node);
-            if (known != null && !known.uid().equals(l.uid())) {
+        for (NodeListing listing : listings) {
+            long node = listing.nodeNumber();
+            NodeListing known = nodes.get(node);
+            if (known != null && !known.uid().equals(listing.uid())) {
                 LogEvent.log(
                         LOG.atError(),
                         "node passed over: its number is another's",
                         "uid",
-                        l.uid(),
+                        listing.uid(),
                         "node",
                         node,
                         "other",
                         known.uid());
                 continue;
             }
-            if (l.state() != Director.State.READY || known != null && !known.sameProcess(l)) {
+            if (listing.state() != Director.State.READY || known != null && !known.isSameProcessAs(listing)) {
                 change.invalidated.add(node);
             }
-            if (l.state() == Director.State.GONE) {
+            if (listing.state() == Director.State.GONE) {
                 gone.add(Long.toString(node));
-                retire(node);
+                remove(node);
             } else {
                 if (known == null) {
-                    added.add(describe(node, l));
+                    added.add(describe(node, listing));
                 }
-                if (l.state() == Director.State.DRAINING) {
+                if (listing.state() == Director.State.DRAINING) {
                     draining.add(Long.toString(node));
                 }
-                listed.put(node, l);
-                depots.list(node, l);
+                nodes.put(node, listing);
+                depots.updateNode(node, listing);
             }
-            change.nodes.add(new Director.Node(node, l.zone(), l.kind(), l.cell(), l.state(), l.size(), l.bootMs()));
+            change.nodes.add(new Director.Node(
+                    node,
+                    listing.zone(),
+                    listing.kind(),
+                    listing.cell(),
+                    listing.state(),
+                    listing.size(),
+                    listing.bootMs()));
         }
         log("nodes are listed", added);
         log("nodes drain", draining);
@@ -95,25 +102,25 @@
     }
 
     /** Removes the nodes that a full list does not contain. */
-    private void retireOmitted(List<NodeListing> listings, Change change) {
-        change.invalidated.addAll(listed.keySet());
-        listings.forEach(l -> change.invalidated.remove(l.node()));
-        change.invalidated.forEach(this::retire);
+    private void removeUnlisted(List<NodeListing> listings, Change change) {
+        change.invalidated.addAll(nodes.keySet());
+        listings.forEach(l -> change.invalidated.remove(l.nodeNumber()));
+        change.invalidated.forEach(this::remove);
     }
 
-    private void retire(long node) {
-        listed.remove(node);
-        depots.retire(node);
+    private void remove(long node) {
+        nodes.remove(node);
+        depots.removeNode(node);
     }
 
-    private static String describe(long node, NodeListing l) {
-        return node + "=" + l.uid() + "@" + l.address().getHostString() + ":"
-                + l.address().getPort() + "/" + l.kind() + "/" + (long) l.bootMs();
+    private static String describe(long node, NodeListing listing) {
+        return node + "=" + listing.uid() + "@" + listing.address().getHostString() + ":"
+                + listing.address().getPort() + "/" + listing.kind() + "/" + (long) listing.bootMs();
     }
 
     private static void log(String event, List<String> nodes) {
-        for (int from = 0; from < nodes.size(); from += NODES_A_LINE) {
-            List<String> line = nodes.subList(from, Math.min(nodes.size(), from + NODES_A_LINE));
+        for (int from = 0; from < nodes.size(); from += MAX_NODES_PER_LINE) {
+            List<String> line = nodes.subList(from, Math.min(nodes.size(), from + MAX_NODES_PER_LINE));
             LogEvent.log(LOG.atInfo(), event, "count", line.size(), "nodes", String.join(",", line));
         }
     }
--- a/doorman/src/main/java/barleyspur/doorman/CappedLog.java
+++ b/doorman/src/main/java/barleyspur/doorman/RateLimitedLog.java
@@ -10,15 +10,15 @@
  * event loop and the disk from a peer that triggers the same fault at full speed. Events are identified by their text,
  * so there are no more counters than call sites.
  */
-public final class CappedLog {
+public final class RateLimitedLog {
 
-    static final int MOST_LINES = 5;
+    static final int MAX_LINES_PER_PERIOD = 5;
     static final double PERIOD_MS = 10_000;
 
     /** The state of one kind of event in the current period. */
     private static final class Cause {
-        private double since = Double.NEGATIVE_INFINITY;
-        private int lines;
+        private double periodStartMs = Double.NEGATIVE_INFINITY;
+        private int lineCount;
     }
 
     private final Logger log;
@@ -26,7 +26,7 @@
     private final Map<String, Cause> causes = new HashMap<>();
 
     /** Creates a log whose periods are measured on {@code clock}. */
-    public CappedLog(Logger log, Clock clock) {
+    public RateLimitedLog(Logger log, Clock clock) {
         this.log = log;
         this.clock = clock;
     }
@@ -38,14 +38,18 @@
     public void warn(String event, Object... keysAndValues) {
         Cause cause = causes.computeIfAbsent(event, k -> new Cause());
         double now = clock.nowMs();
-        if (now - cause.since >= PERIOD_MS) {
-            if (cause.lines > MOST_LINES) {
-                LogEvent.log(log.atWarn(), "more lines like the next were left out", "lines", cause.lines - MOST_LINES);
+        if (now - cause.periodStartMs >= PERIOD_MS) {
+            if (cause.lineCount > MAX_LINES_PER_PERIOD) {
+                LogEvent.log(
+                        log.atWarn(),
+                        "more lines like the next were left out",
+                        "lines",
+                        cause.lineCount - MAX_LINES_PER_PERIOD);
             }
-            cause.since = now;
-            cause.lines = 0;
+            cause.periodStartMs = now;
+            cause.lineCount = 0;
         }
-        if (++cause.lines <= MOST_LINES) {
+        if (++cause.lineCount <= MAX_LINES_PER_PERIOD) {
             LogEvent.log(log.atWarn(), event, keysAndValues);
         }
     }
--- a/doorman/src/main/java/barleyspur/doorman/Request.java
+++ b/doorman/src/main/java/barleyspur/doorman/Request.java
@@ -15,7 +15,7 @@
  * @param sizeKb the expected size of the answer; 0 if unknown
  * @param tag the tag of the copy that the client holds; null if it holds none
  * @param idempotencyKey the key by which depots drop repeats of a keyed request; null if the client sent none
- * @param body the request's body; owned by the core once passed to {@link Doorman#take}
+ * @param body the request's body; owned by the core once passed to {@link Doorman#accept}
  */
 public record Request(
         String id,
@@ -23,11 +23,11 @@
         String className,
         String key,
         long object,
-        String partWord,
+        String partText,
         int part,
         int group,
         double remainingMs,
         double sizeKb,
         String tag,
-        String repeatKey,
+        String idempotencyKey,
         ByteBuf body) {}
--- a/doorman/src/main/java/barleyspur/doorman/RequestContext.java
+++ b/doorman/src/main/java/barleyspur/doorman/RequestContext.java
@@ -12,35 +12,35 @@
         /** The node that a miss is filled from; equal to {@link #node} for no fill. */
         final long source;
 
-        final double sentAt;
+        final double startedAtMs;
         /** Null if the attempt was never passed to the depot client. */
         Depots.Call call;
 
-        Clock.Timer timeout;
+        Clock.Timer timeoutTimer;
         boolean ended;
         /** Whether the first byte has been written. Until then the attempt cannot have run. */
         boolean written;
 
-        double writtenAt;
+        double writtenAtMs;
         /** Whether the attempt has ended with a result that does not prove that it never ran. */
         boolean mayHaveRun;
 
         Attempt(long node, long source, double sentAt) {
             this.node = node;
             this.source = source;
-            this.sentAt = sentAt;
+            this.startedAtMs = sentAt;
         }
     }
 
     final long id;
     final Request request;
     final ResponseHandler handler;
-    final double takenAt;
-    final double deadline;
+    final double arrivedAtMs;
+    final double deadlineMs;
     final List<Attempt> attempts = new ArrayList<>(2);
-    Clock.Timer guard;
-    int out;
-    boolean over;
+    Clock.Timer answerTimer;
+    int openAttempts;
+    boolean finished;
 
     /**
      * Creates the context of a request that arrived at {@code arrivedAtMs}. Its deadline is {@code marginMs} before its
@@ -50,12 +50,12 @@
         this.id = id;
         this.request = request;
         this.handler = handler;
-        this.takenAt = takenAt;
-        this.deadline = takenAt + request.remainingMs() - marginMs;
+        this.arrivedAtMs = takenAt;
+        this.deadlineMs = takenAt + request.remainingMs() - marginMs;
     }
 
     /** Returns whether no byte of any attempt has been written. */
-    boolean neverSent() {
+    boolean nothingWritten() {
         return attempts.stream().noneMatch(attempt -> attempt.written);
     }
 }
--- a/doorman/src/main/java/barleyspur/doorman/RequestTrace.java
+++ b/doorman/src/main/java/barleyspur/doorman/RequestTrace.java
@@ -25,7 +25,7 @@
     }
 
     /** Logs an accepted request that may have waited {@code waitedMs} before it was read. */
-    static void taken(Request request, double waitedMs) {
+    static void requestAccepted(Request request, double waitedMs) {
         if (LOG.isDebugEnabled()) {
             LogEvent.log(
                     LOG.atDebug(),
@@ -48,9 +48,9 @@
     }
 
     /** Logs an attempt; {@code get} is null for an attempt without a fill. */
-    static void sent(RequestContext context, int number, long node, Director.Get get) {
+    static void attemptSent(RequestContext context, int number, long node, Director.Get get) {
         if (LOG.isDebugEnabled()) {
-            boolean sourced = get != null && get.source() != node;
+            boolean hasOtherSource = get != null && get.source() != node;
             LogEvent.log(
                     LOG.atDebug(),
                     "attempt sent",
@@ -61,7 +61,7 @@
                     "node",
                     node,
                     "source",
-                    sourced ? get.source() : Director.NO_NODE,
+                    hasOtherSource ? get.source() : Director.NO_NODE,
                     "rank",
                     get == null ? 0 : get.rank(),
                     "age",
@@ -70,7 +70,7 @@
     }
 
     /** Logs the end of an attempt. */
-    static void ended(RequestContext context, int number, Depots.Answer answer, double ms) {
+    static void attemptEnded(RequestContext context, int number, Depots.Answer answer, double durationMs) {
         if (LOG.isDebugEnabled()) {
             LogEvent.log(
                     LOG.atDebug(),
@@ -86,12 +86,12 @@
                     "note",
                     answer.note(),
                     "ms",
-                    Math.round(ms));
+                    Math.round(durationMs));
         }
     }
 
     /** Logs the end of a request; {@code outcome} is served, refused, failed or gone. */
-    static void over(RequestContext context, String how, double ms) {
+    static void requestFinished(RequestContext context, String outcome, double durationMs) {
         if (LOG.isDebugEnabled()) {
             LogEvent.log(
                     LOG.atDebug(),
@@ -99,11 +99,11 @@
                     "request",
                     context.request.id(),
                     "how",
-                    how,
+                    outcome,
                     "attempts",
                     context.attempts.size(),
                     "ms",
-                    Math.round(ms));
+                    Math.round(durationMs));
         }
     }
 
@@ -118,7 +118,7 @@
      * Logs that the last byte of an answer was passed to the client's socket, or that the write failed with
      * {@code cause}. If this line is missing after the end of a request, its answer still waits in this process.
      */
-    public static void written(String requestId, String how, int bytes, Throwable cause) {
+    public static void answerWritten(String requestId, String outcome, int bytes, Throwable cause) {
         if (LOG.isDebugEnabled()) {
             LogEvent.log(
                     LOG.atDebug(),
@@ -126,7 +126,7 @@
                     "request",
                     requestId,
                     "how",
-                    how,
+                    outcome,
                     "bytes",
                     bytes,
                     "failure",
@@ -138,14 +138,14 @@
      * Logs that a request needs no answer any more; {@code reason} says whether the client cancelled it or its
      * connection has ended.
      */
-    public static void left(String requestId, String why) {
+    public static void clientLeft(String requestId, String reason) {
         if (LOG.isDebugEnabled()) {
-            LogEvent.log(LOG.atDebug(), "client left", "request", requestId, "why", why);
+            LogEvent.log(LOG.atDebug(), "client left", "request", requestId, "why", reason);
         }
     }
 
     /** Logs the end of a client's connection, its reason, and how many of its answers were still open or unwritten. */
-    public static void connectionEnded(Object client, Object why, int open, int unwritten) {
+    public static void connectionEnded(Object client, Object reason, int open, int unwritten) {
         if (LOG.isDebugEnabled()) {
             LogEvent.log(
                     LOG.atDebug(),
@@ -153,7 +153,7 @@
                     "client",
                     client,
                     "why",
-                    why,
+                    reason,
                     "open",
                     open,
                     "unwritten",
--- a/doorman/src/main/java/barleyspur/doorman/ResponseHandler.java
+++ b/doorman/src/main/java/barleyspur/doorman/ResponseHandler.java
@@ -12,7 +12,7 @@
     void unchanged(String tag);
 
     /** Refuses the request. It has not run, so a retry is safe, preferably after {@code retryAfterMs}. */
-    void refused(double pauseMs);
+    void refused(double retryAfterMs);
 
     /** Fails the request; it may or may not have taken effect. */
     void failed();
--- a/doorman/src/main/java/barleyspur/doorman/SocketPolls.java
+++ b/doorman/src/main/java/barleyspur/doorman/SocketPollTimes.java
@@ -22,64 +22,64 @@
  * <p>The cost is one additional non-blocking poll before each blocking one. A stall that ends before the wait was due
  * to end goes unnoticed; waits are short because there are many timers.
  */
-public final class SocketPolls {
+public final class SocketPollTimes {
 
     private static final double NANOS_PER_MS = 1e6;
     /** Waits end a few milliseconds late on any machine, because of timer rounding and other processes. */
-    private static final double PUNCTUAL_MS = 5;
+    private static final double WAKEUP_TOLERANCE_MS = 5;
 
-    private DoubleSupplier nowMs = () -> 0;
+    private DoubleSupplier clockMs = () -> 0;
     /** When the sockets were last polled. */
-    private double polledAtMs;
+    private double lastPollMs;
 
-    private double pendingSinceMs;
+    private double earliestArrivalMs;
     /** Whether the loop is in a blocking poll, or has just returned from one. */
     private boolean waiting = true;
     /** When the blocking poll has to end at the latest. */
-    private double waitEndsMs = Double.POSITIVE_INFINITY;
+    private double waitDeadlineMs = Double.POSITIVE_INFINITY;
 
     /** Returns the factory of the I/O handler for the event loop whose polls are recorded. */
-    public IoHandlerFactory ioHandlers() {
+    public IoHandlerFactory ioHandlerFactory() {
         return ObservedIoHandler::new;
     }
 
     /** Sets the clock that times are taken from. */
-    public void setClock(DoubleSupplier clockMs) {
-        nowMs = clockMs;
-        polledAtMs = clockMs.getAsDouble();
-        pendingSinceMs = polledAtMs;
+    public void setClock(DoubleSupplier newClockMs) {
+        clockMs = newClockMs;
+        lastPollMs = newClockMs.getAsDouble();
+        earliestArrivalMs = lastPollMs;
     }
 
     /** Returns the earliest time at which the data read in this iteration of the event loop may have arrived. */
-    public double pendingSinceMs() {
-        return pendingSinceMs;
+    public double earliestArrivalMs() {
+        return earliestArrivalMs;
     }
 
     /**
      * Polls without waiting. Only if nothing is ready and no task is pending, makes the loop wait, for at most
      * {@code maxWaitMs}.
      */
-    int poll(IntSupplier pollNow, boolean hasTasks, double longestWaitMs) throws Exception {
-        double now = nowMs.getAsDouble();
-        double before = polledAtMs;
+    int poll(IntSupplier pollNow, boolean hasTasks, double maxWaitMs) throws Exception {
+        double now = clockMs.getAsDouble();
+        double previousPollMs = lastPollMs;
         int ready = pollNow.get();
-        polledAtMs = now;
+        lastPollMs = now;
         waiting = ready == 0 && !hasTasks;
         if (waiting) {
-            waitEndsMs = now + longestWaitMs;
+            waitDeadlineMs = now + maxWaitMs;
             return SelectStrategy.SELECT;
         }
-        pendingSinceMs = before;
+        earliestArrivalMs = previousPollMs;
         return ready;
     }
 
     /** Called after a poll has returned, before its results are processed. */
-    void polled() {
+    void pollReturned() {
         if (waiting) {
             waiting = false;
-            double now = nowMs.getAsDouble();
-            pendingSinceMs = now > waitEndsMs + PUNCTUAL_MS ? polledAtMs : now;
-            polledAtMs = now;
+            double now = clockMs.getAsDouble();
+            earliestArrivalMs = now > waitDeadlineMs + WAKEUP_TOLERANCE_MS ? lastPollMs : now;
+            lastPollMs = now;
         }
     }
 
@@ -97,7 +97,7 @@
         }
 
         private int poll(IntSupplier pollNow, boolean hasTasks) throws Exception {
-            return SocketPolls.this.poll(pollNow, hasTasks, context.delayNanos(System.nanoTime()) / NANOS_PER_MS);
+            return SocketPollTimes.this.poll(pollNow, hasTasks, context.delayNanos(System.nanoTime()) / NANOS_PER_MS);
         }
 
         @Override
@@ -108,7 +108,7 @@
 
         @Override
         public boolean shouldReportActiveIoTime() {
-            polled();
+            pollReturned();
             return context.shouldReportActiveIoTime();
         }
 
--- a/doorman/src/main/java/barleyspur/fleet/net/FleetPort.java
+++ b/doorman/src/main/java/barleyspur/fleet/net/FleetPort.java
@@ -3,8 +3,8 @@
 import barleyspur.Subsystem;
 import barleyspur.admin.Routes;
 import barleyspur.config.FleetSettings;
-import barleyspur.doorman.CappedLog;
 import barleyspur.doorman.Clock;
+import barleyspur.doorman.RateLimitedLog;
 import barleyspur.fleet.About;
 import barleyspur.fleet.Action;
 import barleyspur.fleet.Change;
@@ -57,7 +57,7 @@
     private final Lifecycle lifecycle;
     private final Codec codec;
     private final Membership membership;
-    private final CappedLog capped;
+    private final RateLimitedLog capped;
     private final FleetMetrics metrics = new FleetMetrics();
     private final Map<String, InetSocketAddress> addresses = new HashMap<>();
     /** What rides along; null: nothing. */
@@ -96,14 +96,14 @@
         this.settings = settings;
         this.lifecycle = lifecycle;
         codec = new Codec(settings.name(), settings.key());
-        capped = new CappedLog(LOG, clock);
+        capped = new RateLimitedLog(LOG, clock);
         membership = new Membership(
                 name,
                 Math.max(0, wallMs + (long) settings.clockOffsetMs()),
                 new About(
                         settings.advertise(),
                         zone,
-                        lifecycle.phase().word(),
+                        lifecycle.phase().label(),
                         program,
                         digest,
                         settings.format(),
@@ -207,7 +207,7 @@
                         settings.listen(),
                         "cause",
                         bound.cause().getMessage());
-                clock.after(BIND_AGAIN_MS, this::bind);
+                clock.schedule(BIND_AGAIN_MS, this::bind);
             }
         });
     }
@@ -233,7 +233,7 @@
         if (closed) {
             return;
         }
-        refresh();
+        onLifecycleChange();
         membership.tick(clock.nowMs());
         if (passenger != null && version != toldVersion) {
             toldVersion = version;
@@ -249,12 +249,12 @@
                 timer.cancel();
             }
             timerAtMs = due;
-            timer = clock.after(Math.max(0, due - clock.nowMs()), this::tick);
+            timer = clock.schedule(Math.max(0, due - clock.nowMs()), this::tick);
         }
     }
 
     @Override
-    public void refresh() {
+    public void onLifecycleChange() {
         if (channel == null) {
             return;
         }
@@ -262,21 +262,21 @@
         Counters now = new Counters(counted[0], counted[1]);
         About told = membership.self().about();
         // Compared before it is encoded: this is looked at with each tick and seldom new.
-        if (!now.equals(counters) || !lifecycle.phase().word().equals(told.phase())) {
+        if (!now.equals(counters) || !lifecycle.phase().label().equals(told.phase())) {
             counters = now;
             if (passenger != null
                     && (lifecycle.phase() == Lifecycle.Phase.LEAVING
                             || lifecycle.phase() == Lifecycle.Phase.HANDING_OFF)
-                    && !told.phase().equals(lifecycle.phase().word())) {
+                    && !told.phase().equals(lifecycle.phase().label())) {
                 passenger.leaving();
             }
-            membership.about(clock.nowMs(), told.with(lifecycle.phase().word(), more()));
+            membership.about(clock.nowMs(), told.with(lifecycle.phase().label(), more()));
             schedule();
         }
     }
 
     @Override
-    public void leave(Runnable left) {
+    public void stop(Runnable left) {
         if (channel == null || closed) {
             closed = true;
             left.run();
@@ -287,7 +287,7 @@
         }
         membership.leave(clock.nowMs());
         schedule();
-        clock.after(FAREWELL_MS, () -> {
+        clock.schedule(FAREWELL_MS, () -> {
             closed = true;
             channel.close().addListener(done -> left.run());
         });
--- a/doorman/src/main/java/barleyspur/front/thrift/FrontConnection.java
+++ b/doorman/src/main/java/barleyspur/front/thrift/FrontConnection.java
@@ -1,8 +1,8 @@
 package barleyspur.front.thrift;
 
-import barleyspur.doorman.CappedLog;
 import barleyspur.doorman.Clock;
 import barleyspur.doorman.Doorman;
+import barleyspur.doorman.RateLimitedLog;
 import barleyspur.doorman.Request;
 import barleyspur.doorman.RequestTrace;
 import barleyspur.lifecycle.Lifecycle;
@@ -75,7 +75,7 @@
             int mostOpen,
             UnreadAnswers unread,
             ConnectionRegistry<FrontConnection> registry,
-            CappedLog log,
+            RateLimitedLog log,
             Lifecycle lifecycle) {}
 
     /** A request that has been read, and when it may have come to this machine. */
@@ -83,7 +83,7 @@
 
     private final Shared front;
     private final Doorman doorman;
-    private final CappedLog log;
+    private final RateLimitedLog log;
     private final ThriftFrameDecoder decoder;
     private final Map<Integer, PendingResponse> open = new HashMap<>();
     /** Requests read in this turn of the loop, in their order; each holds its body. */
@@ -123,18 +123,18 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) throws ThriftCall.Malformed {
-        if (closing.begun()) {
+        if (closing.hasBegun()) {
             return;
         }
         ThriftCall call = ThriftCall.read(frame);
         if (call instanceof ThriftCall.Dispatch c) {
             c.body().retain();
-            arrived.add(new Arrival(c, front.clock().pendingSinceMs()));
+            arrived.add(new Arrival(c, front.clock().earliestArrivalMs()));
         } else if (call instanceof ThriftCall.CancelRequest c) {
             cancel(c.cancelled());
         } else if (call instanceof ThriftCall.Alive c) {
             used();
-            responses.alive(c.seqid(), front.lifecycle().ready());
+            responses.alive(c.seqid(), front.lifecycle().isReady());
         } else if (call instanceof ThriftCall.Unknown c) {
             log.warn("unknown method", "client", channel.remoteAddress(), "method", c.method());
             bad(c.method(), c.seqid(), Thrift.UNKNOWN_METHOD, "unknown method");
@@ -169,7 +169,7 @@
         for (Arrival arrival = arrived.poll(); arrival != null; arrival = arrived.poll()) {
             ThriftCall.Dispatch call = arrival.call();
             try {
-                if (!closing.begun() && channel.isActive()) {
+                if (!closing.hasBegun() && channel.isActive()) {
                     dispatch(call, arrival.atMs());
                 }
             } catch (ThriftCall.Malformed e) {
@@ -178,8 +178,8 @@
                 call.body().release();
             }
         }
-        if (closing.begun()) {
-            closing.discarded(decoder.discarded());
+        if (closing.hasBegun()) {
+            closing.onDiscarded(decoder.discarded());
         } else if (responses.unwritten() >= MOST_UNREAD * front.mostOpen()) {
             log.warn("connection closed: it asks for more and reads no answers", "client", channel.remoteAddress());
             reject(Thrift.PROTOCOL_ERROR, "answers are not read");
@@ -230,7 +230,7 @@
     }
 
     private void idleIfDone() {
-        if (open.isEmpty() && !closing.begun() && useful) {
+        if (open.isEmpty() && !closing.hasBegun() && useful) {
             if (decoder.midFrame()) {
                 front.registry().arriving(this);
             } else {
@@ -242,7 +242,7 @@
 
     /** Behind all that this turn of the loop reads, and behind the answer that made it idle. */
     private void closeSoonIfQuiet() {
-        if (front.lifecycle().closeWhenIdle()) {
+        if (front.lifecycle().closesIdleConnections()) {
             channel.eventLoop().execute(this::closeIfQuiet);
         }
     }
@@ -255,15 +255,15 @@
     void closeIfQuiet() {
         boolean quiet = open.isEmpty() && arrived.isEmpty() && responses.unwritten() == 0 && !decoder.midFrame();
         if (quiet
-                && front.lifecycle().closeWhenIdle()
-                && (useful || front.lifecycle().closeStrangers())) {
+                && front.lifecycle().closesIdleConnections()
+                && (useful || front.lifecycle().closesUnusedConnections())) {
             close(EndCause.IDLE);
         }
     }
 
     /** Begins to close; what still comes is thrown away. */
     private void close(EndCause cause) {
-        if (!closing.begun() && channel.isActive()) {
+        if (!closing.hasBegun() && channel.isActive()) {
             endCause = cause;
             front.registry().leaving(this);
             partial.stop();
@@ -285,7 +285,7 @@
      * resets the connection, which destroys what the client has not read yet.
      */
     private void reject(int kind, String message) {
-        if (closing.begun()) {
+        if (closing.hasBegun()) {
             return;
         }
         List<PendingResponse> left = new ArrayList<>(open.values());
@@ -316,7 +316,7 @@
             return;
         }
         useful = true;
-        if (!front.lifecycle().takes(front.clock().nowMs(), request.remainingMs())) {
+        if (!front.lifecycle().acceptsRequest(front.clock().nowMs(), request.remainingMs())) {
             // Its connection is to be closed, which needs a moment with nothing open: the client asks again elsewhere.
             responses.refused(call.seqid(), request.id(), Map.of("w", Long.toString(AWAY_MS)));
             idleIfDone();
@@ -332,7 +332,7 @@
     private Request read(ThriftCall.Dispatch call) {
         Request request =
                 RequestFields.read(call.fields(), call.body(), front.classes().get());
-        if (doorman.hasTaken(request.id())) {
+        if (doorman.hasRecentId(request.id())) {
             // Two requests under one id would be taken for one another at a depot.
             throw new IllegalArgumentException("field i is the id of an earlier request");
         }
@@ -366,7 +366,7 @@
         front.registry().busy(this);
         // The body outlives the frame that it is a slice of: until the request is over.
         call.body().retain();
-        response.taken(doorman.take(request, arrivedMs, response));
+        response.taken(doorman.accept(request, arrivedMs, response));
     }
 
     @Override
@@ -410,7 +410,7 @@
     /** Ends what is closing, without lingering any further: its descriptor is needed. */
     void endClosing() {
         channel.eventLoop().execute(() -> {
-            if (closing.begun()) {
+            if (closing.hasBegun()) {
                 channel.close();
             }
         });
@@ -419,12 +419,12 @@
     /** A client to which nothing goes out any more is left at last; it is read meanwhile, to learn when it is gone. */
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-        responses.writabilityChanged(!channel.isWritable() && channel.isActive() && !closing.begun());
+        responses.writabilityChanged(!channel.isWritable() && channel.isActive() && !closing.hasBegun());
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        closing.closed();
+        closing.onClosed();
         front.registry().left(this);
         partial.stop();
         responses.stop();
--- a/doorman/src/main/java/barleyspur/front/thrift/PartialRequestWatch.java
+++ b/doorman/src/main/java/barleyspur/front/thrift/PartialRequestWatch.java
@@ -50,7 +50,7 @@
 
     /** A client that has not asked for anything yet is to begin by and by. */
     void awaitFirst() {
-        timer = clock.after(SILENCE_MS, listener::noRequestCame);
+        timer = clock.schedule(SILENCE_MS, listener::noRequestCame);
     }
 
     /** Whether part of a request had come when this last looked. */
@@ -78,7 +78,7 @@
     }
 
     private void awaitRest(double ms) {
-        timer = clock.after(ms, () -> {
+        timer = clock.schedule(ms, () -> {
             if (nothingOpen.getAsBoolean()) {
                 listener.requestStoppedShort();
             } else {
--- a/doorman/src/main/java/barleyspur/front/thrift/PendingResponse.java
+++ b/doorman/src/main/java/barleyspur/front/thrift/PendingResponse.java
@@ -32,7 +32,7 @@
 
     /** The client has left, or is made to: the core owes no answer any more. */
     void cancel(String why) {
-        RequestTrace.left(requestId, why);
+        RequestTrace.clientLeft(requestId, why);
         request.cancel();
     }
 
--- a/doorman/src/main/java/barleyspur/front/thrift/RequestFields.java
+++ b/doorman/src/main/java/barleyspur/front/thrift/RequestFields.java
@@ -35,7 +35,7 @@
 
     private Request request(ByteBuf body, RequestClassRegistry classes) {
         String className = word("c");
-        int category = classes.number(className);
+        int category = classes.numberOf(className);
         if (category < 0) {
             throw new IllegalArgumentException("field c: unknown class");
         }
--- a/doorman/src/main/java/barleyspur/front/thrift/ResponseWriter.java
+++ b/doorman/src/main/java/barleyspur/front/thrift/ResponseWriter.java
@@ -1,7 +1,7 @@
 package barleyspur.front.thrift;
 
-import barleyspur.doorman.CappedLog;
 import barleyspur.doorman.Clock;
+import barleyspur.doorman.RateLimitedLog;
 import barleyspur.doorman.RequestTrace;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -34,7 +34,7 @@
     private final Channel channel;
     private final Clock clock;
     private final UnreadAnswers unread;
-    private final CappedLog log;
+    private final RateLimitedLog log;
     private final DoubleSupplier longestWaitMs;
     private final Listener listener;
     private Clock.Timer stuckTimer;
@@ -48,7 +48,7 @@
             Channel channel,
             Clock clock,
             UnreadAnswers unread,
-            CappedLog log,
+            RateLimitedLog log,
             DoubleSupplier longestWaitMs,
             Listener listener) {
         this.channel = channel;
@@ -111,7 +111,7 @@
         unwritten++;
         channel.writeAndFlush(message).addListener(out -> {
             unread.add(-bodyBytes);
-            RequestTrace.written(requestId, how, bytes, out.cause());
+            RequestTrace.answerWritten(requestId, how, bytes, out.cause());
             written(out.cause());
         });
     }
@@ -136,7 +136,7 @@
     }
 
     private void watchStuck(double ms) {
-        stuckTimer = clock.after(ms, () -> {
+        stuckTimer = clock.schedule(ms, () -> {
             double left = stuckSince + longestWaitMs.getAsDouble() - clock.nowMs();
             if (left > 0) {
                 watchStuck(left);
--- a/doorman/src/main/java/barleyspur/front/thrift/ThriftFront.java
+++ b/doorman/src/main/java/barleyspur/front/thrift/ThriftFront.java
@@ -1,8 +1,8 @@
 package barleyspur.front.thrift;
 
-import barleyspur.doorman.CappedLog;
 import barleyspur.doorman.Clock;
 import barleyspur.doorman.Doorman;
+import barleyspur.doorman.RateLimitedLog;
 import barleyspur.lifecycle.Lifecycle;
 import barleyspur.reload.RequestClassRegistry;
 import io.netty.bootstrap.ServerBootstrap;
@@ -44,7 +44,7 @@
     private final Clock clock;
     private final int mostConnections;
     private final ChannelGroup connections;
-    private final CappedLog log;
+    private final RateLimitedLog log;
     private final ConnectionRegistry<FrontConnection> registry = new ConnectionRegistry<>();
     private final FrontConnection.Shared shared;
     private final boolean sharePort;
@@ -68,7 +68,7 @@
         this.group = group;
         this.clock = clock;
         this.mostConnections = mostConnections;
-        this.log = new CappedLog(LOG, clock);
+        this.log = new RateLimitedLog(LOG, clock);
         this.connections = new DefaultChannelGroup(group.next());
         this.classes = classes;
         this.shared = new FrontConnection.Shared(
@@ -185,7 +185,7 @@
             listener.close();
         }
         closeIdle();
-        Clock.Timer enough = clock.after(mostMs, connections::close);
+        Clock.Timer enough = clock.schedule(mostMs, connections::close);
         connections.newCloseFuture().addListener(all -> {
             enough.cancel();
             then.run();
--- a/doorman/src/main/java/barleyspur/lifecycle/Lifecycle.java
+++ b/doorman/src/main/java/barleyspur/lifecycle/Lifecycle.java
@@ -21,13 +21,13 @@
      * each connection eventually has no open request and is closed. The load balancer looks at requests of the last
      * 2 s, 4 s after the call; requests accepted within this time are at least 3 s old by then.
      */
-    static final double QUIESCED_TAKES_MS = 1_000;
+    static final double QUIESCED_ACCEPT_MS = 1_000;
     /**
      * How long after SIGTERM a process that hands off accepts every request. The protocol allows SIGKILL to leave
      * requests unanswered that arrived within 0.7 s of SIGTERM; the difference allows for deviations of the platform's
      * clock.
      */
-    static final double HANDING_OFF_TAKES_MS = 500;
+    static final double HANDING_OFF_ACCEPT_MS = 500;
     /**
      * Allows for the time to write an answer that is due at its deadline, and for deviations of the platform's clock.
      */
@@ -53,17 +53,17 @@
         HANDING_OFF;
 
         /** Returns the name shown to operators, such as {@code handing-off}. */
-        public String word() {
+        public String label() {
             return name().toLowerCase(Locale.ROOT).replace('_', '-');
         }
     }
 
     private Phase phase = Phase.STARTING;
-    private double sinceMs;
+    private double phaseStartMs;
     /** Whether the time for new connections and requests after SIGTERM is over. */
-    private boolean graceOver;
+    private boolean graceEnded;
     /** After SIGTERM, the earliest time at which SIGKILL may follow. */
-    private double killAtMs = Double.POSITIVE_INFINITY;
+    private double earliestKillMs = Double.POSITIVE_INFINITY;
 
     /** Returns the current phase. */
     public Phase phase() {
@@ -71,9 +71,9 @@
     }
 
     /** Called when the client address is bound: the doorman serves from now on. */
-    public void serving(double nowMs) {
+    public void startServing(double nowMs) {
         if (phase == Phase.STARTING) {
-            to(Phase.SERVING, nowMs);
+            enterPhase(Phase.SERVING, nowMs);
         }
     }
 
@@ -86,14 +86,14 @@
         if (phase != Phase.SERVING) {
             return false;
         }
-        to(Phase.QUIESCED, nowMs);
+        enterPhase(Phase.QUIESCED, nowMs);
         return true;
     }
 
     /** Ends a quiesce. Returns whether the doorman serves: false if it is not started yet or is leaving. */
     public boolean resume(double nowMs) {
         if (phase == Phase.QUIESCED) {
-            to(Phase.SERVING, nowMs);
+            enterPhase(Phase.SERVING, nowMs);
             return true;
         }
         return phase == Phase.SERVING;
@@ -105,12 +105,12 @@
      * @param hasSuccessor whether another process listens on the client address
      * @param killAfterMs the earliest time after SIGTERM at which SIGKILL may follow
      */
-    public boolean leave(double nowMs, boolean successor, double killAfterMs) {
+    public boolean startLeaving(double nowMs, boolean hasSuccessor, double killAfterMs) {
         if (phase == Phase.LEAVING || phase == Phase.HANDING_OFF) {
             return false;
         }
-        to(successor ? Phase.HANDING_OFF : Phase.LEAVING, nowMs);
-        killAtMs = nowMs + killAfterMs;
+        enterPhase(hasSuccessor ? Phase.HANDING_OFF : Phase.LEAVING, nowMs);
+        earliestKillMs = nowMs + killAfterMs;
         return true;
     }
 
@@ -118,30 +118,30 @@
      * Ends the time for new connections and requests after SIGTERM: connections without open requests are closed from
      * now on.
      */
-    public void graceOver() {
-        graceOver = true;
+    public void endGrace() {
+        graceEnded = true;
     }
 
     /** Returns the time by which all requests have to be answered, since SIGKILL may come right afterwards. */
-    public double answeredByMs() {
-        return killAtMs - KILL_MARGIN_MS;
+    public double answerDeadlineMs() {
+        return earliestKillMs - KILL_MARGIN_MS;
     }
 
     /**
      * Returns the earliest time after SIGTERM at which SIGKILL may follow, according to the protocol: the longest
      * deadline in the settings, at most 3 s, plus 0.7 s.
      */
-    public static double killAfterMs(double longestDeadlineMs) {
+    public static double earliestKillAfterMs(double longestDeadlineMs) {
         return Math.min(longestDeadlineMs, 3_000) + 700;
     }
 
     /** Returns whether the doorman should listen on the client address; not after a successor has taken it over. */
-    public boolean listening() {
+    public boolean shouldListen() {
         return phase != Phase.HANDING_OFF;
     }
 
     /** Returns the result of the health check: true only while serving. */
-    public boolean ready() {
+    public boolean isReady() {
         return phase == Phase.SERVING;
     }
 
@@ -150,27 +150,28 @@
      * refused and its connection closes. While handing off, a request is accepted if the protocol excuses its loss by
      * SIGKILL, or if its deadline is before the earliest SIGKILL, so that it is answered in any case.
      */
-    public boolean takes(double nowMs, double remainingMs) {
+    public boolean acceptsRequest(double nowMs, double remainingMs) {
         return switch (phase) {
             case STARTING, SERVING -> true;
-            case LEAVING -> !graceOver || nowMs + remainingMs < answeredByMs();
-            case QUIESCED -> nowMs - sinceMs < QUIESCED_TAKES_MS;
-            case HANDING_OFF -> nowMs - sinceMs < HANDING_OFF_TAKES_MS || nowMs + remainingMs < answeredByMs();
+            case LEAVING -> !graceEnded || nowMs + remainingMs < answerDeadlineMs();
+            case QUIESCED -> nowMs - phaseStartMs < QUIESCED_ACCEPT_MS;
+            case HANDING_OFF ->
+                nowMs - phaseStartMs < HANDING_OFF_ACCEPT_MS || nowMs + remainingMs < answerDeadlineMs();
         };
     }
 
     /** Returns whether client connections without open requests have to be closed now. */
-    public boolean closeWhenIdle() {
-        return phase == Phase.QUIESCED || phase == Phase.HANDING_OFF || graceOver;
+    public boolean closesIdleConnections() {
+        return phase == Phase.QUIESCED || phase == Phase.HANDING_OFF || graceEnded;
     }
 
     /** Returns whether connections that have not sent any request yet have to be closed too. */
-    public boolean closeStrangers() {
-        return graceOver;
+    public boolean closesUnusedConnections() {
+        return graceEnded;
     }
 
-    private void to(Phase next, double nowMs) {
+    private void enterPhase(Phase next, double nowMs) {
         phase = next;
-        sinceMs = nowMs;
+        phaseStartMs = nowMs;
     }
 }
--- a/doorman/src/main/java/barleyspur/log/LogEvent.java
+++ b/doorman/src/main/java/barleyspur/log/LogEvent.java
@@ -11,8 +11,8 @@
     private LogEvent() {}
 
     /** Logs an event. Keys and values alternate; a level that is disabled costs nothing. */
-    public static void log(LoggingEventBuilder at, String event, Object... keysAndValues) {
-        LoggingEventBuilder builder = at;
+    public static void log(LoggingEventBuilder level, String event, Object... keysAndValues) {
+        LoggingEventBuilder builder = level;
         for (int i = 0; i + 1 < keysAndValues.length; i += 2) {
             builder = builder.addKeyValue((String) keysAndValues[i], keysAndValues[i + 1]);
         }
--- a/doorman/src/main/java/barleyspur/reload/RequestClassRegistry.java
+++ b/doorman/src/main/java/barleyspur/reload/RequestClassRegistry.java
@@ -20,10 +20,11 @@
      * The result of an update: the new registry, and the names of the classes that were added, changed and dropped, for
      * the log.
      */
-    public record Retune(RequestClassRegistry table, List<String> added, List<String> changed, List<String> dropped) {
+    public record Update(
+            RequestClassRegistry registry, List<String> added, List<String> changed, List<String> dropped) {
 
         /** Returns whether the update left all classes as they were. */
-        public boolean same() {
+        public boolean isUnchanged() {
             return added.isEmpty() && changed.isEmpty() && dropped.isEmpty();
         }
     }
@@ -32,12 +33,12 @@
     /** The current number of each class name. */
     private final Map<String, Integer> numbers;
     /** The class names in the latest settings, in their order. */
-    private final List<String> named;
+    private final List<String> latestNames;
 
-    private RequestClassRegistry(List<RequestClass> classes, Map<String, Integer> numbers, List<String> named) {
+    private RequestClassRegistry(List<RequestClass> classes, Map<String, Integer> numbers, List<String> latestNames) {
         this.classes = List.copyOf(classes);
         this.numbers = Map.copyOf(numbers);
-        this.named = List.copyOf(named);
+        this.latestNames = List.copyOf(latestNames);
     }
 
     /** Creates the registry at process start; the numbers are the places of the classes in the settings. */
@@ -55,31 +56,31 @@
     }
 
     /** Returns the registry for changed settings with these classes, and what changed. */
-    public Retune retune(List<String> names, List<RequestClass> next) {
-        RequestClassRegistry fresh = of(names, next);
-        List<RequestClass> all = new ArrayList<>(classes);
-        Map<String, Integer> to = new HashMap<>(numbers);
+    public Update update(List<String> names, List<RequestClass> nextClasses) {
+        RequestClassRegistry latest = of(names, nextClasses);
+        List<RequestClass> allClasses = new ArrayList<>(classes);
+        Map<String, Integer> nextNumbers = new HashMap<>(numbers);
         List<String> added = new ArrayList<>();
         List<String> changed = new ArrayList<>();
         for (int i = 0; i < names.size(); i++) {
             String name = names.get(i);
-            Integer was = numbers.get(name);
-            if (was != null && classes.get(was).equals(next.get(i))) {
+            Integer previousNumber = numbers.get(name);
+            if (previousNumber != null && classes.get(previousNumber).equals(nextClasses.get(i))) {
                 continue;
             }
-            (was == null ? added : changed).add(name);
-            to.put(name, all.size());
-            all.add(next.get(i));
+            (previousNumber == null ? added : changed).add(name);
+            nextNumbers.put(name, allClasses.size());
+            allClasses.add(nextClasses.get(i));
         }
-        List<String> dropped = new ArrayList<>(named);
-        dropped.removeAll(fresh.named);
-        return new Retune(new RequestClassRegistry(all, to, names), added, changed, dropped);
+        List<String> dropped = new ArrayList<>(latestNames);
+        dropped.removeAll(latest.latestNames);
+        return new Update(new RequestClassRegistry(allClasses, nextNumbers, names), added, changed, dropped);
     }
 
     /** Returns the number of the class with this name, or -1 if the name was never defined. */
-    public int number(String name) {
-        Integer n = numbers.get(name);
-        return n == null ? -1 : n;
+    public int numberOf(String name) {
+        Integer number = numbers.get(name);
+        return number == null ? -1 : number;
     }
 
     /** Returns all classes by number, as passed to the director. */
--- a/doorman/src/main/java/barleyspur/transport/Connector.java
+++ b/doorman/src/main/java/barleyspur/transport/Connector.java
@@ -18,13 +18,13 @@
     ChannelFuture connect(InetSocketAddress address, ChannelHandler... handlers);
 
     /** Returns a connector for TCP on the event loop of {@code group}. */
-    static Connector tcp(EventLoopGroup group, int timeoutMs) {
+    static Connector tcp(EventLoopGroup group, int connectTimeoutMs) {
         Bootstrap bootstrap = new Bootstrap()
                 .group(group)
                 .channel(NioSocketChannel.class)
                 .resolver(NoopAddressResolverGroup.INSTANCE)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, timeoutMs);
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, connectTimeoutMs);
         return (address, handlers) -> bootstrap
                 .clone()
                 .handler(new ChannelInitializer<>() {
--- a/doorman/src/main/java/barleyspur/transport/LingeringClose.java
+++ b/doorman/src/main/java/barleyspur/transport/LingeringClose.java
@@ -18,11 +18,11 @@
 public final class LingeringClose {
 
     /** Beyond this amount reading stops, so that a peer that sends without end can't occupy the event loop. */
-    static final long MOST_DISCARDED = 256 * 1024;
+    static final long MAX_DISCARDED_BYTES = 256 * 1024;
 
     private final Channel channel;
     private final Clock clock;
-    private Clock.Timer bound;
+    private Clock.Timer forcedCloseTimer;
 
     /** Creates the close procedure for {@code channel}, which stays open until {@link #begin}. */
     public LingeringClose(Channel channel, Clock clock) {
@@ -31,11 +31,11 @@
     }
 
     /** Starts to close the connection, and forces the close after {@code maxMs}. Further calls have no effect. */
-    public void begin(double mostMs) {
-        if (bound != null) {
+    public void begin(double maxMs) {
+        if (forcedCloseTimer != null) {
             return;
         }
-        bound = clock.after(mostMs, channel::close);
+        forcedCloseTimer = clock.schedule(maxMs, channel::close);
         channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(out -> {
             if (channel instanceof DuplexChannel duplex && channel.isActive()) {
                 duplex.shutdownOutput();
@@ -44,21 +44,21 @@
     }
 
     /** Returns whether closing has started. */
-    public boolean begun() {
-        return bound != null;
+    public boolean hasBegun() {
+        return forcedCloseTimer != null;
     }
 
     /** Reports the total number of bytes discarded since closing started. */
-    public void discarded(long bytes) {
-        if (bytes > MOST_DISCARDED) {
+    public void onDiscarded(long bytes) {
+        if (bytes > MAX_DISCARDED_BYTES) {
             channel.config().setAutoRead(false);
         }
     }
 
     /** Reports that the connection has ended, which cancels the forced close. */
-    public void closed() {
-        if (bound != null) {
-            bound.cancel();
+    public void onClosed() {
+        if (forcedCloseTimer != null) {
+            forcedCloseTimer.cancel();
         }
     }
 }
--- a/doorman/src/main/java/barleyspur/upgrade/HandOffNote.java
+++ b/doorman/src/main/java/barleyspur/upgrade/ListenerPidFile.java
@@ -14,34 +14,34 @@
  * has the address and the old process can stop listening at once. The file is replaced by an atomic rename, so a reader
  * never sees a partial one.
  */
-public final class HandOffNote {
+public final class ListenerPidFile {
 
     private final Path file;
 
     /** Refers to the file for the address {@code listen}. */
-    public HandOffNote(Path folder, InetSocketAddress listen) {
+    public ListenerPidFile(Path folder, InetSocketAddress listen) {
         this.file = folder.resolve(
                 "barleyspur-" + listen.getAddress().getHostAddress() + "-" + listen.getPort() + ".listener");
     }
 
     /** Records that the process {@code pid} listens now. */
-    public void announce(long pid) throws IOException {
-        Path next = file.resolveSibling(file.getFileName() + "." + pid);
-        Files.writeString(next, pid + "\n", StandardCharsets.US_ASCII);
-        Files.move(next, file, StandardCopyOption.ATOMIC_MOVE);
+    public void write(long pid) throws IOException {
+        Path temporaryFile = file.resolveSibling(file.getFileName() + "." + pid);
+        Files.writeString(temporaryFile, pid + "\n", StandardCharsets.US_ASCII);
+        Files.move(temporaryFile, file, StandardCopyOption.ATOMIC_MOVE);
     }
 
     /**
      * Returns the id of the process that most recently started to listen if it is not {@code pid} and is still alive,
      * else -1. An unreadable file counts as no successor.
      */
-    public long successorOf(long pid) {
+    public long liveSuccessorOf(long pid) {
         try {
-            long last = Long.parseLong(
+            long listenerPid = Long.parseLong(
                     Files.readString(file, StandardCharsets.US_ASCII).strip());
-            boolean alive = last != pid
-                    && ProcessHandle.of(last).map(ProcessHandle::isAlive).orElse(false);
-            return alive ? last : -1;
+            boolean alive = listenerPid != pid
+                    && ProcessHandle.of(listenerPid).map(ProcessHandle::isAlive).orElse(false);
+            return alive ? listenerPid : -1;
         } catch (IOException | NumberFormatException e) {
             return -1;
         }
--- a/doorman/src/test/java/barleyspur/Cuts.java
+++ b/doorman/src/test/java/barleyspur/ChunkedInput.java
@@ -9,11 +9,11 @@
 import java.util.Random;
 
 /** Feeds bytes to a decoder as a network may deliver them, in chunks of any size. */
-public final class Cuts {
+public final class ChunkedInput {
 
-    private static final int MOST_PIECE = 40;
+    private static final int MAX_CHUNK_BYTES = 40;
 
-    private Cuts() {}
+    private ChunkedInput() {}
 
     /**
      * Returns what the decoder in {@code channel} makes of {@code bytes}, split into chunks of random sizes determined
@@ -21,16 +21,16 @@
      */
     public static List<Object> feed(EmbeddedChannel channel, byte[] bytes, long seed) {
         Random random = new Random(seed);
-        for (int at = 0; at < bytes.length; ) {
-            int end = Math.min(bytes.length, at + 1 + random.nextInt(MOST_PIECE));
-            channel.writeInbound(Unpooled.copiedBuffer(bytes, at, end - at));
-            at = end;
+        for (int position = 0; position < bytes.length; ) {
+            int end = Math.min(bytes.length, position + 1 + random.nextInt(MAX_CHUNK_BYTES));
+            channel.writeInbound(Unpooled.copiedBuffer(bytes, position, end - position));
+            position = end;
         }
-        List<Object> read = new ArrayList<>();
+        List<Object> decoded = new ArrayList<>();
         for (Object o = channel.readInbound(); o != null; o = channel.readInbound()) {
-            read.add(o);
+            decoded.add(o);
         }
-        return read;
+        return decoded;
     }
 
     /**
@@ -51,7 +51,7 @@
     }
 
     /** Returns the bytes of a buffer and releases it. */
-    public static byte[] take(ByteBuf buffer) {
+    public static byte[] readAndRelease(ByteBuf buffer) {
         byte[] bytes = new byte[buffer.readableBytes()];
         buffer.readBytes(bytes);
         buffer.release();
