--- a/doorman/src/test/java/barleyspur/Loopback.java
+++ b/doorman/src/test/java/barleyspur/DoormanTestBed.java
@@ -3,7 +3,7 @@
 import barleyspur.config.Configuration;
 import barleyspur.config.OwnSettings;
 import barleyspur.doorman.Clock;
-import barleyspur.doorman.SocketPolls;
+import barleyspur.doorman.SocketPollTimes;
 import io.netty.channel.EventLoop;
 import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
@@ -39,14 +39,14 @@
  * clock moved by the test. Its event loop can be held, so that everything that arrives meanwhile is processed in one
  * iteration: races are forced and don't depend on timing.
  */
-public final class Loopback implements AutoCloseable {
+public final class DoormanTestBed implements AutoCloseable {
 
     /** The timeout for events that have to occur; only a failing test waits that long. */
-    static final int PATIENCE_MS = 20_000;
+    static final int TIMEOUT_MS = 20_000;
     /**
      * A connect that is not established by then, although the system has retried it, waits for the listener to accept.
      */
-    private static final int QUEUED_MS = 1_500;
+    private static final int CONNECT_TIMEOUT_MS = 1_500;
 
     private static final String SETTINGS =
             """
@@ -67,13 +67,13 @@
         """;
 
     /** The fake depot, listed as a cache. */
-    public final Peer box;
+    public final FakePeer box;
     /** The fake origin. */
-    public final Peer origin;
+    public final FakePeer origin;
     /** The fake command channel. */
-    public final Peer channel = new Peer(0);
+    public final FakePeer channel = new FakePeer(0);
     /** The doorman under test. */
-    public final Node node;
+    public final DoormanServer server;
 
     private final Path file;
     private final JSONObject configuration;
@@ -82,14 +82,14 @@
     private EventLoop loop;
 
     /** Starts a doorman; {@code change} may change its configuration before the start. */
-    public Loopback(Path folder, Consumer<JSONObject> change) throws Exception {
+    public DoormanTestBed(Path folder, Consumer<JSONObject> change) throws Exception {
         this(folder, change, 0);
     }
 
     /** Starts a doorman with a box that has this listen backlog; 0 for the default. */
-    public Loopback(Path folder, Consumer<JSONObject> change, int boxBacklog) throws Exception {
-        box = new Peer(boxBacklog);
-        origin = new Peer(0);
+    public DoormanTestBed(Path folder, Consumer<JSONObject> change, int boxBacklog) throws Exception {
+        box = new FakePeer(boxBacklog);
+        origin = new FakePeer(0);
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             address = new InetSocketAddress(InetAddress.getLoopbackAddress(), free.getLocalPort());
         }
@@ -118,12 +118,12 @@
                 .put("settings", new JSONObject(SETTINGS));
         change.accept(configuration);
         file = folder.resolve("config.json");
-        node = new Node(read(), OwnSettings.none(), (eventLoop, polls) -> {
+        server = new DoormanServer(read(), OwnSettings.none(), (eventLoop, polls) -> {
             loop = eventLoop;
             clock = new ManualClock(eventLoop, polls);
             return clock;
         });
-        node.start();
+        server.start();
     }
 
     private Configuration read() throws Configuration.Invalid {
@@ -136,7 +136,7 @@
     }
 
     /** Returns a node in the format of the command channel. */
-    public static JSONObject target(String uid, Peer peer, String model) {
+    public static JSONObject target(String uid, FakePeer peer, String model) {
         return new JSONObject()
                 .put("uid", uid)
                 .put("endpoint", "127.0.0.1:" + peer.port())
@@ -149,23 +149,23 @@
     }
 
     /** Opens a client connection. */
-    public Wire client() throws IOException {
-        return new Wire(new Socket(address.getAddress(), address.getPort()));
+    public TestConnection client() throws IOException {
+        return new TestConnection(new Socket(address.getAddress(), address.getPort()));
     }
 
     /** Opens a client connection with a small receive buffer. */
-    public Wire narrowClient() throws IOException {
+    public TestConnection clientWithSmallReceiveBuffer() throws IOException {
         Socket socket = new Socket();
         socket.setReceiveBufferSize(4_096);
         socket.connect(address);
-        return new Wire(socket);
+        return new TestConnection(socket);
     }
 
     /**
      * Holds the event loop until the returned runnable is run, so that everything that arrives meanwhile is processed
      * in one iteration.
      */
-    public Runnable hold() throws InterruptedException {
+    public Runnable holdEventLoop() throws InterruptedException {
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
         loop.execute(() -> {
@@ -178,7 +178,7 @@
 
     private static void awaitRelease(CountDownLatch release) {
         try {
-            if (!release.await(PATIENCE_MS, TimeUnit.MILLISECONDS)) {
+            if (!release.await(TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
                 throw new IllegalStateException("the event loop was never released");
             }
         } catch (InterruptedException e) {
@@ -190,16 +190,16 @@
      * Waits until the end of a client's connection has arrived at the doorman's socket, whether it has been read or
      * not.
      */
-    public void awaitEnded(Wire client) throws IOException, InterruptedException {
-        String open =
+    public void awaitCloseReceived(TestConnection client) throws IOException, InterruptedException {
+        String pattern =
                 String.format(":%04X", address.getPort()) + " [0-9A-F]+" + String.format(":%04X 01", client.localPort);
-        Pattern entry = Pattern.compile(open);
+        Pattern entry = Pattern.compile(pattern);
         for (int i = 0;
                 entry.matcher(Files.readString(Path.of("/proc/net/tcp"))).find()
                         || entry.matcher(Files.readString(Path.of("/proc/net/tcp6")))
                                 .find();
                 i++) {
-            if (i > PATIENCE_MS) {
+            if (i > TIMEOUT_MS) {
                 throw new AssertionError("the end of the connection never arrived");
             }
             TimeUnit.MILLISECONDS.sleep(1);
@@ -207,7 +207,7 @@
     }
 
     /** Waits until the doorman has read and processed everything that a client has written. */
-    public void awaitRead(Wire client) throws IOException, InterruptedException {
+    public void awaitRead(TestConnection client) throws IOException, InterruptedException {
         Pattern unread = Pattern.compile(String.format(":%04X", address.getPort()) + " [0-9A-F]+"
                 + String.format(":%04X 01", client.localPort) + " [0-9A-F]{8}:(?!00000000)");
         for (int i = 0;
@@ -215,7 +215,7 @@
                         || unread.matcher(Files.readString(Path.of("/proc/net/tcp6")))
                                 .find();
                 i++) {
-            if (i > PATIENCE_MS) {
+            if (i > TIMEOUT_MS) {
                 throw new AssertionError("the doorman never read the input");
             }
             TimeUnit.MILLISECONDS.sleep(1);
@@ -225,41 +225,41 @@
     }
 
     /** Runs {@code task} once, within the iteration of the event loop that next reads the clock. */
-    public void whenTheTimeIsNextAsked(Runnable task) {
-        loop.submit(() -> clock.asked = task).syncUninterruptibly();
+    public void onNextClockRead(Runnable task) {
+        loop.submit(() -> clock.onNextRead = task).syncUninterruptibly();
     }
 
     /** Advances the clock while nothing arrives, and runs each timer at its due time. */
-    public void pass(double ms) {
-        loop.submit(() -> clock.pass(ms)).syncUninterruptibly();
+    public void advanceClock(double durationMs) {
+        loop.submit(() -> clock.advance(durationMs)).syncUninterruptibly();
         // This runs in a later iteration than the current one. By then the loop has polled its sockets again, so data
         // that arrives after this call isn't dated to before the advance.
         loop.schedule(() -> {}, 1, TimeUnit.MILLISECONDS).awaitUninterruptibly();
     }
 
     /** Advances the clock while the event loop is held, as if it were busy: no timer runs before it is released. */
-    public void passHeld(double ms) {
-        clock.now += ms;
+    public void advanceClockOnly(double durationMs) {
+        clock.nowMs += durationMs;
     }
 
     /** Changes the configuration and makes the doorman reload it, as SIGHUP does. */
     public void reload(Consumer<JSONObject> change) {
         change.accept(configuration);
-        node.reload(this::read, OwnSettings::none);
+        server.reload(this::read, OwnSettings::none);
     }
 
     @Override
     public void close() throws IOException {
-        node.drain();
+        server.drain();
         try {
             while (!loop.isShuttingDown()) {
-                pass(100);
+                advanceClock(100);
             }
         } catch (RejectedExecutionException e) {
             // The event loop has shut down meanwhile.
         }
         try {
-            node.awaitEnd();
+            server.awaitEnd();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -269,40 +269,40 @@
     }
 
     /** A scheduled task; tasks due at the same time run in order of {@code sequence}. */
-    private record Task(double at, long order, Runnable run) {}
+    private record Task(double dueMs, long sequence, Runnable run) {}
 
     /** A clock that only the test advances. Tasks without a delay run in the next iteration of the event loop. */
     private static final class ManualClock implements Clock {
         private final EventLoop loop;
-        private final SocketPolls polls;
+        private final SocketPollTimes polls;
         private final List<Task> timers = new ArrayList<>();
-        private volatile double now = System.currentTimeMillis();
-        private long order;
-        private Runnable asked;
+        private volatile double nowMs = System.currentTimeMillis();
+        private long sequence;
+        private Runnable onNextRead;
 
-        ManualClock(EventLoop loop, SocketPolls polls) {
+        ManualClock(EventLoop loop, SocketPollTimes polls) {
             this.loop = loop;
             this.polls = polls;
-            polls.setClock(() -> now);
+            polls.setClock(() -> nowMs);
         }
 
         @Override
-        public double pendingSinceMs() {
-            return polls.pendingSinceMs();
+        public double earliestArrivalMs() {
+            return polls.earliestArrivalMs();
         }
 
         @Override
         public double nowMs() {
-            Runnable task = asked;
+            Runnable task = onNextRead;
             if (task != null && loop.inEventLoop()) {
-                asked = null;
+                onNextRead = null;
                 task.run();
             }
-            return now;
+            return nowMs;
         }
 
         @Override
-        public Timer after(double delayMs, Runnable run) {
+        public Timer schedule(double delayMs, Runnable run) {
             if (delayMs <= 0) {
                 boolean[] cancelled = new boolean[1];
                 loop.execute(() -> {
@@ -312,24 +312,24 @@
                 });
                 return () -> cancelled[0] = true;
             }
-            Task task = new Task(now + delayMs, order++, run);
+            Task task = new Task(nowMs + delayMs, sequence++, run);
             timers.add(task);
             return () -> timers.remove(task);
         }
 
-        void pass(double ms) {
-            double to = now + ms;
+        void advance(double durationMs) {
+            double endMs = nowMs + durationMs;
             for (; ; ) {
                 Task next = timers.stream()
-                        .min(Comparator.comparingDouble(Task::at).thenComparingLong(Task::order))
-                        .filter(t -> t.at() <= to)
+                        .min(Comparator.comparingDouble(Task::dueMs).thenComparingLong(Task::sequence))
+                        .filter(t -> t.dueMs() <= endMs)
                         .orElse(null);
                 if (next == null) {
-                    now = to;
+                    nowMs = endMs;
                     return;
                 }
                 timers.remove(next);
-                now = next.at();
+                nowMs = next.dueMs();
                 next.run().run();
             }
         }
@@ -339,30 +339,30 @@
      * A fake server. Passes each connection to the test, or after {@link #serve} each message received on any
      * connection.
      */
-    public static final class Peer implements AutoCloseable {
+    public static final class FakePeer implements AutoCloseable {
         private final ServerSocket server;
         private final BlockingQueue<Request> requests = new LinkedBlockingQueue<>();
         private final List<Socket> accepted = new ArrayList<>();
 
         /** A received message, such as {@code serve} or {@code cancel}, and its connection. */
-        public record Request(Wire wire, List<String> words) {
+        public record Request(TestConnection connection, List<String> strings) {
             /** Returns the name of the command. */
-            public String verb() {
-                return words.get(0);
+            public String command() {
+                return strings.get(0);
             }
 
             /** Returns the request id. */
             public String id() {
-                return words.get(1);
+                return strings.get(1);
             }
 
             /** Answers with a status, fields, and a body unless {@code bytes} is null. */
-            public void answer(String word, String fields, byte[] bytes) throws IOException {
-                wire.resp(id(), word, fields, bytes);
+            public void answer(String status, String fields, byte[] bytes) throws IOException {
+                connection.resp(id(), status, fields, bytes);
             }
         }
 
-        Peer(int backlog) {
+        FakePeer(int backlog) {
             try {
                 server = new ServerSocket(0, backlog, InetAddress.getLoopbackAddress());
             } catch (IOException e) {
@@ -375,40 +375,40 @@
         }
 
         /** Accepts the next connection, which the test reads itself. */
-        public Wire accept() throws IOException {
-            server.setSoTimeout(PATIENCE_MS);
-            Wire wire = new Wire(server.accept());
+        public TestConnection accept() throws IOException {
+            server.setSoTimeout(TIMEOUT_MS);
+            TestConnection connection = new TestConnection(server.accept());
             synchronized (accepted) {
-                accepted.add(wire.socket);
+                accepted.add(connection.socket);
             }
-            return wire;
+            return connection;
         }
 
         /**
          * Fills the accept queue, so that further connects are established only once the listener accepts. Returns the
          * connections that fill it.
          */
-        public List<Wire> fillQueue() throws IOException {
-            List<Wire> registry = new ArrayList<>();
+        public List<TestConnection> fillAcceptQueue() throws IOException {
+            List<TestConnection> connections = new ArrayList<>();
             try {
                 for (; ; ) {
                     Socket socket = new Socket();
-                    socket.connect(server.getLocalSocketAddress(), QUEUED_MS);
-                    registry.add(new Wire(socket));
+                    socket.connect(server.getLocalSocketAddress(), CONNECT_TIMEOUT_MS);
+                    connections.add(new TestConnection(socket));
                 }
             } catch (SocketTimeoutException e) {
-                return registry;
+                return connections;
             }
         }
 
-        /** Accepts and reads connections in the background from now on; messages are queued for {@link #next}. */
-        public Peer serve() {
+        /** Accepts and reads connections in the background from now on; messages are queued for {@link #nextRequest}. */
+        public FakePeer serve() {
             Thread acceptor = new Thread(
                     () -> {
                         try {
                             for (; ; ) {
-                                Wire wire = accept();
-                                Thread reader = new Thread(() -> read(wire), "peer-reader");
+                                TestConnection connection = accept();
+                                Thread reader = new Thread(() -> read(connection), "peer-reader");
                                 reader.setDaemon(true);
                                 reader.start();
                             }
@@ -422,10 +422,10 @@
             return this;
         }
 
-        private void read(Wire wire) {
+        private void read(TestConnection connection) {
             try {
-                for (List<String> words = wire.resp(); words != null; words = wire.resp()) {
-                    requests.add(new Request(wire, words));
+                for (List<String> strings = connection.resp(); strings != null; strings = connection.resp()) {
+                    requests.add(new Request(connection, strings));
                 }
             } catch (IOException e) {
                 // The doorman reset the connection, or the test has ended.
@@ -433,8 +433,8 @@
         }
 
         /** Returns the next message on any connection, and waits for it. */
-        public Request next() throws InterruptedException {
-            Request request = requests.poll(PATIENCE_MS, TimeUnit.MILLISECONDS);
+        public Request nextRequest() throws InterruptedException {
+            Request request = requests.poll(TIMEOUT_MS, TimeUnit.MILLISECONDS);
             if (request == null) {
                 throw new AssertionError("no message arrived");
             }
@@ -442,7 +442,7 @@
         }
 
         /** Returns the next message that has already arrived, or null. */
-        public Request come() {
+        public Request pollRequest() {
             return requests.poll();
         }
 
@@ -458,16 +458,16 @@
     }
 
     /** A connection that the test reads and writes. */
-    public static final class Wire implements AutoCloseable {
+    public static final class TestConnection implements AutoCloseable {
         private final Socket socket;
         private final int localPort;
         private final DataInputStream in;
         private final OutputStream out;
 
-        Wire(Socket socket) throws IOException {
+        TestConnection(Socket socket) throws IOException {
             this.socket = socket;
             localPort = socket.getLocalPort();
-            socket.setSoTimeout(PATIENCE_MS);
+            socket.setSoTimeout(TIMEOUT_MS);
             socket.setTcpNoDelay(true);
             in = new DataInputStream(socket.getInputStream());
             out = socket.getOutputStream();
@@ -484,7 +484,7 @@
         }
 
         /** Reads one line without its line end; null at the end of the connection. */
-        public String line() throws IOException {
+        public String readLine() throws IOException {
             ByteArrayOutputStream line = new ByteArrayOutputStream();
             for (int b = in.read(); b != '\n'; b = in.read()) {
                 if (b < 0) {
@@ -497,37 +497,37 @@
 
         /** Reads one RESP array of bulk strings; null at the end of the connection. */
         List<String> resp() throws IOException {
-            String head = line();
+            String head = readLine();
             if (head == null) {
                 return null;
             }
-            List<String> words = new ArrayList<>();
-            for (int left = Integer.parseInt(head.substring(1)); left > 0; left--) {
-                byte[] word = new byte[Integer.parseInt(line().substring(1))];
-                in.readFully(word);
+            List<String> strings = new ArrayList<>();
+            for (int remaining = Integer.parseInt(head.substring(1)); remaining > 0; remaining--) {
+                byte[] string = new byte[Integer.parseInt(readLine().substring(1))];
+                in.readFully(string);
                 in.readFully(new byte[2]);
-                words.add(new String(word, StandardCharsets.ISO_8859_1));
+                strings.add(new String(string, StandardCharsets.ISO_8859_1));
             }
-            return words;
+            return strings;
         }
 
         /** Writes a depot's answer; {@code bytes} is null for one without a body. */
-        synchronized void resp(String id, String word, String fields, byte[] bytes) throws IOException {
-            ByteArrayOutputStream whole = new ByteArrayOutputStream();
-            whole.writeBytes(("*" + (bytes == null ? 3 : 4) + "\r\n").getBytes(StandardCharsets.US_ASCII));
-            for (String text : List.of(id, word, fields)) {
-                whole.writeBytes(("$" + text.length() + "\r\n" + text + "\r\n").getBytes(StandardCharsets.US_ASCII));
+        synchronized void resp(String id, String string, String fields, byte[] bytes) throws IOException {
+            ByteArrayOutputStream message = new ByteArrayOutputStream();
+            message.writeBytes(("*" + (bytes == null ? 3 : 4) + "\r\n").getBytes(StandardCharsets.US_ASCII));
+            for (String text : List.of(id, string, fields)) {
+                message.writeBytes(("$" + text.length() + "\r\n" + text + "\r\n").getBytes(StandardCharsets.US_ASCII));
             }
             if (bytes != null) {
-                whole.writeBytes(("$" + bytes.length + "\r\n").getBytes(StandardCharsets.US_ASCII));
-                whole.writeBytes(bytes);
-                whole.writeBytes("\r\n".getBytes(StandardCharsets.US_ASCII));
+                message.writeBytes(("$" + bytes.length + "\r\n").getBytes(StandardCharsets.US_ASCII));
+                message.writeBytes(bytes);
+                message.writeBytes("\r\n".getBytes(StandardCharsets.US_ASCII));
             }
-            write(whole.toByteArray());
+            write(message.toByteArray());
         }
 
         /** Reads one frame without its length prefix; null at the end of the connection. */
-        public byte[] frame() throws IOException {
+        public byte[] readFrame() throws IOException {
             int length;
             try {
                 length = in.readInt();
@@ -540,14 +540,14 @@
         }
 
         /** Reads exactly {@code count} bytes. */
-        public byte[] bytes(int count) throws IOException {
+        public byte[] readBytes(int count) throws IOException {
             byte[] bytes = new byte[count];
             in.readFully(bytes);
             return bytes;
         }
 
         /** Writes to a connection that the peer may reset before or during the write. */
-        public void writeWhatGoes(byte[] bytes) {
+        public void writeIgnoringErrors(byte[] bytes) {
             try {
                 write(bytes);
             } catch (IOException e) {
@@ -567,7 +567,7 @@
         }
 
         /** Shuts down the output side only. */
-        public void shutOutput() throws IOException {
+        public void shutdownOutput() throws IOException {
             socket.shutdownOutput();
         }
 
--- a/doorman/src/test/java/barleyspur/RehearsalTest.java
+++ b/doorman/src/test/java/barleyspur/WarmUpTest.java
@@ -8,13 +8,13 @@
 import org.junit.jupiter.api.Test;
 
 /** The warm-up has to run through parsers, core and routing policy, which shows in answers with complete bodies. */
-class RehearsalTest {
+class WarmUpTest {
 
     @Test
     void mostRequestsAreServed() throws Configuration.Invalid {
-        var group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        long answered = new Rehearsal(group, Configuration.example()).play(100);
-        group.shutdownGracefully();
-        assertTrue(answered > 90L * Rehearsal.BODY, answered + " bytes");
+        var eventLoops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+        long answerBytes = new WarmUp(eventLoops, Configuration.example()).run(100);
+        eventLoops.shutdownGracefully();
+        assertTrue(answerBytes > 90L * WarmUp.BODY_BYTES, answerBytes + " bytes");
     }
 }
--- a/doorman/src/test/java/barleyspur/admin/AdminServerTest.java
+++ b/doorman/src/test/java/barleyspur/admin/AdminServerTest.java
@@ -36,7 +36,7 @@
     }
 
     @Override
-    public Timer after(double delayMs, Runnable task) {
+    public Timer schedule(double delayMs, Runnable task) {
         Task t = new Task(now + delayMs, task);
         timers.add(t);
         return () -> timers.remove(t);
@@ -78,7 +78,7 @@
     @Test
     void quiesceAndResumeTurnHealth() {
         assertTrue(call("GET", "/admin/health").startsWith("HTTP/1.1 503"), "not yet serving");
-        lifecycle.serving(now);
+        lifecycle.startServing(now);
         assertTrue(call("GET", "/admin/health").startsWith("HTTP/1.1 200"));
         String quiesce = call("PUT", "/admin/quiesce");
         assertTrue(quiesce.startsWith("HTTP/1.1 200") && quiesce.contains("\"phase\":\"quiesced\""), quiesce);
@@ -88,7 +88,7 @@
         assertEquals(1, quiesced, "a second quiesce is nothing new");
         assertTrue(call("PUT", "/admin/resume").startsWith("HTTP/1.1 200"));
         assertTrue(call("GET", "/admin/health").startsWith("HTTP/1.1 200"));
-        lifecycle.leave(now, false, 3_700);
+        lifecycle.startLeaving(now, false, 3_700);
         assertTrue(call("PUT", "/admin/resume").startsWith("HTTP/1.1 409"), "a leaving process is not taken back");
     }
 
@@ -105,7 +105,7 @@
      */
     @Test
     void callersWhoSayNothingNeitherBlockNorStay() {
-        lifecycle.serving(now);
+        lifecycle.startServing(now);
         List<EmbeddedChannel> silent = new ArrayList<>();
         for (int i = 0; i < AdminServer.MOST_CALLERS; i++) {
             EmbeddedChannel c = connect();
--- a/doorman/src/test/java/barleyspur/admin/http/HttpPropertiesTest.java
+++ b/doorman/src/test/java/barleyspur/admin/http/HttpPropertiesTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import barleyspur.Cuts;
+import barleyspur.ChunkedInput;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.embedded.EmbeddedChannel;
@@ -64,7 +64,7 @@
         byte[] twice = new byte[bytes.length + more.length];
         System.arraycopy(bytes, 0, twice, 0, bytes.length);
         System.arraycopy(more, 0, twice, bytes.length, more.length);
-        List<Object> read = Cuts.feed(decoder(), twice, cuts);
+        List<Object> read = ChunkedInput.feed(decoder(), twice, cuts);
         assertEquals(1, read.size(), "one call per connection: what follows is thrown away");
         HttpRequest request = (HttpRequest) read.get(0);
         assertEquals(method, request.method());
@@ -85,7 +85,7 @@
         byte[] bytes = new byte[head.length + garbage.length];
         System.arraycopy(head, 0, bytes, 0, head.length);
         System.arraycopy(garbage, 0, bytes, head.length, garbage.length);
-        List<Object> read = Cuts.feedGarbage(decoder(), bytes, cuts);
+        List<Object> read = ChunkedInput.feedGarbage(decoder(), bytes, cuts);
         if (read != null) {
             assertTrue(read.size() <= 1);
             read.forEach(r -> ((HttpRequest) r).body().release());
@@ -106,7 +106,7 @@
     }
 
     private static int status(byte[] bytes, long cuts) {
-        HttpFault fault = assertThrows(HttpFault.class, () -> Cuts.feed(decoder(), bytes, cuts));
+        HttpFault fault = assertThrows(HttpFault.class, () -> ChunkedInput.feed(decoder(), bytes, cuts));
         return fault.status();
     }
 
@@ -128,7 +128,7 @@
 
     @Example
     void emptyLinesBeforeTheCallAndAListOfOneLengthAreRead() {
-        List<Object> read = Cuts.feed(
+        List<Object> read = ChunkedInput.feed(
                 decoder(),
                 ("\r\n\r\nPUT /admin/resume?x=1 HTTP/1.0\r\nContent-Length: 2, 2\r\n" + "\r\nok")
                         .getBytes(StandardCharsets.ISO_8859_1),
--- a/doorman/src/test/java/barleyspur/arch/LayersTest.java
+++ b/doorman/src/test/java/barleyspur/arch/LayersTest.java
@@ -147,7 +147,7 @@
                 .resideOutsideOfPackages(
                         "barleyspur.fleet..", "barleyspur.budget.net", "barleyspur.cli", "barleyspur.config")
                 .and()
-                .doNotHaveSimpleName("Node")
+                .doNotHaveSimpleName("DoormanServer")
                 .should()
                 .dependOnClassesThat()
                 .resideInAPackage("barleyspur.fleet..")
@@ -173,7 +173,7 @@
                 .that()
                 .resideOutsideOfPackages("barleyspur.budget..", "barleyspur.config")
                 .and()
-                .doNotHaveSimpleName("Node")
+                .doNotHaveSimpleName("DoormanServer")
                 .should()
                 .dependOnClassesThat()
                 .resideInAPackage("barleyspur.budget..")
--- a/doorman/src/test/java/barleyspur/channel/CommandChannelTest.java
+++ b/doorman/src/test/java/barleyspur/channel/CommandChannelTest.java
@@ -20,13 +20,13 @@
 class CommandChannelTest implements Clock {
 
     /** A scheduled task. */
-    private record Task(double at, Runnable run) {}
+    private record Task(double dueMs, Runnable run) {}
 
     private final List<Task> timers = new ArrayList<>();
     private final List<EmbeddedChannel> connections = new ArrayList<>();
     private final List<Integer> ports = new ArrayList<>();
-    private final LinePropertiesTest told = new LinePropertiesTest();
-    private final CommandReader reader = new CommandReader(List.of(), List.of(), told);
+    private final LinePropertiesTest listener = new LinePropertiesTest();
+    private final CommandReader reader = new CommandReader(List.of(), List.of(), listener);
     private final CommandChannel channel = new CommandChannel(
             (address, handlers) -> {
                 ports.add(address.getPort());
@@ -36,7 +36,7 @@
             address(1),
             this,
             reader);
-    private double now;
+    private double nowMs;
 
     private static InetSocketAddress address(int port) {
         return new InetSocketAddress("127.0.0.1", port);
@@ -48,24 +48,24 @@
 
     @Override
     public double nowMs() {
-        return now;
+        return nowMs;
     }
 
     @Override
-    public Timer after(double delayMs, Runnable run) {
-        Task task = new Task(now + delayMs, run);
+    public Timer schedule(double delayMs, Runnable run) {
+        Task task = new Task(nowMs + delayMs, run);
         timers.add(task);
         return () -> timers.remove(task);
     }
 
-    private void pass(double ms) {
-        now += ms;
-        List<Task> due = timers.stream().filter(t -> t.at() <= now).toList();
+    private void advanceClock(double durationMs) {
+        nowMs += durationMs;
+        List<Task> due = timers.stream().filter(t -> t.dueMs() <= nowMs).toList();
         timers.removeAll(due);
         due.forEach(t -> t.run().run());
     }
 
-    private static void say(EmbeddedChannel connection, String text) {
+    private static void receive(EmbeddedChannel connection, String text) {
         connection.writeInbound(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
     }
 
@@ -78,28 +78,28 @@
 
     @BeforeEach
     void start() {
-        reader.known(new JSONObject("{\"cursor\":4,\"cmds\":[]}"));
-        channel.start();
+        reader.readInitial(new JSONObject("{\"cursor\":4,\"cmds\":[]}"));
+        channel.connect();
         assertResumes(1, 4);
     }
 
     @Test
-    void aBreakInTheMiddleOfAnEventAsksForItAgain() {
-        say(last(), "{\"cursor\":5,\"drop\":{\"fam");
+    void disconnectInsideACommandResumesBeforeIt() {
+        receive(last(), "{\"cursor\":5,\"drop\":{\"fam");
         last().close();
-        pass(CommandChannel.AGAIN_MS);
+        advanceClock(CommandChannel.RECONNECT_DELAY_MS);
         assertResumes(2, 4);
     }
 
     @Test
-    void aStopIsNoticedInTimeAndHeartbeatsPutItOff() {
-        pass(CommandChannel.SILENCE_MS - 1);
-        say(last(), "4\n");
-        pass(CommandChannel.SILENCE_MS - 1);
+    void missingHeartbeatClosesTheConnection() {
+        advanceClock(CommandChannel.HEARTBEAT_TIMEOUT_MS - 1);
+        receive(last(), "4\n");
+        advanceClock(CommandChannel.HEARTBEAT_TIMEOUT_MS - 1);
         assertTrue(last().isOpen());
-        pass(1);
+        advanceClock(1);
         assertFalse(last().isOpen());
-        pass(CommandChannel.AGAIN_MS);
+        advanceClock(CommandChannel.RECONNECT_DELAY_MS);
         assertResumes(2, 4);
     }
 
@@ -108,42 +108,42 @@
      * 2 s.
      */
     @Test
-    void aHeartbeatFromBeforeIsASignOfLife() {
-        pass(CommandChannel.SILENCE_MS - 1);
-        say(last(), "3\n");
-        pass(CommandChannel.SILENCE_MS - 1);
+    void heartbeatWithAnOlderNumberCounts() {
+        advanceClock(CommandChannel.HEARTBEAT_TIMEOUT_MS - 1);
+        receive(last(), "3\n");
+        advanceClock(CommandChannel.HEARTBEAT_TIMEOUT_MS - 1);
         assertTrue(last().isOpen());
     }
 
     /** Guards drains and purges: a partial line must not count as a heartbeat, since its rest may never arrive. */
     @Test
-    void halfALineIsNoHeartbeat() {
-        say(last(), "{\"cursor\":5,");
-        pass(CommandChannel.SILENCE_MS - 1);
-        say(last(), "\"drop\":{");
-        pass(1);
+    void partialLineIsNoHeartbeat() {
+        receive(last(), "{\"cursor\":5,");
+        advanceClock(CommandChannel.HEARTBEAT_TIMEOUT_MS - 1);
+        receive(last(), "\"drop\":{");
+        advanceClock(1);
         assertFalse(last().isOpen());
-        pass(CommandChannel.AGAIN_MS);
+        advanceClock(CommandChannel.RECONNECT_DELAY_MS);
         assertResumes(2, 4);
     }
 
     /** The old address delivers nothing more, so waiting there for the end of the connection would delay commands. */
     @Test
-    void aMoveResumesAtOnceAndDropsTheConnectionBefore() {
-        EmbeddedChannel before = last();
+    void newAddressResumesAtOnceAndClosesTheOldConnection() {
+        EmbeddedChannel previous = last();
         for (int port = 2; port <= 4; port++) {
-            channel.moveTo(address(port));
+            channel.reconnectTo(address(port));
             assertResumes(port, 4);
         }
-        channel.moveTo(address(4));
+        channel.reconnectTo(address(4));
         assertEquals(List.of(1, 2, 3, 4), ports);
-        assertFalse(before.isOpen());
-        pass(CommandChannel.AGAIN_MS);
+        assertFalse(previous.isOpen());
+        advanceClock(CommandChannel.RECONNECT_DELAY_MS);
         assertEquals(4, connections.size(), "the end of a replaced connection causes no reconnect");
-        say(last(), "{\"cursor\":5,\"drop\":{\"family\":17,\"when\":1764576000480}}\n");
+        receive(last(), "{\"cursor\":5,\"drop\":{\"family\":17,\"when\":1764576000480}}\n");
         assertEquals(5, reader.cursor());
         channel.close();
-        channel.moveTo(address(5));
+        channel.reconnectTo(address(5));
         assertEquals(4, connections.size(), "no connection is opened after close");
     }
 }
--- a/doorman/src/test/java/barleyspur/channel/LinePropertiesTest.java
+++ b/doorman/src/test/java/barleyspur/channel/LinePropertiesTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import barleyspur.Cuts;
+import barleyspur.ChunkedInput;
 import barleyspur.decision.Director.State;
-import barleyspur.doorman.Commands;
+import barleyspur.doorman.CommandListener;
 import barleyspur.doorman.NodeListing;
 import io.netty.channel.embedded.EmbeddedChannel;
 import java.nio.charset.StandardCharsets;
@@ -20,69 +20,71 @@
 import org.json.JSONObject;
 
 /** Property tests of the command channel's parsers: chunked lines, gaps and garbage. */
-class LinePropertiesTest implements Commands {
+class LinePropertiesTest implements CommandListener {
 
     private static final int MAX_LINE = 1_000;
     private static final String DROP = "{\"cursor\":%d,\"drop\":{\"family\":17,\"when\":1764576000480}}";
 
-    private final List<Object> told = new ArrayList<>();
+    private final List<Object> received = new ArrayList<>();
     private final CommandReader reader = new CommandReader(List.of("central", "east"), List.of("std"), this);
 
     @Override
-    public void listed(boolean whole, List<NodeListing> listings) {
-        told.addAll(listings);
+    public void onNodeList(boolean full, List<NodeListing> listings) {
+        received.addAll(listings);
     }
 
     @Override
-    public void purgedObject(long object, double whenMs) {
-        told.add(object);
+    public void onObjectPurged(long object, double purgedAtMs) {
+        received.add(object);
     }
 
     @Override
-    public void purgedGroup(int group, double whenMs) {
-        told.add(group);
+    public void onGroupPurged(int group, double purgedAtMs) {
+        received.add(group);
     }
 
     @Property(seed = "31")
-    void linesSurviveAnyCuts(@ForAll @Size(max = 6) List<@StringLength(max = 80) String> texts, @ForAll long cuts) {
+    void linesAreDecodedFromAnyChunks(
+            @ForAll @Size(max = 6) List<@StringLength(max = 80) String> texts, @ForAll long cuts) {
         List<String> lines = texts.stream()
                 .map(t -> t.replaceAll("[\\n\\ud800-\\udfff]", "?"))
                 .toList();
         byte[] bytes =
                 lines.stream().map(l -> l + "\n").reduce("", String::concat).getBytes(StandardCharsets.UTF_8);
-        assertEquals(lines, Cuts.feed(new EmbeddedChannel(new LineDecoder(MAX_LINE)), bytes, cuts));
+        assertEquals(lines, ChunkedInput.feed(new EmbeddedChannel(new LineDecoder(MAX_LINE)), bytes, cuts));
     }
 
     @Property(seed = "32")
-    void garbageIsReadWithoutAFault(@ForAll @StringLength(max = 60) String garbage, @ForAll boolean headed) {
-        reader.line(headed ? "{\"cursor\":1,\"nodes\":{\"targets\":[" + garbage : garbage);
-        assertEquals(List.of(), told);
+    void garbageIsRejectedWithoutAnException(@ForAll @StringLength(max = 60) String garbage, @ForAll boolean headed) {
+        reader.readLine(headed ? "{\"cursor\":1,\"nodes\":{\"targets\":[" + garbage : garbage);
+        assertEquals(List.of(), received);
     }
 
     @Property(seed = "33")
-    void aLineWithoutEndIsCutOff(@ForAll long cuts) {
-        assertEquals(null, Cuts.feedGarbage(new EmbeddedChannel(new LineDecoder(MAX_LINE)), new byte[2_000], cuts));
+    void overlongLineIsRejected(@ForAll long cuts) {
+        assertEquals(
+                null, ChunkedInput.feedGarbage(new EmbeddedChannel(new LineDecoder(MAX_LINE)), new byte[2_000], cuts));
     }
 
     @Example
-    void eachCommandIsToldOnceAndAGapShows() {
-        reader.known(new JSONObject("{\"cursor\":4,\"cmds\":[]}"));
-        assertTrue(reader.line("4"));
-        assertTrue(reader.line(DROP.formatted(5)));
-        assertTrue(reader.line(DROP.formatted(5)), "a repeated command is skipped");
-        assertEquals(List.of(17), told);
-        assertFalse(reader.line(DROP.formatted(7)), "command 6 was missed");
-        assertFalse(reader.line("6"), "a heartbeat shows that command 6 was missed");
+    void eachCommandIsAppliedOnceAndAGapIsDetected() {
+        reader.readInitial(new JSONObject("{\"cursor\":4,\"cmds\":[]}"));
+        assertTrue(reader.readLine("4"));
+        assertTrue(reader.readLine(DROP.formatted(5)));
+        assertTrue(reader.readLine(DROP.formatted(5)), "a repeated command is skipped");
+        assertEquals(List.of(17), received);
+        assertFalse(reader.readLine(DROP.formatted(7)), "command 6 was missed");
+        assertFalse(reader.readLine("6"), "a heartbeat shows that command 6 was missed");
         assertEquals(5, reader.cursor());
     }
 
     @Example
-    void aNodeThatCantBeReadDoesNotHideTheOthers() {
+    void unreadableNodeDoesNotAffectTheOthers() {
         String node = "{\"uid\":\"%s\",\"endpoint\":\"%s\",\"az\":\"east\",\"model\":\"std\",\"state\":\"in_service\"}";
-        reader.line("{\"cursor\":1,\"nodes\":{\"all\":true,\"targets\":[" + node.formatted("a", "nowhere") + ","
+        reader.readLine("{\"cursor\":1,\"nodes\":{\"all\":true,\"targets\":[" + node.formatted("a", "nowhere") + ","
                 + node.formatted("b", "10.1.0.9:7001") + "]}}");
-        assertEquals(1, told.size());
-        NodeListing listing = (NodeListing) told.get(0);
+        assertEquals(1, received.size());
+        NodeListing listing = (NodeListing) received.get(0);
         assertEquals("b", listing.uid());
         assertEquals(1, listing.zone());
         assertEquals(State.READY, listing.state());
--- a/doorman/src/test/java/barleyspur/depot/DepotClientTest.java
+++ b/doorman/src/test/java/barleyspur/depot/DepotClientTest.java
@@ -20,16 +20,16 @@
 /** Tests which connection a call uses while the node list changes. Six in ten boxes may be replaced within 7 s. */
 class DepotClientTest {
 
-    private static final InetSocketAddress HERE = new InetSocketAddress("127.0.0.1", 7_001);
-    private static final InetSocketAddress THERE = new InetSocketAddress("127.0.0.1", 7_002);
+    private static final InetSocketAddress ADDRESS = new InetSocketAddress("127.0.0.1", 7_001);
+    private static final InetSocketAddress OTHER_ADDRESS = new InetSocketAddress("127.0.0.1", 7_002);
 
-    private static final int STREAMS = 32;
-    private static final int CONNECTIONS = 100;
+    private static final int MAX_STREAMS = 32;
+    private static final int MAX_CONNECTIONS = 100;
 
     private final List<EmbeddedChannel> channels = new ArrayList<>();
-    private final List<InetSocketAddress> connects = new ArrayList<>();
-    private final List<Result> ends = new ArrayList<>();
-    private final List<Runnable> soon = new ArrayList<>();
+    private final List<InetSocketAddress> connectAddresses = new ArrayList<>();
+    private final List<Result> results = new ArrayList<>();
+    private final List<Runnable> immediateTasks = new ArrayList<>();
     private final Clock clock = new Clock() {
         @Override
         public double nowMs() {
@@ -37,9 +37,9 @@
         }
 
         @Override
-        public Timer after(double delayMs, Runnable task) {
+        public Timer schedule(double delayMs, Runnable task) {
             if (delayMs == 0) {
-                soon.add(task);
+                immediateTasks.add(task);
             }
             return () -> {};
         }
@@ -48,11 +48,11 @@
             (address, handlers) -> {
                 EmbeddedChannel channel = new EmbeddedChannel(handlers);
                 channels.add(channel);
-                connects.add(address);
+                connectAddresses.add(address);
                 return channel.newSucceededFuture();
             },
             clock,
-            new DepotClient.Limits(STREAMS, 15_000, CONNECTIONS),
+            new DepotClient.Limits(MAX_STREAMS, 15_000, MAX_CONNECTIONS),
             List.of());
 
     private static NodeListing box(int number, InetSocketAddress address, double bootMs) {
@@ -64,8 +64,8 @@
                 id, 0, "small", "7f3a9c21e0b4d655", 5, "0", 0, 0, 1_000, 0, null, null, Unpooled.EMPTY_BUFFER);
         client.send(
                 node,
-                new Depots.Order(request, 500, null, 0, 0, false, false, false, false),
-                answer -> ends.add(answer.result()));
+                new Depots.AttemptRequest(request, 500, null, 0, 0, false, false, false, false),
+                answer -> results.add(answer.result()));
         channels.forEach(EmbeddedChannel::runPendingTasks);
     }
 
@@ -74,35 +74,35 @@
      * connection to the previous process and be reset.
      */
     @Test
-    void aBoxAtAnAddressTakenOverGetsItsOwnConnections() {
-        client.list(1, box(1, HERE, 0));
+    void newBoxAtAReusedAddressGetsItsOwnConnections() {
+        client.updateNode(1, box(1, ADDRESS, 0));
         send(1, "a1");
-        client.list(2, box(2, HERE, 900));
-        client.retire(1);
+        client.updateNode(2, box(2, ADDRESS, 900));
+        client.removeNode(1);
         send(2, "b1");
-        assertEquals(List.of(HERE, HERE), connects);
+        assertEquals(List.of(ADDRESS, ADDRESS), connectAddresses);
         assertTrue(channels.get(0).isOpen(), "its call is still open");
-        channels.get(0).writeInbound(Resp.message(channels.get(0).alloc(), "a1", "LACK", "-", ""));
+        channels.get(0).writeInbound(Resp.array(channels.get(0).alloc(), "a1", "LACK", "-", ""));
         channels.get(0).runPendingTasks();
         assertFalse(channels.get(0).isOpen());
-        assertEquals(List.of(Result.MISS), ends);
+        assertEquals(List.of(Result.MISS), results);
     }
 
     /** A box that moves or restarts gets new connections; an unchanged listing has no effect. */
     @Test
-    void aBoxThatMovesOrRestartsIsReachedAnewAndTheSameListingTwiceChangesNothing() {
-        client.list(1, box(1, HERE, 0));
+    void movedOrRestartedBoxGetsNewConnectionsUnlikeAnUnchangedOne() {
+        client.updateNode(1, box(1, ADDRESS, 0));
         send(1, "a1");
-        channels.get(0).writeInbound(Resp.message(channels.get(0).alloc(), "a1", "LACK", "-", ""));
-        client.list(1, box(1, HERE, 0));
+        channels.get(0).writeInbound(Resp.array(channels.get(0).alloc(), "a1", "LACK", "-", ""));
+        client.updateNode(1, box(1, ADDRESS, 0));
         send(1, "a2");
-        assertEquals(List.of(HERE), connects);
-        client.list(1, box(1, HERE, 900));
+        assertEquals(List.of(ADDRESS), connectAddresses);
+        client.updateNode(1, box(1, ADDRESS, 900));
         send(1, "a3");
-        assertEquals(List.of(HERE, HERE), connects);
-        client.list(1, box(1, THERE, 900));
+        assertEquals(List.of(ADDRESS, ADDRESS), connectAddresses);
+        client.updateNode(1, box(1, OTHER_ADDRESS, 900));
         send(1, "a4");
-        assertEquals(List.of(HERE, HERE, THERE), connects);
+        assertEquals(List.of(ADDRESS, ADDRESS, OTHER_ADDRESS), connectAddresses);
     }
 
     /**
@@ -110,14 +110,14 @@
      * that have none.
      */
     @Test
-    void connectionsToOneBoxAreFewAndCallsShareThem() {
-        client.list(1, box(1, HERE, 0));
-        for (int i = 0; i < 8 * STREAMS; i++) {
+    void callsToOneBoxShareFewConnections() {
+        client.updateNode(1, box(1, ADDRESS, 0));
+        for (int i = 0; i < 8 * MAX_STREAMS; i++) {
             send(1, "a" + i);
         }
-        assertEquals(8, connects.size());
+        assertEquals(8, connectAddresses.size());
         send(1, "b");
-        assertEquals(9, connects.size(), "all existing connections are full");
+        assertEquals(9, connectAddresses.size(), "all existing connections are full");
     }
 
     /**
@@ -125,33 +125,34 @@
      * never ran.
      */
     @Test
-    void idleConnectionsMakeRoomAndNoMoreAreOpened() {
-        for (int i = 0; i < CONNECTIONS; i++) {
-            client.list(i, box(i, HERE, 0));
+    void idleConnectionsAreClosedAtTheConnectionLimit() {
+        for (int i = 0; i < MAX_CONNECTIONS; i++) {
+            client.updateNode(i, box(i, ADDRESS, 0));
             send(i, "a" + i);
         }
-        client.list(1_000, box(1_000, THERE, 0));
+        client.updateNode(1_000, box(1_000, OTHER_ADDRESS, 0));
         send(1_000, "b");
-        soon.forEach(Runnable::run);
-        assertEquals(List.of(Result.CONNECT_FAILED), ends, "every connection has an open call");
-        channels.get(7).writeInbound(Resp.message(channels.get(7).alloc(), "a7", "LACK", "-", ""));
+        immediateTasks.forEach(Runnable::run);
+        assertEquals(List.of(Result.CONNECT_FAILED), results, "every connection has an open call");
+        channels.get(7).writeInbound(Resp.array(channels.get(7).alloc(), "a7", "LACK", "-", ""));
         send(1_000, "c");
-        assertEquals(CONNECTIONS + 1, connects.size());
+        assertEquals(MAX_CONNECTIONS + 1, connectAddresses.size());
         assertFalse(channels.get(7).isOpen());
         assertEquals(
-                CONNECTIONS, channels.stream().filter(EmbeddedChannel::isOpen).count());
+                MAX_CONNECTIONS,
+                channels.stream().filter(EmbeddedChannel::isOpen).count());
     }
 
     /** A box that was never listed, or was removed twice, is unknown: a call to it ends as one that never ran. */
     @Test
-    void aCallToABoxThatIsNotListedNeverRan() {
-        client.retire(9);
-        client.retire(9);
-        client.closeIdle(9);
+    void callToAnUnlistedBoxNeverRuns() {
+        client.removeNode(9);
+        client.removeNode(9);
+        client.closeIdleConnections(9);
         send(9, "a1");
-        assertEquals(List.of(), ends, "the listener is never notified from within the call");
-        soon.forEach(Runnable::run);
-        assertEquals(List.of(Result.CONNECT_FAILED), ends);
-        assertEquals(List.of(), connects);
+        assertEquals(List.of(), results, "the listener is never notified from within the call");
+        immediateTasks.forEach(Runnable::run);
+        assertEquals(List.of(Result.CONNECT_FAILED), results);
+        assertEquals(List.of(), connectAddresses);
     }
 }
--- a/doorman/src/test/java/barleyspur/depot/DepotConnectionTest.java
+++ b/doorman/src/test/java/barleyspur/depot/DepotConnectionTest.java
@@ -5,10 +5,10 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import barleyspur.decision.Director.Result;
-import barleyspur.doorman.CappedLog;
 import barleyspur.doorman.Clock;
 import barleyspur.doorman.Depots;
 import barleyspur.doorman.Depots.Answer;
+import barleyspur.doorman.RateLimitedLog;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelPromise;
@@ -23,140 +23,141 @@
 /** Tests the calls on one connection. */
 class DepotConnectionTest {
 
-    private static final int STREAMS = 2;
+    private static final int MAX_STREAMS = 2;
 
-    private final List<Result> ends = new ArrayList<>();
-    private int closed;
-    private double now;
+    private final List<Result> results = new ArrayList<>();
+    private int closedCount;
+    private double nowMs;
     private final Clock clock = new Clock() {
         @Override
         public double nowMs() {
-            return now;
+            return nowMs;
         }
 
         @Override
-        public Timer after(double delayMs, Runnable task) {
-            later.add(task);
-            return () -> later.remove(task);
+        public Timer schedule(double delayMs, Runnable task) {
+            scheduledTasks.add(task);
+            return () -> scheduledTasks.remove(task);
         }
     };
-    private final List<Runnable> later = new ArrayList<>();
+    private final List<Runnable> scheduledTasks = new ArrayList<>();
     private final RespDecoder decoder = new RespDecoder();
     private final DepotConnection connection = new DepotConnection(
             "s-1",
-            new DepotConnection.Shared(clock, List.of(), 32, new CappedLog(LoggerFactory.getLogger("depot"), clock)),
+            new DepotConnection.Shared(
+                    clock, List.of(), 32, new RateLimitedLog(LoggerFactory.getLogger("depot"), clock)),
             decoder,
-            () -> closed++);
+            () -> closedCount++);
     private final EmbeddedChannel channel = new EmbeddedChannel(decoder, connection);
     private final ChannelPromise connect = channel.newPromise();
 
     private DepotConnection.Call open(String id) {
-        return connection.open(id, waitedMs -> head(id), null, (Answer answer) -> {
-            ends.add(answer.result());
+        return connection.openCall(id, waitedMs -> header(id), null, (Answer answer) -> {
+            results.add(answer.result());
             if (answer.body() != null) {
                 answer.body().release();
             }
         });
     }
 
-    private static ByteBuf head(String id) {
+    private static ByteBuf header(String id) {
         return Unpooled.copiedBuffer("serve " + id, StandardCharsets.UTF_8);
     }
 
-    private void up() {
-        connection.connecting(connect);
+    private void completeConnect() {
+        connection.trackConnect(connect);
         connect.setSuccess();
         channel.runPendingTasks();
     }
 
-    private void answer(String id, String word) {
-        channel.writeInbound(Resp.message(channel.alloc(), id, word, "-", ""));
+    private void answer(String id, String status) {
+        channel.writeInbound(Resp.array(channel.alloc(), id, status, "-", ""));
     }
 
     /** A depot may write in chunks of any size, down to one byte: the answer is decoded completely and once. */
     @Test
-    void anAnswerThatComesOneByteAtATimeIsReadWhole() {
-        up();
+    void answerInSingleBytesIsDecodedOnce() {
+        completeConnect();
         open("a");
-        ByteBuf whole = Resp.message(channel.alloc(), "a", "DONE", "digest=4be0c1927d55a6f3", "bytes of the part");
+        ByteBuf whole = Resp.array(channel.alloc(), "a", "DONE", "digest=4be0c1927d55a6f3", "bytes of the part");
         while (whole.isReadable()) {
-            assertEquals(List.of(), ends, "no answer before the last byte");
+            assertEquals(List.of(), results, "no answer before the last byte");
             channel.writeInbound(whole.readRetainedSlice(1));
         }
         whole.release();
-        assertEquals(List.of(Result.OK), ends);
+        assertEquals(List.of(Result.OK), results);
     }
 
     /** Opens a call whose check before the write returns OK only while {@code admitted[0]} is true. */
-    private DepotConnection.Call openIf(String id, boolean[] may) {
-        return connection.open(id, waitedMs -> head(id), null, new Depots.AttemptListener() {
+    private DepotConnection.Call openConditionally(String id, boolean[] admitted) {
+        return connection.openCall(id, waitedMs -> header(id), null, new Depots.AttemptListener() {
             @Override
-            public void ended(Answer answer) {
-                ends.add(answer.result());
+            public void onEnd(Answer answer) {
+                results.add(answer.result());
             }
 
             @Override
             public Result beforeWrite() {
-                return may[0] ? Result.OK : Result.FULL;
+                return admitted[0] ? Result.OK : Result.FULL;
             }
         });
     }
 
     /** A call that is rejected once its connection is established is not written, and ends as one that never ran. */
     @Test
-    void aCallThatMayNoLongerGoIsNotWritten() {
-        boolean[] may = {true};
-        openIf("a", may);
-        may[0] = false;
-        up();
-        assertEquals(List.of(), ends, "the listener is never notified from within the call");
+    void rejectedCallIsNotWritten() {
+        boolean[] admitted = {true};
+        openConditionally("a", admitted);
+        admitted[0] = false;
+        completeConnect();
+        assertEquals(List.of(), results, "the listener is never notified from within the call");
         assertTrue(channel.outboundMessages().isEmpty(), "nothing is written");
-        later.forEach(Runnable::run);
-        assertEquals(List.of(Result.FULL), ends);
+        scheduledTasks.forEach(Runnable::run);
+        assertEquals(List.of(Result.FULL), results);
         assertFalse(Result.FULL.mayHaveRun());
     }
 
     /** A call that is rejected and then cancelled before its end was reported is not reported. */
     @Test
-    void aCallThatMayNotGoAndIsCancelledHasNoEnd() {
-        up();
-        DepotConnection.Call call = openIf("a", new boolean[] {false});
+    void rejectedAndCancelledCallIsNotReported() {
+        completeConnect();
+        DepotConnection.Call call = openConditionally("a", new boolean[] {false});
         call.cancel();
-        later.forEach(Runnable::run);
-        assertEquals(List.of(), ends);
+        scheduledTasks.forEach(Runnable::run);
+        assertEquals(List.of(), results);
         assertTrue(channel.outboundMessages().isEmpty());
     }
 
     /** A listener that cancels another call of the same connection must not cause a second end of that call. */
     @Test
-    void aCallGivenUpByAnotherOnesEndHasNone() {
-        up();
+    void callCancelledByAnotherCallsListenerIsNotReported() {
+        completeConnect();
         DepotConnection.Call[] second = new DepotConnection.Call[1];
-        connection.open("a", waitedMs -> head("a"), null, answer -> {
-            ends.add(answer.result());
+        connection.openCall("a", waitedMs -> header("a"), null, answer -> {
+            results.add(answer.result());
             second[0].cancel();
         });
         second[0] = open("b");
         open("c");
         channel.close();
         channel.runPendingTasks();
-        assertEquals(List.of(Result.RESET, Result.CANCELLED), ends, "a and c; b was cancelled");
+        assertEquals(List.of(Result.RESET, Result.CANCELLED), results, "a and c; b was cancelled");
     }
 
     /** Guards the depot's own timeout: a call that waited for its connection has that much less time left. */
     @Test
-    void theTimeThatACallWaitedIsToldToItsHead() {
+    void waitingTimeIsPassedToTheHeader() {
         List<Double> waited = new ArrayList<>();
-        connection.connecting(connect);
-        connection.open(
+        connection.trackConnect(connect);
+        connection.openCall(
                 "a",
                 ms -> {
                     waited.add(ms);
-                    return head("a");
+                    return header("a");
                 },
                 null,
                 answer -> {});
-        now += 300;
+        nowMs += 300;
         connect.setSuccess();
         channel.runPendingTasks();
         assertEquals(List.of(300.0), waited);
@@ -164,135 +165,135 @@
 
     /** An answer without a body must not be taken for an object, even if the message is complete. */
     @Test
-    void anAnswerWithoutItsBytesIsNone() {
-        up();
+    void answerWithoutItsBodyIsAnError() {
+        completeConnect();
         open("a");
         open("b");
-        channel.writeInbound(Resp.message(channel.alloc(), "a", "DONE"));
-        channel.writeInbound(Resp.message(channel.alloc(), "b", "DONE", "digest=4be0c1927d55a6f3"));
-        assertEquals(List.of(Result.ERROR, Result.ERROR), ends);
+        channel.writeInbound(Resp.array(channel.alloc(), "a", "DONE"));
+        channel.writeInbound(Resp.array(channel.alloc(), "b", "DONE", "digest=4be0c1927d55a6f3"));
+        assertEquals(List.of(Result.ERROR, Result.ERROR), results);
     }
 
     @Test
     void answersComeInAnyOrder() {
-        up();
+        completeConnect();
         open("a");
         open("b");
-        assertFalse(connection.takes("c", STREAMS), "two streams are in use");
+        assertFalse(connection.canOpen("c", MAX_STREAMS), "two streams are in use");
         answer("b", "LACK");
         answer("a", "DONE");
-        assertEquals(List.of(Result.MISS, Result.OK), ends);
+        assertEquals(List.of(Result.MISS, Result.OK), results);
     }
 
     /**
      * The answer to a cancelled attempt may cross its cancel: it must not be taken for the answer to a later attempt.
      */
     @Test
-    void anIdThatIsOutOrCancelledIsNotUsedAgain() {
-        up();
+    void openOrCancelledIdIsNotReused() {
+        completeConnect();
         DepotConnection.Call call = open("a");
-        assertFalse(connection.takes("a", STREAMS));
+        assertFalse(connection.canOpen("a", MAX_STREAMS));
         call.cancel();
-        assertFalse(connection.takes("a", STREAMS));
-        assertTrue(connection.takes("b", STREAMS));
+        assertFalse(connection.canOpen("a", MAX_STREAMS));
+        assertTrue(connection.canOpen("b", MAX_STREAMS));
         answer("a", "DONE");
-        assertEquals(List.of(), ends);
+        assertEquals(List.of(), results);
     }
 
     @Test
-    void aResetFailsAllThatIsOpen() {
-        up();
+    void resetFailsAllOpenCalls() {
+        completeConnect();
         open("a");
         open("b");
         channel.close();
         channel.runPendingTasks();
-        assertEquals(List.of(Result.RESET, Result.CANCELLED), ends, "one fault, however many calls were open");
-        assertFalse(connection.takes("c", STREAMS));
-        assertEquals(1, closed);
+        assertEquals(List.of(Result.RESET, Result.CANCELLED), results, "one fault, however many calls were open");
+        assertFalse(connection.canOpen("c", MAX_STREAMS));
+        assertEquals(1, closedCount);
     }
 
     /** While clients are slow, answers wait at the depot and are not lost. */
     @Test
-    void whatIsNotReadIsNotLost() {
-        up();
+    void answersAreKeptWhileReadingIsPaused() {
+        completeConnect();
         open("a");
-        connection.read(false);
+        connection.setReading(false);
         assertFalse(channel.config().isAutoRead());
-        connection.read(true);
+        connection.setReading(true);
         answer("a", "DONE");
-        assertEquals(List.of(Result.OK), ends);
+        assertEquals(List.of(Result.OK), results);
     }
 
     /** Nothing was written before the connection was established, so the call never ran. */
     @Test
-    void aConnectionThatNeverComesUpProvesThatNothingRan() {
-        connection.connecting(connect);
+    void failedConnectProvesThatNothingRan() {
+        connection.trackConnect(connect);
         open("a");
         connect.setFailure(new ConnectException("refused"));
         channel.runPendingTasks();
-        assertEquals(List.of(Result.CONNECT_FAILED), ends);
+        assertEquals(List.of(Result.CONNECT_FAILED), results);
     }
 
     /** A duplicate answer must not be taken for the answer to a later attempt. */
     @Test
-    void anAnswerThatComesTwiceCountsOnce() {
-        up();
+    void duplicateAnswerIsIgnored() {
+        completeConnect();
         open("a");
         answer("a", "LACK");
         answer("a", "LACK");
         answer("unknown", "DONE");
-        assertEquals(List.of(Result.MISS), ends);
-        assertFalse(connection.takes("a", STREAMS));
-        assertTrue(connection.takes("b", STREAMS));
+        assertEquals(List.of(Result.MISS), results);
+        assertFalse(connection.canOpen("a", MAX_STREAMS));
+        assertTrue(connection.canOpen("b", MAX_STREAMS));
     }
 
     /** After a lost answer the connection may stay open without delivering anything more. */
     @Test
-    void aConnectionThatHasFallenSilentIsNotUsedAgain() {
-        up();
+    void unresponsiveConnectionIsNotReused() {
+        completeConnect();
         DepotConnection.Call call = open("a");
-        now += DepotConnection.SILENT_MS + 1;
-        assertFalse(connection.takes("b", STREAMS));
+        nowMs += DepotConnection.UNRESPONSIVE_MS + 1;
+        assertFalse(connection.canOpen("b", MAX_STREAMS));
         answer("unknown", "DONE");
-        assertTrue(connection.takes("b", STREAMS), "the depot was only slow");
-        now += DepotConnection.SILENT_MS + 1;
+        assertTrue(connection.canOpen("b", MAX_STREAMS), "the depot was only slow");
+        nowMs += DepotConnection.UNRESPONSIVE_MS + 1;
         call.cancel();
         channel.runPendingTasks();
         assertFalse(channel.isOpen());
     }
 
     @Test
-    void anAnswerThatStopsShortEndsTheConnection() {
-        up();
+    void stalledAnswerClosesTheConnection() {
+        completeConnect();
         open("a");
         channel.writeInbound(Unpooled.copiedBuffer("*4\r\n$1\r\na\r\n$4\r\nDO", StandardCharsets.UTF_8));
-        now += DepotConnection.STALLED_MS;
+        nowMs += DepotConnection.STALLED_MS;
         connection.checkStalled();
         assertTrue(channel.isOpen());
-        now += 1;
+        nowMs += 1;
         connection.checkStalled();
         channel.runPendingTasks();
-        assertEquals(List.of(Result.RESET), ends);
+        assertEquals(List.of(Result.RESET), results);
     }
 
     @Test
-    void garbageEndsThisConnectionOnly() {
-        up();
+    void garbageClosesTheConnection() {
+        completeConnect();
         open("a");
         channel.writeInbound(Unpooled.copiedBuffer("*x\r\n", StandardCharsets.UTF_8));
         channel.runPendingTasks();
         assertFalse(channel.isOpen());
-        assertEquals(List.of(Result.RESET), ends);
+        assertEquals(List.of(Result.RESET), results);
     }
 
     @Test
-    void aRetiredConnectionClosesOnceItIsEmpty() {
-        up();
+    void drainingConnectionClosesOnceIdle() {
+        completeConnect();
         open("a");
-        connection.retire();
+        connection.drain();
         assertTrue(channel.isOpen());
         answer("a", "KEEP");
         assertFalse(channel.isOpen());
-        assertEquals(List.of(Result.OK), ends);
+        assertEquals(List.of(Result.OK), results);
     }
 }
--- a/doorman/src/test/java/barleyspur/depot/RespPropertiesTest.java
+++ b/doorman/src/test/java/barleyspur/depot/RespPropertiesTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import barleyspur.Cuts;
+import barleyspur.ChunkedInput;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.buffer.UnpooledByteBufAllocator;
@@ -22,46 +22,47 @@
 class RespPropertiesTest {
 
     private static byte[] answer(String id, String word, String fields, byte[] body) {
-        ByteBuf words = Resp.message(UnpooledByteBufAllocator.DEFAULT, id, word, fields);
+        ByteBuf words = Resp.array(UnpooledByteBufAllocator.DEFAULT, id, word, fields);
         words.setByte(1, '4');
         words.writeBytes(("$" + body.length + "\r\n").getBytes())
                 .writeBytes(body)
-                .writeBytes(Resp.END);
-        return Cuts.take(words);
+                .writeBytes(Resp.CRLF);
+        return ChunkedInput.readAndRelease(words);
     }
 
     @Property(seed = "21")
-    void answersSurviveAnyCuts(
+    void answersAreDecodedFromAnyChunks(
             @ForAll @AlphaChars @StringLength(max = 40) String id,
             @ForAll @Size(max = 300) byte[] body,
             @ForAll long cuts) {
         byte[] one = answer(id, "DONE", "digest=ab,how=h", body);
         byte[] twice = Unpooled.wrappedBuffer(one, one).copy().array();
-        List<Object> read = Cuts.feed(new EmbeddedChannel(new RespDecoder()), twice, cuts);
+        List<Object> read = ChunkedInput.feed(new EmbeddedChannel(new RespDecoder()), twice, cuts);
         assertEquals(2, read.size());
         for (Object o : read) {
             RespDecoder.Message message = (RespDecoder.Message) o;
-            assertEquals(List.of(id, "DONE", "digest=ab,how=h"), message.words());
-            assertArrayEquals(body, Cuts.take(message.body()));
+            assertEquals(List.of(id, "DONE", "digest=ab,how=h"), message.strings());
+            assertArrayEquals(body, ChunkedInput.readAndRelease(message.body()));
         }
         read.forEach(o -> assertEquals(0, ((RespDecoder.Message) o).body().refCnt(), "the body is released"));
     }
 
     @Property(seed = "22")
-    void garbageEndsInOneWayOnly(@ForAll @Size(max = 200) byte[] garbage, @ForAll boolean headed, @ForAll long cuts) {
+    void garbageIsDecodedOrRejected(
+            @ForAll @Size(max = 200) byte[] garbage, @ForAll boolean headed, @ForAll long cuts) {
         byte[] bytes = headed
                 ? Unpooled.wrappedBuffer("*4\r\n$2\r\nab\r\n".getBytes(), garbage)
                         .copy()
                         .array()
                 : garbage;
-        check(Cuts.feedGarbage(new EmbeddedChannel(new RespDecoder()), bytes, cuts));
+        check(ChunkedInput.feedGarbage(new EmbeddedChannel(new RespDecoder()), bytes, cuts));
     }
 
     @Property(seed = "23")
-    void aDamagedAnswerEndsInOneWayOnly(@ForAll byte damage, @ForAll int at, @ForAll long cuts) {
+    void damagedAnswerIsDecodedOrRejected(@ForAll byte damage, @ForAll int at, @ForAll long cuts) {
         byte[] bytes = answer("9b1f03aa5c7e2d41", "DONE", "digest=ab", new byte[30]);
         bytes[Math.floorMod(at, bytes.length)] = damage;
-        check(Cuts.feedGarbage(new EmbeddedChannel(new RespDecoder()), bytes, cuts));
+        check(ChunkedInput.feedGarbage(new EmbeddedChannel(new RespDecoder()), bytes, cuts));
     }
 
     private static void check(List<Object> read) {
@@ -74,16 +75,16 @@
     }
 
     @Example
-    void aReportIsReadInTheOrderOfTheSettingsOrNotAtAll() {
+    void reportIsReadInSettingsOrderOrNotAtAll() {
         List<String> names = List.of("load_share", "x1");
-        assertEquals(List.of(0.61f, 7f), Resp.load("x1:7;load_share:0.61;more:1", names));
-        assertEquals(List.of(), Resp.load("load_share:0.61", names));
-        assertEquals(List.of(), Resp.load("load_share:0.61;x1:many", names));
-        assertEquals(List.of(), Resp.load(null, names));
+        assertEquals(List.of(0.61f, 7f), Resp.parseLoad("x1:7;load_share:0.61;more:1", names));
+        assertEquals(List.of(), Resp.parseLoad("load_share:0.61", names));
+        assertEquals(List.of(), Resp.parseLoad("load_share:0.61;x1:many", names));
+        assertEquals(List.of(), Resp.parseLoad(null, names));
     }
 
     @Property(seed = "24")
-    void fieldsAreFoundByTheirWholeNames(
+    void fieldsAreFoundByExactName(
             @ForAll @AlphaChars @StringLength(min = 1, max = 5) String name,
             @ForAll @AlphaChars @StringLength(max = 9) String value) {
         assertEquals(value, Resp.field("x" + name + "=no," + name + "=" + value + ",z=1", name));
--- a/doorman/src/test/java/barleyspur/doorman/DoormanTest.java
+++ b/doorman/src/test/java/barleyspur/doorman/DoormanTest.java
@@ -35,32 +35,32 @@
         """;
 
     /** A scheduled task; {@code cancelled} has one element. */
-    private record Task(double at, int order, Runnable run, boolean[] cancelled) {}
+    private record Task(double dueMs, int sequence, Runnable run, boolean[] cancelled) {}
 
-    private double now = 1_000;
-    private int tasks;
+    private double nowMs = 1_000;
+    private int taskCount;
     private final PriorityQueue<Task> timers =
-            new PriorityQueue<>(Comparator.comparingDouble(Task::at).thenComparingInt(Task::order));
+            new PriorityQueue<>(Comparator.comparingDouble(Task::dueMs).thenComparingInt(Task::sequence));
     private final List<Director.Event> events = new ArrayList<>();
-    private final List<Depots.AttemptListener> sent = new ArrayList<>();
-    private final List<Long> retired = new ArrayList<>();
+    private final List<Depots.AttemptListener> sentAttempts = new ArrayList<>();
+    private final List<Long> removedNodes = new ArrayList<>();
     private final List<String> cancelled = new ArrayList<>();
     private final List<String> answers = new ArrayList<>();
     private final ByteBuf body = Unpooled.copiedBuffer(new byte[3]);
-    private Consumer<Director.Event> decide = e -> {};
-    private Consumer<Director.Action> out;
+    private Consumer<Director.Event> onEvent = e -> {};
+    private Consumer<Director.Action> actionSink;
     private Doorman doorman;
-    private Doorman.Cancellable ticket;
+    private Doorman.Cancellable cancellable;
 
     private final Clock clock = new Clock() {
         @Override
         public double nowMs() {
-            return now;
+            return nowMs;
         }
 
         @Override
-        public Timer after(double delayMs, Runnable run) {
-            Task task = new Task(now + Math.max(0, delayMs), tasks++, run, new boolean[1]);
+        public Timer schedule(double delayMs, Runnable run) {
+            Task task = new Task(nowMs + Math.max(0, delayMs), taskCount++, run, new boolean[1]);
             timers.add(task);
             return () -> task.cancelled()[0] = true;
         }
@@ -68,30 +68,30 @@
 
     private final Depots depots = new Depots() {
         @Override
-        public void list(long node, NodeListing listing) {}
+        public void updateNode(long node, NodeListing listing) {}
 
         @Override
-        public void retire(long node) {
-            retired.add(node);
+        public void removeNode(long node) {
+            removedNodes.add(node);
         }
 
         @Override
-        public Call send(long node, Order order, AttemptListener listener) {
-            int number = sent.size();
-            sent.add(listener);
+        public Call send(long node, AttemptRequest order, AttemptListener listener) {
+            int number = sentAttempts.size();
+            sentAttempts.add(listener);
             return () -> cancelled.add("attempt " + number);
         }
 
         @Override
         public void probe(long node, double timeoutMs, AttemptListener listener) {
-            sent.add(listener);
+            sentAttempts.add(listener);
         }
 
         @Override
-        public void closeIdle(long node) {}
+        public void closeIdleConnections(long node) {}
     };
 
-    private final ResponseHandler caller = new ResponseHandler() {
+    private final ResponseHandler responseHandler = new ResponseHandler() {
         @Override
         public void served(ByteBuf served, String tag) {
             answers.add("served " + served.readableBytes() + " " + tag);
@@ -122,47 +122,48 @@
                 1,
                 (at, event, sink) -> {
                     events.add(event);
-                    out = sink;
-                    decide.accept(event);
+                    actionSink = sink;
+                    onEvent.accept(event);
                 },
                 clock,
                 depots);
-        doorman.listed(true, List.of(NODE));
+        doorman.onNodeList(true, List.of(NODE));
     }
 
     private static Request request(String id, int group, ByteBuf body) {
         return new Request(id, 0, "small", "7f3a9c21e0b4d655", 5, "0", 0, group, 1_000, 0, null, null, body);
     }
 
-    private void take(Consumer<Director.Event> decisions) {
-        decide = decisions;
-        ticket = doorman.take(
+    private void acceptRequest(Consumer<Director.Event> decisions) {
+        onEvent = decisions;
+        cancellable = doorman.accept(
                 request("9b1f03aa5c7e2d41", 7, body.refCnt() > 0 ? body : Unpooled.copiedBuffer(new byte[3])),
                 clock.nowMs(),
-                caller);
+                responseHandler);
     }
 
     private void send(long id) {
-        out.accept(new Director.Get(id, NODE.node(), 1_000, NODE.node(), 2, 0, true, false, false, false));
+        actionSink.accept(
+                new Director.Get(id, NODE.nodeNumber(), 1_000, NODE.nodeNumber(), 2, 0, true, false, false, false));
     }
 
     private void sendAll(int attempts, Director.Event event) {
-        if (event instanceof Director.Request r) {
+        if (event instanceof Director.Request request) {
             for (int i = 0; i < attempts; i++) {
-                send(r.id());
+                send(request.id());
             }
         }
     }
 
-    private void moveTo(double to) {
-        while (!timers.isEmpty() && timers.peek().at() <= to) {
+    private void advanceClockTo(double endMs) {
+        while (!timers.isEmpty() && timers.peek().dueMs() <= endMs) {
             Task task = timers.poll();
-            now = Math.max(now, task.at());
+            nowMs = Math.max(nowMs, task.dueMs());
             if (!task.cancelled()[0]) {
                 task.run().run();
             }
         }
-        now = to;
+        nowMs = endMs;
     }
 
     private static Answer ok(ByteBuf bytes) {
@@ -177,12 +178,12 @@
     }
 
     @Test
-    void theFirstOkIsTheAnswerAndALaterOneIsReleased() {
-        take(e -> sendAll(2, e));
-        now += 40;
-        sent.get(1).ended(ok(Unpooled.copiedBuffer(new byte[5])));
+    void firstOkIsTheAnswerAndALaterOneIsReleased() {
+        acceptRequest(e -> sendAll(2, e));
+        nowMs += 40;
+        sentAttempts.get(1).onEnd(ok(Unpooled.copiedBuffer(new byte[5])));
         ByteBuf late = Unpooled.copiedBuffer(new byte[5]);
-        sent.get(0).ended(ok(late));
+        sentAttempts.get(0).onEnd(ok(late));
         assertEquals(List.of("served 5 tag"), answers);
         assertEquals(0, late.refCnt());
         assertEquals(0, body.refCnt());
@@ -195,29 +196,29 @@
 
     @Test
     void aFailedAttemptLeavesTheRequestOpen() {
-        take(e -> sendAll(1, e));
-        sent.get(0).ended(Answer.of(Result.MISS));
+        acceptRequest(e -> sendAll(1, e));
+        sentAttempts.get(0).onEnd(Answer.of(Result.MISS));
         assertFalse(outcomes().get(0).closed());
         assertEquals(List.of(), answers);
         assertEquals(1, body.refCnt(), "a further attempt needs the body");
     }
 
     @Test
-    void whatIsOverIsNeverSent() {
-        take(e -> {
+    void finishedRequestIsNeverSent() {
+        acceptRequest(e -> {
             if (e instanceof Director.Request r) {
-                out.accept(new Director.Refuse(r.id(), 300));
+                actionSink.accept(new Director.Refuse(r.id(), 300));
                 send(r.id());
             }
         });
         assertEquals(List.of("refused 300.0"), answers);
-        assertEquals(0, sent.size());
+        assertEquals(0, sentAttempts.size());
     }
 
     @Test
-    void moreAttemptsThanAllowedNeverRan() {
-        take(e -> sendAll(3, e));
-        assertEquals(2, sent.size());
+    void attemptsAboveTheLimitNeverRun() {
+        acceptRequest(e -> sendAll(3, e));
+        assertEquals(2, sentAttempts.size());
         assertEquals(
                 List.of(Result.MOOT),
                 outcomes().stream().map(Director.Outcome::result).toList());
@@ -225,9 +226,9 @@
 
     /** An unresponsive machine keeps its connections open, so the core has to enforce the timeout. */
     @Test
-    void aSilentDepotIsTimedOutAndCancelled() {
-        take(e -> sendAll(1, e));
-        moveTo(2_000);
+    void unresponsiveDepotTimesOutAndIsCancelled() {
+        acceptRequest(e -> sendAll(1, e));
+        advanceClockTo(2_000);
         assertEquals(List.of("attempt 0"), cancelled);
         assertEquals(
                 List.of(Result.TIMEOUT),
@@ -236,16 +237,16 @@
     }
 
     @Test
-    void aClientThatLeavesIsOwedNothing() {
-        take(e -> {
+    void clientThatLeavesGetsNoAnswer() {
+        acceptRequest(e -> {
             sendAll(1, e);
             if (e instanceof Director.Gone g) {
-                out.accept(new Director.Cancel(g.request(), 0));
+                actionSink.accept(new Director.Cancel(g.request(), 0));
             }
         });
-        ticket.cancel();
-        ticket.cancel();
-        moveTo(9_000);
+        cancellable.cancel();
+        cancellable.cancel();
+        advanceClockTo(9_000);
         assertEquals(List.of(), answers);
         assertEquals(List.of("attempt 0"), cancelled);
         assertEquals(Result.CANCELLED, outcomes().get(0).result());
@@ -255,51 +256,51 @@
 
     /** An exception in the director must neither leave the client without an answer nor end the process. */
     @Test
-    void aDirectorThatFailsCostsTheRequestAtOnce() {
-        take(e -> {
+    void directorFailureFailsTheRequestAtOnce() {
+        acceptRequest(e -> {
             throw new IllegalStateException("simulated director failure");
         });
         assertEquals(List.of("failed"), answers);
-        moveTo(2_004);
+        advanceClockTo(2_004);
         assertEquals(List.of("failed"), answers);
         assertEquals(0, body.refCnt());
     }
 
     /** An exception while handling an outcome must leave neither attempts nor their timers behind. */
     @Test
-    void aDirectorThatFailsOverAnOutcomeGivesUpTheRest() {
-        take(e -> {
+    void directorFailureOnAnOutcomeCancelsOtherAttempts() {
+        acceptRequest(e -> {
             sendAll(2, e);
             if (e instanceof Director.Outcome) {
                 throw new IllegalStateException("simulated director failure");
             }
         });
-        sent.get(0).ended(Answer.of(Result.MISS));
+        sentAttempts.get(0).onEnd(Answer.of(Result.MISS));
         assertEquals(List.of("failed"), answers);
         assertEquals(List.of("attempt 1"), cancelled);
-        sent.get(1).ended(ok(Unpooled.copiedBuffer(new byte[5])));
-        moveTo(9_000);
+        sentAttempts.get(1).onEnd(ok(Unpooled.copiedBuffer(new byte[5])));
+        advanceClockTo(9_000);
         assertEquals(List.of("failed"), answers);
         assertEquals(2, outcomes().size());
     }
 
     @Test
-    void aRequestThatTheDirectorLeavesIsFailedByTheGuard() {
-        take(e -> sendAll(1, e));
-        moveTo(1_853);
+    void requestLeftUnansweredByTheDirectorFailsOnTimer() {
+        acceptRequest(e -> sendAll(1, e));
+        advanceClockTo(1_853);
         assertEquals(List.of(), answers);
-        moveTo(1_854);
+        advanceClockTo(1_854);
         assertEquals(List.of("failed"), answers);
     }
 
     /** Two causes may end the same attempt, such as its timeout and its connection's end: the first one counts. */
     @Test
     void anAttemptEndsOnce() {
-        take(e -> sendAll(1, e));
-        sent.get(0).ended(Answer.of(Result.RESET));
+        acceptRequest(e -> sendAll(1, e));
+        sentAttempts.get(0).onEnd(Answer.of(Result.RESET));
         ByteBuf late = Unpooled.copiedBuffer(new byte[5]);
-        sent.get(0).ended(ok(late));
-        moveTo(1_849);
+        sentAttempts.get(0).onEnd(ok(late));
+        advanceClockTo(1_849);
         assertEquals(1, outcomes().size());
         assertEquals(List.of(), answers);
         assertEquals(0, late.refCnt());
@@ -307,11 +308,11 @@
 
     /** Once the client has left, attempts that still wait are not sent, even where cancels are not allowed. */
     @Test
-    void nothingGoesOutForWhoHasGone() {
-        take(e -> sendAll(1, e));
-        assertEquals(Result.OK, sent.get(0).beforeWrite());
-        ticket.cancel();
-        assertEquals(Result.MOOT, sent.get(0).beforeWrite());
+    void nothingIsWrittenAfterTheClientLeft() {
+        acceptRequest(e -> sendAll(1, e));
+        assertEquals(Result.OK, sentAttempts.get(0).beforeWrite());
+        cancellable.cancel();
+        assertEquals(Result.MOOT, sentAttempts.get(0).beforeWrite());
     }
 
     /**
@@ -319,34 +320,34 @@
      * reported.
      */
     @Test
-    void whatIsToldOvertakesWhatHasNotGoneOut() {
-        List<Runnable> news = List.of(
-                () -> doorman.listed(false, List.of(listing(Director.State.DRAINING, 0, 1))),
-                () -> doorman.listed(false, List.of(listing(Director.State.GONE, 0, 1))),
-                () -> doorman.listed(true, List.of()),
-                () -> doorman.listed(false, List.of(listing(Director.State.READY, 900, 1))),
-                () -> doorman.listed(false, List.of(listing(Director.State.READY, 0, 2))),
-                () -> doorman.purgedObject(5, 900),
-                () -> doorman.purgedGroup(7, 900));
-        for (Runnable one : news) {
-            doorman.listed(true, List.of(NODE));
+    void listChangesAndPurgesCancelUnsentAttempts() {
+        List<Runnable> changes = List.of(
+                () -> doorman.onNodeList(false, List.of(listing(Director.State.DRAINING, 0, 1))),
+                () -> doorman.onNodeList(false, List.of(listing(Director.State.GONE, 0, 1))),
+                () -> doorman.onNodeList(true, List.of()),
+                () -> doorman.onNodeList(false, List.of(listing(Director.State.READY, 900, 1))),
+                () -> doorman.onNodeList(false, List.of(listing(Director.State.READY, 0, 2))),
+                () -> doorman.onObjectPurged(5, 900),
+                () -> doorman.onGroupPurged(7, 900));
+        for (Runnable change : changes) {
+            doorman.onNodeList(true, List.of(NODE));
             events.clear();
-            sent.clear();
+            sentAttempts.clear();
             cancelled.clear();
-            take(e -> sendAll(2, e));
-            sent.get(0).sent();
-            doorman.listed(false, List.of(NODE));
-            doorman.purgedObject(6, 900);
-            doorman.purgedGroup(8, 900);
+            acceptRequest(e -> sendAll(2, e));
+            sentAttempts.get(0).onSent();
+            doorman.onNodeList(false, List.of(NODE));
+            doorman.onObjectPurged(6, 900);
+            doorman.onGroupPurged(8, 900);
             assertEquals(List.of(), outcomes(), "changes that concern other nodes and objects");
-            one.run();
+            change.run();
             assertEquals(List.of("attempt 1"), cancelled, "an attempt that was written continues");
             assertEquals(
                     List.of(Result.MOOT),
                     outcomes().stream().map(Director.Outcome::result).toList());
             assertFalse(
                     events.get(events.size() - 2) instanceof Director.Outcome, "the director gets the change first");
-            sent.get(0).ended(ok(Unpooled.copiedBuffer(new byte[5])));
+            sentAttempts.get(0).onEnd(ok(Unpooled.copiedBuffer(new byte[5])));
         }
     }
 
@@ -356,26 +357,26 @@
 
     /** A repeat that was decided in time but delayed must not be sent once its key may be forgotten. */
     @Test
-    void aKeyedRepeatThatWaitedPastItsWindowDoesNotGo() {
-        doorman.retune(
+    void keyedRepeatDelayedPastItsWindowIsNotSent() {
+        doorman.applySettings(
                 SettingsReader.read(SettingsReader.lines(SETTINGS + "grades.0.repeat=by_key\ngrades.0.keyTtlMs=300")));
-        take(e -> sendAll(2, e));
-        assertEquals(Result.OK, sent.get(0).beforeWrite());
-        sent.get(0).sent();
-        now += 297;
-        assertEquals(Result.OK, sent.get(1).beforeWrite());
-        now += 1;
-        assertEquals(Result.MOOT, sent.get(1).beforeWrite());
-        sent.get(0).ended(Answer.of(Result.FULL));
-        assertEquals(Result.OK, sent.get(1).beforeWrite(), "the first attempt never ran");
+        acceptRequest(e -> sendAll(2, e));
+        assertEquals(Result.OK, sentAttempts.get(0).beforeWrite());
+        sentAttempts.get(0).onSent();
+        nowMs += 297;
+        assertEquals(Result.OK, sentAttempts.get(1).beforeWrite());
+        nowMs += 1;
+        assertEquals(Result.MOOT, sentAttempts.get(1).beforeWrite());
+        sentAttempts.get(0).onEnd(Answer.of(Result.FULL));
+        assertEquals(Result.OK, sentAttempts.get(1).beforeWrite(), "the first attempt never ran");
     }
 
     /** A damaged answer may confirm any copy: only the copy that the client holds can be current. */
     @Test
-    void onlyTheCopyThatTheClientHoldsIsCurrent() {
-        take(e -> sendAll(2, e));
-        sent.get(0).ended(new Answer(Result.OK, Director.Note.HIT, List.of(), null, "tag"));
-        sent.get(1).ended(new Answer(Result.OK, Director.Note.HIT, List.of(), null, null));
+    void onlyTheCopyHeldByTheClientCanBeUnchanged() {
+        acceptRequest(e -> sendAll(2, e));
+        sentAttempts.get(0).onEnd(new Answer(Result.OK, Director.Note.HIT, List.of(), null, "tag"));
+        sentAttempts.get(1).onEnd(new Answer(Result.OK, Director.Note.HIT, List.of(), null, null));
         assertEquals(List.of(), answers);
         assertEquals(
                 List.of(Result.ERROR, Result.ERROR),
@@ -384,13 +385,13 @@
 
     /** Requests still open when SIGKILL may come are failed, not left without an answer. */
     @Test
-    void aDrainFailsWhatIsOpenAtItsEnd() {
+    void drainFailsRequestsOpenAtItsDeadline() {
         boolean[] ended = new boolean[1];
-        take(e -> sendAll(1, e));
+        acceptRequest(e -> sendAll(1, e));
         doorman.drain(0, 500, () -> ended[0] = true);
-        moveTo(1_499);
+        advanceClockTo(1_499);
         assertEquals(List.of(), answers);
-        moveTo(1_501);
+        advanceClockTo(1_501);
         assertEquals(List.of("failed"), answers);
         assertEquals(List.of("attempt 0"), cancelled);
         assertTrue(ended[0]);
@@ -398,32 +399,32 @@
 
     @Test
     void requestsBeyondTheLimitAreRefused() {
-        take(e -> {});
-        doorman.take(request("9b1f03aa5c7e2d42", 0, Unpooled.EMPTY_BUFFER), clock.nowMs(), caller);
+        acceptRequest(e -> {});
+        doorman.accept(request("9b1f03aa5c7e2d42", 0, Unpooled.EMPTY_BUFFER), clock.nowMs(), responseHandler);
         assertEquals(List.of("refused 700.0"), answers);
     }
 
     @Test
-    void aDrainAnswersWhatIsOpenAndWhatStillComes() {
+    void drainAnswersOpenAndNewRequests() {
         boolean[] ended = new boolean[1];
         doorman.drain(750, 5_000, () -> ended[0] = true);
-        moveTo(1_600);
-        take(e -> sendAll(1, e));
-        moveTo(1_900);
+        advanceClockTo(1_600);
+        acceptRequest(e -> sendAll(1, e));
+        advanceClockTo(1_900);
         assertFalse(ended[0], "a request is open");
-        sent.get(0).ended(ok(Unpooled.copiedBuffer(new byte[5])));
-        moveTo(1_901);
+        sentAttempts.get(0).onEnd(ok(Unpooled.copiedBuffer(new byte[5])));
+        advanceClockTo(1_901);
         assertTrue(ended[0]);
         assertEquals(List.of("served 5 tag"), answers);
     }
 
     @Test
-    void aNodeThatAWholeListLeavesOutHasGone() {
+    void nodeMissingFromAFullListIsRemoved() {
         NodeListing other = new NodeListing("s-2", NODE.address(), 0, 0, 0, Director.State.READY, 1, 0);
-        doorman.listed(false, List.of(other));
-        assertEquals(List.of(), retired);
-        doorman.listed(true, List.of(other));
-        assertEquals(List.of(NODE.node()), retired);
+        doorman.onNodeList(false, List.of(other));
+        assertEquals(List.of(), removedNodes);
+        doorman.onNodeList(true, List.of(other));
+        assertEquals(List.of(NODE.nodeNumber()), removedNodes);
         assertEquals(
                 List.of(Director.ListKind.CACHED, Director.ListKind.DELTA, Director.ListKind.FULL),
                 events.stream().map(e -> ((Director.Members) e).kind()).toList());
@@ -434,7 +435,7 @@
      * end the doorman or hide the other boxes of the same command.
      */
     @Test
-    void listEventsThatComeTwiceOrForUnknownBoxesHarmNothing() {
+    void duplicateOrUnknownListEntriesAreHarmless() {
         for (Director.State state : List.of(
                 Director.State.GONE,
                 Director.State.DRAINING,
@@ -445,59 +446,62 @@
                 Director.State.READY)) {
             NodeListing changed = new NodeListing("s-2", NODE.address(), 0, 0, 0, state, 1, 0);
             events.clear();
-            doorman.listed(false, List.of(changed, NODE));
+            doorman.onNodeList(false, List.of(changed, NODE));
             assertEquals(
                     List.of(state, Director.State.READY),
                     ((Director.Members) events.get(0))
                             .nodes().stream().map(Director.Node::state).toList());
         }
-        assertEquals(List.of(2L, 2L, 2L), retired);
+        assertEquals(List.of(2L, 2L, 2L), removedNodes);
     }
 
     /** Two nodes with the same number would get each other's requests. */
     @Test
-    void aNumberStandsForOneNode() {
+    void numberIdentifiesOneNode() {
         NodeListing same = new NodeListing("t-1", NODE.address(), 0, 0, 0, Director.State.READY, 1, 0);
         NodeListing named = new NodeListing("box", NODE.address(), 0, 0, 0, Director.State.READY, 1, 0);
-        assertEquals(NODE.node(), same.node());
-        assertTrue(named.node() >= 1L << 32, "above all numbers that a uid may end in");
-        doorman.listed(false, List.of(same, named));
+        assertEquals(NODE.nodeNumber(), same.nodeNumber());
+        assertTrue(named.nodeNumber() >= 1L << 32, "above all numbers that a uid may end in");
+        doorman.onNodeList(false, List.of(same, named));
         assertEquals(
-                List.of(named.node()),
+                List.of(named.nodeNumber()),
                 ((Director.Members) events.get(1))
                         .nodes().stream().map(Director.Node::id).toList());
     }
 
     @Test
-    void purgesAreToldByTheirAge() {
-        doorman.purgedGroup(17, 900);
+    void purgesAreReportedByAge() {
+        doorman.onGroupPurged(17, 900);
         assertEquals(new Director.Purged(17, 0, 100), events.get(events.size() - 1));
     }
 
-    private void takeThatWaited(int number, double waitedMs) {
-        doorman.take(request("9b1f03aa5c7e2d4" + number, 7, Unpooled.EMPTY_BUFFER), clock.nowMs() - waitedMs, caller);
+    private void acceptDelayedRequest(int number, double waitedMs) {
+        doorman.accept(
+                request("9b1f03aa5c7e2d4" + number, 7, Unpooled.EMPTY_BUFFER),
+                clock.nowMs() - waitedMs,
+                responseHandler);
     }
 
     /** A process that has stalled may stall again when the answer is due, so later requests get earlier deadlines. */
     @Test
-    void requestsEndSoonerOnceTheProcessHasStoodStill() {
-        List<Double> told = new ArrayList<>();
-        decide = e -> {
+    void requestsGetAnEarlierDeadlineAfterAStall() {
+        List<Double> remainingMs = new ArrayList<>();
+        onEvent = e -> {
             if (e instanceof Director.Request r) {
-                told.add(r.remainingMs());
-                out.accept(new Director.Refuse(r.id(), 0));
+                remainingMs.add(r.remainingMs());
+                actionSink.accept(new Director.Refuse(r.id(), 0));
             }
         };
-        takeThatWaited(2, 0);
-        assertEquals(850, told.get(0), 1e-6, "a quarter of the 600 ms after the target time");
-        takeThatWaited(3, 200);
-        assertEquals(600, told.get(1), 1e-6, "200 ms waited, and 200 ms reserved for another stall");
-        takeThatWaited(4, 0);
-        assertEquals(800, told.get(2), 1e-6);
-        takeThatWaited(5, 900);
-        assertEquals(0, told.get(3), 1e-6, "its time limit has passed");
-        takeThatWaited(6, 0);
-        assertEquals(750, told.get(4), 1e-6, "at most a quarter");
+        acceptDelayedRequest(2, 0);
+        assertEquals(850, remainingMs.get(0), 1e-6, "a quarter of the 600 ms after the target time");
+        acceptDelayedRequest(3, 200);
+        assertEquals(600, remainingMs.get(1), 1e-6, "200 ms waited, and 200 ms reserved for another stall");
+        acceptDelayedRequest(4, 0);
+        assertEquals(800, remainingMs.get(2), 1e-6);
+        acceptDelayedRequest(5, 900);
+        assertEquals(0, remainingMs.get(3), 1e-6, "its time limit has passed");
+        acceptDelayedRequest(6, 0);
+        assertEquals(750, remainingMs.get(4), 1e-6, "at most a quarter");
     }
 
     /**
@@ -505,26 +509,26 @@
      * retry.
      */
     @Test
-    void whatNeverWentOutIsRefusedAndNotFailed() {
-        take(e -> {
+    void requestThatWasNeverWrittenIsRefusedNotFailed() {
+        acceptRequest(e -> {
             if (e instanceof Director.Request r) {
                 send(r.id());
-                out.accept(new Director.Fail(r.id()));
+                actionSink.accept(new Director.Fail(r.id()));
             }
         });
         assertEquals(List.of("refused 700.0"), answers);
     }
 
     @Test
-    void whatWentOutIsFailed() {
-        take(e -> {
+    void requestThatWasWrittenIsFailed() {
+        acceptRequest(e -> {
             if (e instanceof Director.Request r) {
                 send(r.id());
             }
         });
-        sent.get(0).sent();
-        decide = e -> out.accept(new Director.Fail(request()));
-        doorman.purgedGroup(1, 0);
+        sentAttempts.get(0).onSent();
+        onEvent = e -> actionSink.accept(new Director.Fail(request()));
+        doorman.onGroupPurged(1, 0);
         assertEquals(List.of("failed"), answers);
     }
 
--- a/doorman/src/test/java/barleyspur/doorman/SilentDepots.java
+++ b/doorman/src/test/java/barleyspur/doorman/UnresponsiveDepots.java
@@ -1,16 +1,16 @@
 package barleyspur.doorman;
 
 /** A stub for tests of the layers above the depots: accepts everything and never answers. */
-public final class SilentDepots implements Depots {
+public final class UnresponsiveDepots implements Depots {
 
     @Override
-    public void list(long node, NodeListing listing) {}
+    public void updateNode(long node, NodeListing listing) {}
 
     @Override
-    public void retire(long node) {}
+    public void removeNode(long node) {}
 
     @Override
-    public Call send(long node, Order order, AttemptListener listener) {
+    public Call send(long node, AttemptRequest order, AttemptListener listener) {
         return () -> {};
     }
 
@@ -18,5 +18,5 @@
     public void probe(long node, double timeoutMs, AttemptListener listener) {}
 
     @Override
-    public void closeIdle(long node) {}
+    public void closeIdleConnections(long node) {}
 }
--- a/doorman/src/test/java/barleyspur/front/thrift/FrontConnectionTest.java
+++ b/doorman/src/test/java/barleyspur/front/thrift/FrontConnectionTest.java
@@ -7,10 +7,10 @@
 
 import barleyspur.config.SettingsReader;
 import barleyspur.decision.Director;
-import barleyspur.doorman.CappedLog;
 import barleyspur.doorman.Clock;
 import barleyspur.doorman.Doorman;
-import barleyspur.doorman.SilentDepots;
+import barleyspur.doorman.RateLimitedLog;
+import barleyspur.doorman.UnresponsiveDepots;
 import barleyspur.lifecycle.Lifecycle;
 import barleyspur.reload.RequestClassRegistry;
 import io.netty.buffer.ByteBuf;
@@ -53,7 +53,7 @@
                 out = sink;
             },
             this,
-            new SilentDepots());
+            new UnresponsiveDepots());
     private final ConnectionRegistry<FrontConnection> registry = new ConnectionRegistry<>();
     private final Lifecycle lifecycle = new Lifecycle();
     private final List<Runnable> timers = new ArrayList<>();
@@ -61,7 +61,7 @@
     private final EmbeddedChannel channel = connect();
 
     private EmbeddedChannel connect() {
-        lifecycle.serving(now);
+        lifecycle.startServing(now);
         ThriftFrameDecoder decoder = new ThriftFrameDecoder(100_000);
         FrontConnection.Shared shared = new FrontConnection.Shared(
                 doorman,
@@ -70,7 +70,7 @@
                 MOST_OPEN,
                 new UnreadAnswers(1_000, full -> {}),
                 registry,
-                new CappedLog(LoggerFactory.getLogger("front"), this),
+                new RateLimitedLog(LoggerFactory.getLogger("front"), this),
                 lifecycle);
         return new EmbeddedChannel(decoder, new FrontConnection(shared, decoder));
     }
@@ -81,7 +81,7 @@
     }
 
     @Override
-    public Timer after(double delayMs, Runnable task) {
+    public Timer schedule(double delayMs, Runnable task) {
         Runnable due = () -> task.run();
         timers.add(due);
         return () -> timers.remove(due);
@@ -175,7 +175,7 @@
         for (int i = 1; i <= MOST_OPEN; i++) {
             dispatch(i, "small");
             out.accept(new Director.Refuse(((Director.Request) events.get(i - 1)).id(), 0));
-            doorman.purgedGroup(1, 0);
+            doorman.onGroupPurged(1, 0);
             events.remove(events.size() - 1);
         }
         dispatch(3, "small");
@@ -235,13 +235,13 @@
     @Test
     void aRefusalSaysWhenToComeBack() {
         dispatch(1, "small");
-        doorman.listed(true, List.of());
+        doorman.onNodeList(true, List.of());
         assertNull(channel.readOutbound(), "held until the director answers");
         Director.Request request = (Director.Request) events.get(0);
         assertEquals(3, request.part());
         assertEquals(17, request.group());
         out.accept(new Director.Refuse(request.id(), 700));
-        doorman.purgedGroup(1, 0);
+        doorman.onGroupPurged(1, 0);
         assertAnswer(Thrift.REPLY, 1, "700");
     }
 
@@ -292,7 +292,7 @@
         dispatch(2, "small", "9b1f03aa5c7e2d41");
         assertAnswer(Thrift.EXCEPTION, 2, "field i");
         out.accept(new Director.Refuse(((Director.Request) events.get(0)).id(), 0));
-        doorman.purgedGroup(1, 0);
+        doorman.onGroupPurged(1, 0);
         assertAnswer(Thrift.REPLY, 1, "");
         dispatch(3, "small", "9b1f03aa5c7e2d41");
         assertAnswer(Thrift.EXCEPTION, 3, "field i");
@@ -303,7 +303,7 @@
         EmbeddedChannel other = connect();
         dispatch(1, "small");
         out.accept(new Director.Refuse(((Director.Request) events.get(0)).id(), 0));
-        doorman.purgedGroup(1, 0);
+        doorman.onGroupPurged(1, 0);
         pass(PartialRequestWatch.SILENCE_MS);
         pass(FrontConnection.LINGER_MS);
         assertFalse(other.isOpen());
@@ -369,12 +369,12 @@
         dispatch(2, "small");
         lifecycle.quiesce(now);
         out.accept(new Director.Refuse(((Director.Request) events.get(0)).id(), 0));
-        doorman.purgedGroup(1, 0);
+        doorman.onGroupPurged(1, 0);
         channel.runPendingTasks();
         assertTrue(channel.isOpen(), "request 2 is open");
         assertAnswer(Thrift.REPLY, 1, "");
         out.accept(new Director.Refuse(((Director.Request) events.get(1)).id(), 0));
-        doorman.purgedGroup(1, 0);
+        doorman.onGroupPurged(1, 0);
         channel.runPendingTasks();
         assertAnswer(Thrift.REPLY, 2, "");
         dispatch(3, "small");
--- a/doorman/src/test/java/barleyspur/front/thrift/ResponseWriterTest.java
+++ b/doorman/src/test/java/barleyspur/front/thrift/ResponseWriterTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import barleyspur.doorman.CappedLog;
 import barleyspur.doorman.Clock;
+import barleyspur.doorman.RateLimitedLog;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelHandlerContext;
@@ -37,7 +37,7 @@
             channel,
             this,
             new UnreadAnswers(1_000, full -> {}),
-            new CappedLog(LoggerFactory.getLogger("front"), this),
+            new RateLimitedLog(LoggerFactory.getLogger("front"), this),
             () -> 5_000,
             this);
     private boolean failing;
@@ -48,7 +48,7 @@
     }
 
     @Override
-    public Timer after(double delayMs, Runnable task) {
+    public Timer schedule(double delayMs, Runnable task) {
         return () -> {};
     }
 
--- a/doorman/src/test/java/barleyspur/front/thrift/SharedPortTest.java
+++ b/doorman/src/test/java/barleyspur/front/thrift/SharedPortTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import barleyspur.doorman.Doorman;
-import barleyspur.doorman.LoopClock;
-import barleyspur.doorman.SilentDepots;
-import barleyspur.doorman.SocketPolls;
+import barleyspur.doorman.EventLoopClock;
+import barleyspur.doorman.SocketPollTimes;
+import barleyspur.doorman.UnresponsiveDepots;
 import barleyspur.lifecycle.Lifecycle;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -24,7 +24,7 @@
 class SharedPortTest {
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final LoopClock clock = new LoopClock(group.next(), new SocketPolls());
+    private final EventLoopClock clock = new EventLoopClock(group.next(), new SocketPollTimes());
 
     @AfterEach
     void end() {
@@ -33,9 +33,9 @@
 
     private ThriftFront front(boolean share) {
         Lifecycle lifecycle = new Lifecycle();
-        lifecycle.serving(0);
+        lifecycle.startServing(0);
         Doorman doorman =
-                new Doorman(FrontConnectionTest.SETTINGS, 9, (now, event, sink) -> {}, clock, new SilentDepots());
+                new Doorman(FrontConnectionTest.SETTINGS, 9, (now, event, sink) -> {}, clock, new UnresponsiveDepots());
         return new ThriftFront(
                 group, doorman, clock, FrontConnectionTest.CLASSES, 16, 1 << 20, full -> {}, lifecycle, share);
     }
--- a/doorman/src/test/java/barleyspur/front/thrift/ThriftPropertiesTest.java
+++ b/doorman/src/test/java/barleyspur/front/thrift/ThriftPropertiesTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import barleyspur.Cuts;
+import barleyspur.ChunkedInput;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
@@ -43,7 +43,8 @@
             twice.writeBytes(one);
             one.release();
         }
-        List<Object> frames = Cuts.feed(new EmbeddedChannel(new ThriftFrameDecoder(MAX_FRAME)), Cuts.take(twice), cuts);
+        List<Object> frames = ChunkedInput.feed(
+                new EmbeddedChannel(new ThriftFrameDecoder(MAX_FRAME)), ChunkedInput.readAndRelease(twice), cuts);
         assertEquals(2, frames.size());
         for (int i = 0; i < 2; i++) {
             ByteBuf frame = (ByteBuf) frames.get(i);
@@ -86,7 +87,8 @@
 
     @Property(seed = "14")
     void aStreamOfGarbageEndsInOneWayOnly(@ForAll @Size(max = 300) byte[] garbage, @ForAll long cuts) {
-        List<Object> frames = Cuts.feedGarbage(new EmbeddedChannel(new ThriftFrameDecoder(MAX_FRAME)), garbage, cuts);
+        List<Object> frames =
+                ChunkedInput.feedGarbage(new EmbeddedChannel(new ThriftFrameDecoder(MAX_FRAME)), garbage, cuts);
         if (frames != null) {
             frames.forEach(f -> assertTrue(((ByteBuf) f).release()));
         }
--- a/doorman/src/test/java/barleyspur/lifecycle/LifecycleTest.java
+++ b/doorman/src/test/java/barleyspur/lifecycle/LifecycleTest.java
@@ -13,11 +13,11 @@
 
     /** The health check fails until the client address is bound, and succeeds from then on. */
     @Test
-    void healthSaysYesOnlyOnceItTakesClients() {
-        assertFalse(lifecycle.ready());
+    void readyOnlyOnceServing() {
+        assertFalse(lifecycle.isReady());
         assertFalse(lifecycle.quiesce(0), "nothing to quiesce before the start");
-        lifecycle.serving(10);
-        assertTrue(lifecycle.ready());
+        lifecycle.startServing(10);
+        assertTrue(lifecycle.isReady());
         assertEquals(Lifecycle.Phase.SERVING, lifecycle.phase());
     }
 
@@ -26,16 +26,16 @@
      * between.
      */
     @Test
-    void aQuiesceSaysNoUntilTheResume() {
-        lifecycle.serving(0);
+    void quiescedIsNotReadyUntilResumed() {
+        lifecycle.startServing(0);
         assertTrue(lifecycle.quiesce(100));
         assertFalse(lifecycle.quiesce(150), "a second call changes nothing");
-        assertFalse(lifecycle.ready());
-        assertTrue(lifecycle.closeWhenIdle());
-        assertTrue(lifecycle.listening(), "new connections still arrive for 0.2 s");
+        assertFalse(lifecycle.isReady());
+        assertTrue(lifecycle.closesIdleConnections());
+        assertTrue(lifecycle.shouldListen(), "new connections still arrive for 0.2 s");
         assertTrue(lifecycle.resume(5_000));
-        assertTrue(lifecycle.ready());
-        assertFalse(lifecycle.closeWhenIdle());
+        assertTrue(lifecycle.isReady());
+        assertFalse(lifecycle.closesIdleConnections());
         assertTrue(lifecycle.resume(5_100), "resuming a serving doorman succeeds");
     }
 
@@ -44,13 +44,13 @@
      * 1 s.
      */
     @Test
-    void quiescedRequestsAreTakenForASecond() {
-        lifecycle.serving(0);
+    void requestsAreAcceptedForOneSecondAfterQuiesce() {
+        lifecycle.startServing(0);
         lifecycle.quiesce(1_000);
-        assertTrue(lifecycle.takes(1_000 + Lifecycle.QUIESCED_TAKES_MS - 1, 100));
-        assertFalse(lifecycle.takes(1_000 + Lifecycle.QUIESCED_TAKES_MS, 100));
+        assertTrue(lifecycle.acceptsRequest(1_000 + Lifecycle.QUIESCED_ACCEPT_MS - 1, 100));
+        assertFalse(lifecycle.acceptsRequest(1_000 + Lifecycle.QUIESCED_ACCEPT_MS, 100));
         lifecycle.resume(3_000);
-        assertTrue(lifecycle.takes(3_000, 100));
+        assertTrue(lifecycle.acceptsRequest(3_000, 100));
     }
 
     /**
@@ -60,36 +60,37 @@
      */
     @Test
     void sigtermWithASuccessorHandsOff() {
-        lifecycle.serving(0);
-        double kill = Lifecycle.killAfterMs(4_740);
-        assertEquals(3_700, kill, "the longest deadline counts as at most 3 s, plus 0.7 s");
-        lifecycle.leave(2_000, true, kill);
+        lifecycle.startServing(0);
+        double killAfterMs = Lifecycle.earliestKillAfterMs(4_740);
+        assertEquals(3_700, killAfterMs, "the longest deadline counts as at most 3 s, plus 0.7 s");
+        lifecycle.startLeaving(2_000, true, killAfterMs);
         assertEquals(Lifecycle.Phase.HANDING_OFF, lifecycle.phase());
-        assertFalse(lifecycle.listening());
-        assertTrue(lifecycle.closeWhenIdle());
+        assertFalse(lifecycle.shouldListen());
+        assertTrue(lifecycle.closesIdleConnections());
         assertTrue(
-                lifecycle.takes(2_000 + Lifecycle.HANDING_OFF_TAKES_MS - 1, 4_000),
+                lifecycle.acceptsRequest(2_000 + Lifecycle.HANDING_OFF_ACCEPT_MS - 1, 4_000),
                 "within the 0.7 s that excuse a loss by SIGKILL");
         assertFalse(
-                lifecycle.takes(2_000 + Lifecycle.HANDING_OFF_TAKES_MS, 4_000), "it could still be open at SIGKILL");
-        double left = 2_000 + kill - Lifecycle.KILL_MARGIN_MS - 3_000;
-        assertTrue(lifecycle.takes(3_000, left - 1), "answered before SIGKILL");
-        assertFalse(lifecycle.takes(3_000, left));
+                lifecycle.acceptsRequest(2_000 + Lifecycle.HANDING_OFF_ACCEPT_MS, 4_000),
+                "it could still be open at SIGKILL");
+        double remainingMs = 2_000 + killAfterMs - Lifecycle.KILL_MARGIN_MS - 3_000;
+        assertTrue(lifecycle.acceptsRequest(3_000, remainingMs - 1), "answered before SIGKILL");
+        assertFalse(lifecycle.acceptsRequest(3_000, remainingMs));
         assertFalse(lifecycle.resume(3_000), "a process that is leaving can't resume");
-        assertFalse(lifecycle.ready());
+        assertFalse(lifecycle.isReady());
     }
 
     /** Guards a planned restart: without a successor new connections still arrive, and all requests are accepted. */
     @Test
-    void sigtermAloneGoesOnListening() {
-        lifecycle.serving(0);
+    void sigtermWithoutSuccessorKeepsListening() {
+        lifecycle.startServing(0);
         lifecycle.quiesce(100);
-        lifecycle.leave(2_000, false, 3_700);
+        lifecycle.startLeaving(2_000, false, 3_700);
         assertEquals(Lifecycle.Phase.LEAVING, lifecycle.phase());
-        assertTrue(lifecycle.listening());
-        assertFalse(lifecycle.closeWhenIdle());
-        assertTrue(lifecycle.takes(60_000, 4_000));
-        assertFalse(lifecycle.leave(2_100, true, 3_700), "a second SIGTERM changes nothing");
+        assertTrue(lifecycle.shouldListen());
+        assertFalse(lifecycle.closesIdleConnections());
+        assertTrue(lifecycle.acceptsRequest(60_000, 4_000));
+        assertFalse(lifecycle.startLeaving(2_100, true, 3_700), "a second SIGTERM changes nothing");
         assertEquals(Lifecycle.Phase.LEAVING, lifecycle.phase(), "the first SIGTERM decides");
     }
 
@@ -98,15 +99,15 @@
      * accepted.
      */
     @Test
-    void onceAllHaveComeTheRestIsSentAway() {
-        lifecycle.serving(0);
-        assertTrue(lifecycle.leave(2_000, false, 3_700));
-        assertFalse(lifecycle.closeStrangers());
-        lifecycle.graceOver();
-        assertTrue(lifecycle.closeWhenIdle());
-        assertTrue(lifecycle.closeStrangers());
-        assertEquals(2_000 + 3_700 - Lifecycle.KILL_MARGIN_MS, lifecycle.answeredByMs());
-        assertTrue(lifecycle.takes(2_800, 2_699));
-        assertFalse(lifecycle.takes(2_800, 2_700));
+    void connectionsCloseAfterTheGracePeriod() {
+        lifecycle.startServing(0);
+        assertTrue(lifecycle.startLeaving(2_000, false, 3_700));
+        assertFalse(lifecycle.closesUnusedConnections());
+        lifecycle.endGrace();
+        assertTrue(lifecycle.closesIdleConnections());
+        assertTrue(lifecycle.closesUnusedConnections());
+        assertEquals(2_000 + 3_700 - Lifecycle.KILL_MARGIN_MS, lifecycle.answerDeadlineMs());
+        assertTrue(lifecycle.acceptsRequest(2_800, 2_699));
+        assertFalse(lifecycle.acceptsRequest(2_800, 2_700));
     }
 }
--- a/doorman/src/test/java/barleyspur/upgrade/HandOffNoteTest.java
+++ b/doorman/src/test/java/barleyspur/upgrade/ListenerPidFileTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Tests the file by which the old process of an upgrade learns that a successor listens. */
-class HandOffNoteTest {
+class ListenerPidFileTest {
 
     private static final InetSocketAddress LISTEN = new InetSocketAddress("127.0.0.1", 7001);
 
@@ -19,28 +19,28 @@
 
     /** Guards the hand-off: the old process finds the new one, and the new one doesn't take itself for a successor. */
     @Test
-    void theLastToListenIsTheSuccessor() throws IOException {
-        HandOffNote note = new HandOffNote(folder, LISTEN);
+    void latestListenerIsTheSuccessor() throws IOException {
+        ListenerPidFile pidFile = new ListenerPidFile(folder, LISTEN);
         long self = ProcessHandle.current().pid();
-        assertEquals(-1, note.successorOf(self), "no file");
-        note.announce(self);
-        assertEquals(-1, note.successorOf(self), "a process is not its own successor");
-        assertEquals(self, note.successorOf(self + 1), "another live process");
+        assertEquals(-1, pidFile.liveSuccessorOf(self), "no file");
+        pidFile.write(self);
+        assertEquals(-1, pidFile.liveSuccessorOf(self), "a process is not its own successor");
+        assertEquals(self, pidFile.liveSuccessorOf(self + 1), "another live process");
     }
 
     /** Guards a plain SIGTERM after a successor has died: a process that is gone is no successor. */
     @Test
-    void aDeadOrUnreadableNoteNamesNobody() throws IOException {
-        HandOffNote note = new HandOffNote(folder, LISTEN);
-        note.announce(Long.MAX_VALUE - 1);
-        assertEquals(-1, note.successorOf(1));
+    void deadProcessOrUnreadableFileIsNoSuccessor() throws IOException {
+        ListenerPidFile pidFile = new ListenerPidFile(folder, LISTEN);
+        pidFile.write(Long.MAX_VALUE - 1);
+        assertEquals(-1, pidFile.liveSuccessorOf(1));
         try (var files = Files.list(folder)) {
             Files.writeString(files.findFirst().orElseThrow(), "half");
         }
-        assertEquals(-1, note.successorOf(1));
+        assertEquals(-1, pidFile.liveSuccessorOf(1));
         assertEquals(
                 -1,
-                new HandOffNote(folder, new InetSocketAddress("127.0.0.1", 7002)).successorOf(1),
+                new ListenerPidFile(folder, new InetSocketAddress("127.0.0.1", 7002)).liveSuccessorOf(1),
                 "each address has its own file");
     }
 }
--- a/lab/src/main/java/barleyspur/lab/stand/StandBoxes.java
+++ b/lab/src/main/java/barleyspur/lab/stand/StandBoxes.java
@@ -140,11 +140,11 @@
             if (message.body() != null) {
                 message.body().release();
             }
-            String word = message.words().get(0);
+            String word = message.strings().get(0);
             if (word.equals("cancel")) {
-                cancelled.add(message.words().get(1));
+                cancelled.add(message.strings().get(1));
             } else if (word.equals("serve")) {
-                serve(ctx, message.words().get(1), message.words().get(2));
+                serve(ctx, message.strings().get(1), message.strings().get(2));
             }
         }
 
--- a/lab/src/test/java/barleyspur/lab/fleet/EmbeddedClocksTest.java
+++ b/lab/src/test/java/barleyspur/lab/fleet/EmbeddedClocksTest.java
@@ -2,12 +2,12 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import barleyspur.Node;
+import barleyspur.DoormanServer;
 import barleyspur.config.Configuration;
 import barleyspur.config.OwnSettings;
 import barleyspur.doorman.Clock;
-import barleyspur.doorman.LoopClock;
-import barleyspur.doorman.SocketPolls;
+import barleyspur.doorman.EventLoopClock;
+import barleyspur.doorman.SocketPollTimes;
 import barleyspur.lab.stand.NodeList;
 import barleyspur.lab.stand.StandBoxes;
 import barleyspur.lab.stand.StandChannel;
@@ -40,9 +40,9 @@
     Path folder;
 
     /** A clock of an event loop that runs fast or slow, timers included. */
-    private record Skewed(LoopClock clock, double startMs, double rate) implements Clock {
-        Skewed(EventLoop loop, SocketPolls polls, double rate) {
-            this(new LoopClock(loop, polls), System.currentTimeMillis(), rate);
+    private record Skewed(EventLoopClock clock, double startMs, double rate) implements Clock {
+        Skewed(EventLoop loop, SocketPollTimes polls, double rate) {
+            this(new EventLoopClock(loop, polls), System.currentTimeMillis(), rate);
         }
 
         @Override
@@ -51,8 +51,8 @@
         }
 
         @Override
-        public Timer after(double delayMs, Runnable task) {
-            return clock.after(delayMs / rate, task);
+        public Timer schedule(double delayMs, Runnable task) {
+            return clock.schedule(delayMs / rate, task);
         }
     }
 
@@ -61,7 +61,7 @@
     void clocksThatRunApartDontMakeTheWholeLarger() throws Exception {
         String network = "127." + (20 + ProcessHandle.current().pid() % 200) + ".210.";
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        List<Node> nodes = new ArrayList<>();
+        List<DoormanServer> nodes = new ArrayList<>();
         try {
             StandBoxes boxes = new StandBoxes(group, "record", 40, new double[3]);
             NodeList listed = new NodeList();
@@ -78,7 +78,7 @@
             for (int i = 0; i < RATES.length; i++) {
                 double rate = RATES[i];
                 fronts.add(new InetSocketAddress(network + (i + 1), 7001));
-                nodes.add(new Node(
+                nodes.add(new DoormanServer(
                         configuration(network, i, channel, listed),
                         settings(network, i),
                         (loop, polls) -> new Skewed(loop, polls, rate)));
@@ -88,7 +88,7 @@
                     new StandClients(group, List.of(new StandClients.Class("parts", 1, 600, 3_000)), fronts, 1);
             clients.start(300, (slot, now) -> 1.0 / RATES.length);
             TimeUnit.SECONDS.sleep(9);
-            Node first = nodes.remove(0);
+            DoormanServer first = nodes.remove(0);
             first.drain();
             first.awaitEnd();
             TimeUnit.SECONDS.sleep(6);
@@ -96,8 +96,8 @@
             assertTrue(tally.arrived() > 0, "the box saw nothing");
             assertTrue(tally.mostAtOnce() <= WHOLE, tally.mostAtOnce() + " at once of " + WHOLE);
         } finally {
-            nodes.forEach(Node::drain);
-            for (Node node : nodes) {
+            nodes.forEach(DoormanServer::drain);
+            for (DoormanServer node : nodes) {
                 node.awaitEnd();
             }
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
@@ -106,7 +106,8 @@
 
     private Configuration configuration(String network, int i, InetSocketAddress channel, NodeList listed)
             throws Exception {
-        JSONObject json = new JSONObject(new JSONTokener(Node.class.getResourceAsStream("/barleyspur/rehearsal.json")))
+        JSONObject json = new JSONObject(
+                        new JSONTokener(DoormanServer.class.getResourceAsStream("/barleyspur/rehearsal.json")))
                 .put("name", "e" + i)
                 .put("listen", network + (i + 1) + ":7001")
                 .put("channel", channel.getHostString() + ":7001")
