--- a/doorman/src/main/java/barleyspur/DoormanServer.java
+++ b/doorman/src/main/java/barleyspur/DoormanServer.java
@@ -266,7 +266,7 @@
     private void awaitBound(ChannelFuture future, InetSocketAddress address) throws IOException, InterruptedException {
         ChannelFuture bound = future.await();
         if (!bound.isSuccess()) {
-            shutDown();
+            stopEventLoop();
             throw new IOException(
                     "can't listen on " + address + ": " + bound.cause().getMessage());
         }
@@ -386,13 +386,13 @@
     private void stopSubsystems() {
         commandChannel.close();
         if (fleet == null) {
-            shutDown();
+            stopEventLoop();
         } else {
-            fleet.stop(this::shutDown);
+            fleet.stop(this::stopEventLoop);
         }
     }
 
-    private void shutDown() {
+    private void stopEventLoop() {
         eventLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS).addListener(done -> stopped.countDown());
     }
 
--- a/doorman/src/main/java/barleyspur/WarmUp.java
+++ b/doorman/src/main/java/barleyspur/WarmUp.java
@@ -38,7 +38,7 @@
     private static final double STEP_MS = 3;
 
     /** A scheduled task; {@code run} holds null once the task is cancelled. */
-    private record Task(double dueMs, long sequence, AtomicReference<Runnable> run) {}
+    private record Task(double dueMs, long sequence, AtomicReference<Runnable> action) {}
 
     private final PriorityQueue<Task> timers =
             new PriorityQueue<>(Comparator.comparingDouble(Task::dueMs).thenComparingLong(Task::sequence));
@@ -117,7 +117,7 @@
     private void advance() {
         nowMs += STEP_MS;
         while (!timers.isEmpty() && timers.peek().dueMs() <= nowMs) {
-            Runnable due = timers.poll().run().get();
+            Runnable due = timers.poll().action().get();
             if (due != null) {
                 due.run();
             }
--- a/doorman/src/main/java/barleyspur/depot/DepotConnection.java
+++ b/doorman/src/main/java/barleyspur/depot/DepotConnection.java
@@ -79,10 +79,10 @@
         this.shared = shared;
         this.decoder = decoder;
         this.onClosed = onClosed;
-        idleSinceMs = now();
+        idleSinceMs = nowMs();
     }
 
-    private double now() {
+    private double nowMs() {
         return shared.clock().nowMs();
     }
 
@@ -110,7 +110,7 @@
         private final String id;
         private final DoubleFunction<ByteBuf> header;
         private final Depots.AttemptListener listener;
-        private final double openedAtMs = now();
+        private final double openedAtMs = nowMs();
         private ByteBuf body;
         private State state = State.WAITING;
 
@@ -156,7 +156,7 @@
                 return;
             }
             state = State.SENT;
-            channel.write(header.apply(now() - openedAtMs), channel.voidPromise());
+            channel.write(header.apply(nowMs() - openedAtMs), channel.voidPromise());
             if (body != null) {
                 channel.write(body, channel.voidPromise());
                 channel.write(Unpooled.wrappedBuffer(Resp.CRLF), channel.voidPromise());
@@ -194,7 +194,7 @@
         connect.addListener(done -> {
             if (done.isSuccess()) {
                 connected = true;
-                waitingSinceMs = now();
+                waitingSinceMs = nowMs();
                 new ArrayList<>(openCalls.values()).forEach(Call::write);
                 closeIfDrained();
             } else {
@@ -219,7 +219,7 @@
     Call openCall(String id, DoubleFunction<ByteBuf> header, ByteBuf body, Depots.AttemptListener listener) {
         Call call = new Call(id, header, body, listener);
         if (openCalls.isEmpty()) {
-            waitingSinceMs = now();
+            waitingSinceMs = nowMs();
         }
         openCalls.put(id, call);
         recentIds.add(id);
@@ -243,7 +243,7 @@
     }
 
     private boolean isUnresponsive() {
-        return !openCalls.isEmpty() && now() - waitingSinceMs > UNRESPONSIVE_MS;
+        return !openCalls.isEmpty() && nowMs() - waitingSinceMs > UNRESPONSIVE_MS;
     }
 
     /** Closes the connection if an answer was cut off. */
@@ -251,7 +251,7 @@
         if (connected
                 && channel.config().isAutoRead()
                 && decoder.hasPartialMessage()
-                && now() - waitingSinceMs > STALLED_MS) {
+                && nowMs() - waitingSinceMs > STALLED_MS) {
             shared.log().warn("connection closed: an answer has stopped short", "depot", uid);
             close();
         }
@@ -270,13 +270,13 @@
     }
 
     boolean isIdleFor(double idleMs) {
-        return openCalls.isEmpty() && now() - idleSinceMs >= idleMs;
+        return openCalls.isEmpty() && nowMs() - idleSinceMs >= idleMs;
     }
 
     /** Applies back-pressure: while reading is off, answers are held back at the depot. */
     void setReading(boolean enabled) {
         channel.config().setAutoRead(enabled);
-        waitingSinceMs = now();
+        waitingSinceMs = nowMs();
     }
 
     /** Accepts no new calls, and closes the connection once all open calls have ended. */
@@ -297,9 +297,9 @@
 
     private void onCallRemoved() {
         if (openCalls.isEmpty()) {
-            idleSinceMs = now();
+            idleSinceMs = nowMs();
             // The calls were cancelled, not answered: the connection may not respond any more.
-            draining |= connected && now() - waitingSinceMs > UNRESPONSIVE_MS;
+            draining |= connected && nowMs() - waitingSinceMs > UNRESPONSIVE_MS;
             closeIfDrained();
         }
     }
@@ -311,13 +311,13 @@
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        waitingSinceMs = now();
+        waitingSinceMs = nowMs();
         ctx.fireChannelReadComplete();
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, RespDecoder.Message message) {
-        waitingSinceMs = now();
+        waitingSinceMs = nowMs();
         ByteBuf body = message.body();
         try {
             List<String> strings = message.strings();
--- a/doorman/src/main/java/barleyspur/doorman/Doorman.java
+++ b/doorman/src/main/java/barleyspur/doorman/Doorman.java
@@ -96,21 +96,21 @@
             handler.refused(settings.maxRetryAfterMs());
             return () -> {};
         }
-        double now = clock.nowMs();
+        double nowMs = clock.nowMs();
         lastId = (lastId + 1) % ID_LIMIT;
-        stallMargin.observe(now, now - arrivedMs);
+        stallMargin.observe(nowMs, nowMs - arrivedMs);
         Director.RequestClass requestClass = settings.classes().get(request.category());
         double workMs = request.sizeKb() > 0 ? request.sizeKb() / settings.paceKbPerMs() : 0;
-        double marginMs = stallMargin.marginMs(request.remainingMs(), requestClass.wantedWithinMs(workMs), now);
+        double marginMs = stallMargin.marginMs(request.remainingMs(), requestClass.wantedWithinMs(workMs), nowMs);
         RequestContext context = new RequestContext(lastId, request, handler, arrivedMs, marginMs);
         contexts.put(context.id, context);
         recentIds.add(request.id());
-        RequestTrace.requestAccepted(request, now - arrivedMs);
+        RequestTrace.requestAccepted(request, nowMs - arrivedMs);
         pendingResponses++;
         // Guarantees every request an answer even if the director never gives one: at this time half of the answer
         // slack remains.
         context.answerTimer = clock.schedule(
-                context.deadlineMs - now + settings.answerSlackMs() / 2,
+                context.deadlineMs - nowMs + settings.answerSlackMs() / 2,
                 () -> failWithoutDirector(context, "left unanswered"));
         dispatch(new Director.Request(
                 context.id,
@@ -119,7 +119,7 @@
                 request.object(),
                 request.part(),
                 request.group(),
-                Math.max(0, context.deadlineMs - now),
+                Math.max(0, context.deadlineMs - nowMs),
                 request.sizeKb(),
                 false,
                 requestClass.write()));
@@ -293,11 +293,11 @@
                     "director failed",
                     "event",
                     event.getClass().getSimpleName());
-            RequestContext affectedRequest = event instanceof Director.Request request
+            RequestContext affected = event instanceof Director.Request request
                     ? contexts.get(request.id())
                     : event instanceof Director.Outcome outcome ? contexts.get(outcome.request()) : null;
-            if (affectedRequest != null) {
-                failWithoutDirector(affectedRequest, "the director failed");
+            if (affected != null) {
+                failWithoutDirector(affected, "the director failed");
             }
         }
         for (Director.Action action = pendingActions.poll(); action != null; action = pendingActions.poll()) {
@@ -371,13 +371,13 @@
         if (context == null) {
             return;
         }
-        double now = clock.nowMs();
-        RequestContext.Attempt attempt = new RequestContext.Attempt(node, get == null ? node : get.source(), now);
+        double nowMs = clock.nowMs();
+        RequestContext.Attempt attempt = new RequestContext.Attempt(node, get == null ? node : get.source(), nowMs);
         int number = context.attempts.size();
         context.attempts.add(attempt);
         context.openAttempts++;
         RequestTrace.attemptSent(context, number, node, get);
-        double remainingMs = context.deadlineMs - now;
+        double remainingMs = context.deadlineMs - nowMs;
         double attemptTimeoutMs = timeoutMs == 0 ? remainingMs : Math.min(timeoutMs, remainingMs);
         if (context.finished || number >= settings.maxAttempts() || attemptTimeoutMs <= 0) {
             endAttempt(context, number, Depots.Answer.of(Result.MOOT));
@@ -416,11 +416,11 @@
         if (requestClass.effect() != Director.Effect.KEYED) {
             return false;
         }
-        double now = clock.nowMs();
+        double nowMs = clock.nowMs();
         return context.attempts.stream()
                 .anyMatch(a -> a != attempt
                         && (a.mayHaveRun || a.written && !a.ended)
-                        && now - a.writtenAtMs >= requestClass.keyWindowMs() - settings.tickMs());
+                        && nowMs - a.writtenAtMs >= requestClass.keyWindowMs() - settings.tickMs());
     }
 
     private Depots.AttemptRequest attemptRequest(
--- a/doorman/src/main/java/barleyspur/doorman/RateLimitedLog.java
+++ b/doorman/src/main/java/barleyspur/doorman/RateLimitedLog.java
@@ -16,14 +16,14 @@
     static final double PERIOD_MS = 10_000;
 
     /** The state of one kind of event in the current period. */
-    private static final class Cause {
+    private static final class EventCounter {
         private double periodStartMs = Double.NEGATIVE_INFINITY;
         private int lineCount;
     }
 
     private final Logger log;
     private final Clock clock;
-    private final Map<String, Cause> causes = new HashMap<>();
+    private final Map<String, EventCounter> counters = new HashMap<>();
 
     /** Creates a log whose periods are measured on {@code clock}. */
     public RateLimitedLog(Logger log, Clock clock) {
@@ -36,20 +36,20 @@
      * is preceded by the number of lines that were left out.
      */
     public void warn(String event, Object... keysAndValues) {
-        Cause cause = causes.computeIfAbsent(event, k -> new Cause());
-        double now = clock.nowMs();
-        if (now - cause.periodStartMs >= PERIOD_MS) {
-            if (cause.lineCount > MAX_LINES_PER_PERIOD) {
+        EventCounter counter = counters.computeIfAbsent(event, k -> new EventCounter());
+        double nowMs = clock.nowMs();
+        if (nowMs - counter.periodStartMs >= PERIOD_MS) {
+            if (counter.lineCount > MAX_LINES_PER_PERIOD) {
                 LogEvent.log(
                         log.atWarn(),
                         "more lines like the next were left out",
                         "lines",
-                        cause.lineCount - MAX_LINES_PER_PERIOD);
+                        counter.lineCount - MAX_LINES_PER_PERIOD);
             }
-            cause.periodStartMs = now;
-            cause.lineCount = 0;
+            counter.periodStartMs = nowMs;
+            counter.lineCount = 0;
         }
-        if (++cause.lineCount <= MAX_LINES_PER_PERIOD) {
+        if (++counter.lineCount <= MAX_LINES_PER_PERIOD) {
             LogEvent.log(log.atWarn(), event, keysAndValues);
         }
     }
--- a/doorman/src/main/java/barleyspur/doorman/SocketPollTimes.java
+++ b/doorman/src/main/java/barleyspur/doorman/SocketPollTimes.java
@@ -60,13 +60,13 @@
      * {@code maxWaitMs}.
      */
     int poll(IntSupplier pollNow, boolean hasTasks, double maxWaitMs) throws Exception {
-        double now = clockMs.getAsDouble();
+        double nowMs = clockMs.getAsDouble();
         double previousPollMs = lastPollMs;
         int ready = pollNow.get();
-        lastPollMs = now;
+        lastPollMs = nowMs;
         waiting = ready == 0 && !hasTasks;
         if (waiting) {
-            waitDeadlineMs = now + maxWaitMs;
+            waitDeadlineMs = nowMs + maxWaitMs;
             return SelectStrategy.SELECT;
         }
         earliestArrivalMs = previousPollMs;
@@ -77,9 +77,9 @@
     void pollReturned() {
         if (waiting) {
             waiting = false;
-            double now = clockMs.getAsDouble();
-            earliestArrivalMs = now > waitDeadlineMs + WAKEUP_TOLERANCE_MS ? lastPollMs : now;
-            lastPollMs = now;
+            double nowMs = clockMs.getAsDouble();
+            earliestArrivalMs = nowMs > waitDeadlineMs + WAKEUP_TOLERANCE_MS ? lastPollMs : nowMs;
+            lastPollMs = nowMs;
         }
     }
 
--- a/doorman/src/test/java/barleyspur/DoormanTestBed.java
+++ b/doorman/src/test/java/barleyspur/DoormanTestBed.java
@@ -75,7 +75,7 @@
     /** The doorman under test. */
     public final DoormanServer server;
 
-    private final Path file;
+    private final Path configurationFile;
     private final JSONObject configuration;
     private final InetSocketAddress address;
     private ManualClock clock;
@@ -117,7 +117,7 @@
                                                                         .put("targets", targets)))))
                 .put("settings", new JSONObject(SETTINGS));
         change.accept(configuration);
-        file = folder.resolve("config.json");
+        configurationFile = folder.resolve("config.json");
         server = new DoormanServer(read(), OwnSettings.none(), (eventLoop, polls) -> {
             loop = eventLoop;
             clock = new ManualClock(eventLoop, polls);
@@ -128,11 +128,11 @@
 
     private Configuration read() throws Configuration.Invalid {
         try {
-            Files.writeString(file, configuration.toString());
+            Files.writeString(configurationFile, configuration.toString());
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        return Configuration.load(Map.of("RELAY_CONFIG", file.toString()));
+        return Configuration.load(Map.of("RELAY_CONFIG", configurationFile.toString()));
     }
 
     /** Returns a node in the format of the command channel. */
@@ -269,7 +269,7 @@
     }
 
     /** A scheduled task; tasks due at the same time run in order of {@code sequence}. */
-    private record Task(double dueMs, long sequence, Runnable run) {}
+    private record Task(double dueMs, long sequence, Runnable action) {}
 
     /** A clock that only the test advances. Tasks without a delay run in the next iteration of the event loop. */
     private static final class ManualClock implements Clock {
@@ -330,7 +330,7 @@
                 }
                 timers.remove(next);
                 nowMs = next.dueMs();
-                next.run().run();
+                next.action().run();
             }
         }
     }
--- a/doorman/src/test/java/barleyspur/channel/CommandChannelTest.java
+++ b/doorman/src/test/java/barleyspur/channel/CommandChannelTest.java
@@ -20,7 +20,7 @@
 class CommandChannelTest implements Clock {
 
     /** A scheduled task. */
-    private record Task(double dueMs, Runnable run) {}
+    private record Task(double dueMs, Runnable action) {}
 
     private final List<Task> timers = new ArrayList<>();
     private final List<EmbeddedChannel> connections = new ArrayList<>();
@@ -62,7 +62,7 @@
         nowMs += durationMs;
         List<Task> due = timers.stream().filter(t -> t.dueMs() <= nowMs).toList();
         timers.removeAll(due);
-        due.forEach(t -> t.run().run());
+        due.forEach(t -> t.action().run());
     }
 
     private static void receive(EmbeddedChannel connection, String text) {
--- a/doorman/src/test/java/barleyspur/channel/LinePropertiesTest.java
+++ b/doorman/src/test/java/barleyspur/channel/LinePropertiesTest.java
@@ -45,25 +45,27 @@
 
     @Property(seed = "31")
     void linesAreDecodedFromAnyChunks(
-            @ForAll @Size(max = 6) List<@StringLength(max = 80) String> texts, @ForAll long cuts) {
+            @ForAll @Size(max = 6) List<@StringLength(max = 80) String> texts, @ForAll long chunkSeed) {
         List<String> lines = texts.stream()
                 .map(t -> t.replaceAll("[\\n\\ud800-\\udfff]", "?"))
                 .toList();
         byte[] bytes =
                 lines.stream().map(l -> l + "\n").reduce("", String::concat).getBytes(StandardCharsets.UTF_8);
-        assertEquals(lines, ChunkedInput.feed(new EmbeddedChannel(new LineDecoder(MAX_LINE)), bytes, cuts));
+        assertEquals(lines, ChunkedInput.feed(new EmbeddedChannel(new LineDecoder(MAX_LINE)), bytes, chunkSeed));
     }
 
     @Property(seed = "32")
-    void garbageIsRejectedWithoutAnException(@ForAll @StringLength(max = 60) String garbage, @ForAll boolean headed) {
-        reader.readLine(headed ? "{\"cursor\":1,\"nodes\":{\"targets\":[" + garbage : garbage);
+    void garbageIsRejectedWithoutAnException(
+            @ForAll @StringLength(max = 60) String garbage, @ForAll boolean withHeader) {
+        reader.readLine(withHeader ? "{\"cursor\":1,\"nodes\":{\"targets\":[" + garbage : garbage);
         assertEquals(List.of(), received);
     }
 
     @Property(seed = "33")
-    void overlongLineIsRejected(@ForAll long cuts) {
+    void overlongLineIsRejected(@ForAll long chunkSeed) {
         assertEquals(
-                null, ChunkedInput.feedGarbage(new EmbeddedChannel(new LineDecoder(MAX_LINE)), new byte[2_000], cuts));
+                null,
+                ChunkedInput.feedGarbage(new EmbeddedChannel(new LineDecoder(MAX_LINE)), new byte[2_000], chunkSeed));
     }
 
     @Example
--- a/doorman/src/test/java/barleyspur/depot/RespPropertiesTest.java
+++ b/doorman/src/test/java/barleyspur/depot/RespPropertiesTest.java
@@ -21,53 +21,53 @@
 /** Property tests of the depot protocol's decoder: chunked answers and garbage. */
 class RespPropertiesTest {
 
-    private static byte[] answer(String id, String word, String fields, byte[] body) {
-        ByteBuf words = Resp.array(UnpooledByteBufAllocator.DEFAULT, id, word, fields);
-        words.setByte(1, '4');
-        words.writeBytes(("$" + body.length + "\r\n").getBytes())
+    private static byte[] answer(String id, String status, String fields, byte[] body) {
+        ByteBuf strings = Resp.array(UnpooledByteBufAllocator.DEFAULT, id, status, fields);
+        strings.setByte(1, '4');
+        strings.writeBytes(("$" + body.length + "\r\n").getBytes())
                 .writeBytes(body)
                 .writeBytes(Resp.CRLF);
-        return ChunkedInput.readAndRelease(words);
+        return ChunkedInput.readAndRelease(strings);
     }
 
     @Property(seed = "21")
     void answersAreDecodedFromAnyChunks(
             @ForAll @AlphaChars @StringLength(max = 40) String id,
             @ForAll @Size(max = 300) byte[] body,
-            @ForAll long cuts) {
+            @ForAll long chunkSeed) {
         byte[] one = answer(id, "DONE", "digest=ab,how=h", body);
         byte[] twice = Unpooled.wrappedBuffer(one, one).copy().array();
-        List<Object> read = ChunkedInput.feed(new EmbeddedChannel(new RespDecoder()), twice, cuts);
-        assertEquals(2, read.size());
-        for (Object o : read) {
+        List<Object> decoded = ChunkedInput.feed(new EmbeddedChannel(new RespDecoder()), twice, chunkSeed);
+        assertEquals(2, decoded.size());
+        for (Object o : decoded) {
             RespDecoder.Message message = (RespDecoder.Message) o;
             assertEquals(List.of(id, "DONE", "digest=ab,how=h"), message.strings());
             assertArrayEquals(body, ChunkedInput.readAndRelease(message.body()));
         }
-        read.forEach(o -> assertEquals(0, ((RespDecoder.Message) o).body().refCnt(), "the body is released"));
+        decoded.forEach(o -> assertEquals(0, ((RespDecoder.Message) o).body().refCnt(), "the body is released"));
     }
 
     @Property(seed = "22")
     void garbageIsDecodedOrRejected(
-            @ForAll @Size(max = 200) byte[] garbage, @ForAll boolean headed, @ForAll long cuts) {
-        byte[] bytes = headed
+            @ForAll @Size(max = 200) byte[] garbage, @ForAll boolean withHeader, @ForAll long chunkSeed) {
+        byte[] bytes = withHeader
                 ? Unpooled.wrappedBuffer("*4\r\n$2\r\nab\r\n".getBytes(), garbage)
                         .copy()
                         .array()
                 : garbage;
-        check(ChunkedInput.feedGarbage(new EmbeddedChannel(new RespDecoder()), bytes, cuts));
+        check(ChunkedInput.feedGarbage(new EmbeddedChannel(new RespDecoder()), bytes, chunkSeed));
     }
 
     @Property(seed = "23")
-    void damagedAnswerIsDecodedOrRejected(@ForAll byte damage, @ForAll int at, @ForAll long cuts) {
+    void damagedAnswerIsDecodedOrRejected(@ForAll byte damage, @ForAll int position, @ForAll long chunkSeed) {
         byte[] bytes = answer("9b1f03aa5c7e2d41", "DONE", "digest=ab", new byte[30]);
-        bytes[Math.floorMod(at, bytes.length)] = damage;
-        check(ChunkedInput.feedGarbage(new EmbeddedChannel(new RespDecoder()), bytes, cuts));
+        bytes[Math.floorMod(position, bytes.length)] = damage;
+        check(ChunkedInput.feedGarbage(new EmbeddedChannel(new RespDecoder()), bytes, chunkSeed));
     }
 
-    private static void check(List<Object> read) {
-        if (read != null) {
-            read.stream()
+    private static void check(List<Object> decoded) {
+        if (decoded != null) {
+            decoded.stream()
                     .map(o -> ((RespDecoder.Message) o).body())
                     .filter(Objects::nonNull)
                     .forEach(body -> assertTrue(body.release()));
--- a/doorman/src/test/java/barleyspur/doorman/DoormanTest.java
+++ b/doorman/src/test/java/barleyspur/doorman/DoormanTest.java
@@ -35,7 +35,7 @@
         """;
 
     /** A scheduled task; {@code cancelled} has one element. */
-    private record Task(double dueMs, int sequence, Runnable run, boolean[] cancelled) {}
+    private record Task(double dueMs, int sequence, Runnable action, boolean[] cancelled) {}
 
     private double nowMs = 1_000;
     private int taskCount;
@@ -47,7 +47,7 @@
     private final List<String> cancelled = new ArrayList<>();
     private final List<String> answers = new ArrayList<>();
     private final ByteBuf body = Unpooled.copiedBuffer(new byte[3]);
-    private Consumer<Director.Event> onEvent = e -> {};
+    private Consumer<Director.Event> onEvent = event -> {};
     private Consumer<Director.Action> actionSink;
     private Doorman doorman;
     private Doorman.Cancellable cancellable;
@@ -76,7 +76,7 @@
         }
 
         @Override
-        public Call send(long node, AttemptRequest order, AttemptListener listener) {
+        public Call send(long node, AttemptRequest attemptRequest, AttemptListener listener) {
             int number = sentAttempts.size();
             sentAttempts.add(listener);
             return () -> cancelled.add("attempt " + number);
@@ -104,8 +104,8 @@
         }
 
         @Override
-        public void refused(double pauseMs) {
-            answers.add("refused " + pauseMs);
+        public void refused(double retryAfterMs) {
+            answers.add("refused " + retryAfterMs);
         }
 
         @Override
@@ -160,7 +160,7 @@
             Task task = timers.poll();
             nowMs = Math.max(nowMs, task.dueMs());
             if (!task.cancelled()[0]) {
-                task.run().run();
+                task.action().run();
             }
         }
         nowMs = endMs;
@@ -172,14 +172,14 @@
 
     private List<Director.Outcome> outcomes() {
         return events.stream()
-                .filter(e -> e instanceof Director.Outcome)
-                .map(e -> (Director.Outcome) e)
+                .filter(event -> event instanceof Director.Outcome)
+                .map(event -> (Director.Outcome) event)
                 .toList();
     }
 
     @Test
     void firstOkIsTheAnswerAndALaterOneIsReleased() {
-        acceptRequest(e -> sendAll(2, e));
+        acceptRequest(event -> sendAll(2, event));
         nowMs += 40;
         sentAttempts.get(1).onEnd(ok(Unpooled.copiedBuffer(new byte[5])));
         ByteBuf late = Unpooled.copiedBuffer(new byte[5]);
@@ -196,7 +196,7 @@
 
     @Test
     void aFailedAttemptLeavesTheRequestOpen() {
-        acceptRequest(e -> sendAll(1, e));
+        acceptRequest(event -> sendAll(1, event));
         sentAttempts.get(0).onEnd(Answer.of(Result.MISS));
         assertFalse(outcomes().get(0).closed());
         assertEquals(List.of(), answers);
@@ -205,8 +205,8 @@
 
     @Test
     void finishedRequestIsNeverSent() {
-        acceptRequest(e -> {
-            if (e instanceof Director.Request r) {
+        acceptRequest(event -> {
+            if (event instanceof Director.Request r) {
                 actionSink.accept(new Director.Refuse(r.id(), 300));
                 send(r.id());
             }
@@ -217,7 +217,7 @@
 
     @Test
     void attemptsAboveTheLimitNeverRun() {
-        acceptRequest(e -> sendAll(3, e));
+        acceptRequest(event -> sendAll(3, event));
         assertEquals(2, sentAttempts.size());
         assertEquals(
                 List.of(Result.MOOT),
@@ -227,7 +227,7 @@
     /** An unresponsive machine keeps its connections open, so the core has to enforce the timeout. */
     @Test
     void unresponsiveDepotTimesOutAndIsCancelled() {
-        acceptRequest(e -> sendAll(1, e));
+        acceptRequest(event -> sendAll(1, event));
         advanceClockTo(2_000);
         assertEquals(List.of("attempt 0"), cancelled);
         assertEquals(
@@ -238,9 +238,9 @@
 
     @Test
     void clientThatLeavesGetsNoAnswer() {
-        acceptRequest(e -> {
-            sendAll(1, e);
-            if (e instanceof Director.Gone g) {
+        acceptRequest(event -> {
+            sendAll(1, event);
+            if (event instanceof Director.Gone g) {
                 actionSink.accept(new Director.Cancel(g.request(), 0));
             }
         });
@@ -257,7 +257,7 @@
     /** An exception in the director must neither leave the client without an answer nor end the process. */
     @Test
     void directorFailureFailsTheRequestAtOnce() {
-        acceptRequest(e -> {
+        acceptRequest(event -> {
             throw new IllegalStateException("simulated director failure");
         });
         assertEquals(List.of("failed"), answers);
@@ -269,9 +269,9 @@
     /** An exception while handling an outcome must leave neither attempts nor their timers behind. */
     @Test
     void directorFailureOnAnOutcomeCancelsOtherAttempts() {
-        acceptRequest(e -> {
-            sendAll(2, e);
-            if (e instanceof Director.Outcome) {
+        acceptRequest(event -> {
+            sendAll(2, event);
+            if (event instanceof Director.Outcome) {
                 throw new IllegalStateException("simulated director failure");
             }
         });
@@ -286,7 +286,7 @@
 
     @Test
     void requestLeftUnansweredByTheDirectorFailsOnTimer() {
-        acceptRequest(e -> sendAll(1, e));
+        acceptRequest(event -> sendAll(1, event));
         advanceClockTo(1_853);
         assertEquals(List.of(), answers);
         advanceClockTo(1_854);
@@ -296,7 +296,7 @@
     /** Two causes may end the same attempt, such as its timeout and its connection's end: the first one counts. */
     @Test
     void anAttemptEndsOnce() {
-        acceptRequest(e -> sendAll(1, e));
+        acceptRequest(event -> sendAll(1, event));
         sentAttempts.get(0).onEnd(Answer.of(Result.RESET));
         ByteBuf late = Unpooled.copiedBuffer(new byte[5]);
         sentAttempts.get(0).onEnd(ok(late));
@@ -309,7 +309,7 @@
     /** Once the client has left, attempts that still wait are not sent, even where cancels are not allowed. */
     @Test
     void nothingIsWrittenAfterTheClientLeft() {
-        acceptRequest(e -> sendAll(1, e));
+        acceptRequest(event -> sendAll(1, event));
         assertEquals(Result.OK, sentAttempts.get(0).beforeWrite());
         cancellable.cancel();
         assertEquals(Result.MOOT, sentAttempts.get(0).beforeWrite());
@@ -334,7 +334,7 @@
             events.clear();
             sentAttempts.clear();
             cancelled.clear();
-            acceptRequest(e -> sendAll(2, e));
+            acceptRequest(event -> sendAll(2, event));
             sentAttempts.get(0).onSent();
             doorman.onNodeList(false, List.of(NODE));
             doorman.onObjectPurged(6, 900);
@@ -360,7 +360,7 @@
     void keyedRepeatDelayedPastItsWindowIsNotSent() {
         doorman.applySettings(
                 SettingsReader.read(SettingsReader.lines(SETTINGS + "grades.0.repeat=by_key\ngrades.0.keyTtlMs=300")));
-        acceptRequest(e -> sendAll(2, e));
+        acceptRequest(event -> sendAll(2, event));
         assertEquals(Result.OK, sentAttempts.get(0).beforeWrite());
         sentAttempts.get(0).onSent();
         nowMs += 297;
@@ -374,7 +374,7 @@
     /** A damaged answer may confirm any copy: only the copy that the client holds can be current. */
     @Test
     void onlyTheCopyHeldByTheClientCanBeUnchanged() {
-        acceptRequest(e -> sendAll(2, e));
+        acceptRequest(event -> sendAll(2, event));
         sentAttempts.get(0).onEnd(new Answer(Result.OK, Director.Note.HIT, List.of(), null, "tag"));
         sentAttempts.get(1).onEnd(new Answer(Result.OK, Director.Note.HIT, List.of(), null, null));
         assertEquals(List.of(), answers);
@@ -387,7 +387,7 @@
     @Test
     void drainFailsRequestsOpenAtItsDeadline() {
         boolean[] ended = new boolean[1];
-        acceptRequest(e -> sendAll(1, e));
+        acceptRequest(event -> sendAll(1, event));
         doorman.drain(0, 500, () -> ended[0] = true);
         advanceClockTo(1_499);
         assertEquals(List.of(), answers);
@@ -399,7 +399,7 @@
 
     @Test
     void requestsBeyondTheLimitAreRefused() {
-        acceptRequest(e -> {});
+        acceptRequest(event -> {});
         doorman.accept(request("9b1f03aa5c7e2d42", 0, Unpooled.EMPTY_BUFFER), clock.nowMs(), responseHandler);
         assertEquals(List.of("refused 700.0"), answers);
     }
@@ -409,7 +409,7 @@
         boolean[] ended = new boolean[1];
         doorman.drain(750, 5_000, () -> ended[0] = true);
         advanceClockTo(1_600);
-        acceptRequest(e -> sendAll(1, e));
+        acceptRequest(event -> sendAll(1, event));
         advanceClockTo(1_900);
         assertFalse(ended[0], "a request is open");
         sentAttempts.get(0).onEnd(ok(Unpooled.copiedBuffer(new byte[5])));
@@ -427,7 +427,7 @@
         assertEquals(List.of(NODE.nodeNumber()), removedNodes);
         assertEquals(
                 List.of(Director.ListKind.CACHED, Director.ListKind.DELTA, Director.ListKind.FULL),
-                events.stream().map(e -> ((Director.Members) e).kind()).toList());
+                events.stream().map(event -> ((Director.Members) event).kind()).toList());
     }
 
     /**
@@ -486,8 +486,8 @@
     @Test
     void requestsGetAnEarlierDeadlineAfterAStall() {
         List<Double> remainingMs = new ArrayList<>();
-        onEvent = e -> {
-            if (e instanceof Director.Request r) {
+        onEvent = event -> {
+            if (event instanceof Director.Request r) {
                 remainingMs.add(r.remainingMs());
                 actionSink.accept(new Director.Refuse(r.id(), 0));
             }
@@ -510,8 +510,8 @@
      */
     @Test
     void requestThatWasNeverWrittenIsRefusedNotFailed() {
-        acceptRequest(e -> {
-            if (e instanceof Director.Request r) {
+        acceptRequest(event -> {
+            if (event instanceof Director.Request r) {
                 send(r.id());
                 actionSink.accept(new Director.Fail(r.id()));
             }
@@ -521,13 +521,13 @@
 
     @Test
     void requestThatWasWrittenIsFailed() {
-        acceptRequest(e -> {
-            if (e instanceof Director.Request r) {
+        acceptRequest(event -> {
+            if (event instanceof Director.Request r) {
                 send(r.id());
             }
         });
         sentAttempts.get(0).onSent();
-        onEvent = e -> actionSink.accept(new Director.Fail(request()));
+        onEvent = event -> actionSink.accept(new Director.Fail(request()));
         doorman.onGroupPurged(1, 0);
         assertEquals(List.of("failed"), answers);
     }
@@ -535,7 +535,7 @@
     private long request() {
         return events.stream()
                 .filter(Director.Request.class::isInstance)
-                .map(e -> ((Director.Request) e).id())
+                .map(event -> ((Director.Request) event).id())
                 .findFirst()
                 .orElseThrow();
     }
--- a/doorman/src/test/java/barleyspur/doorman/UnresponsiveDepots.java
+++ b/doorman/src/test/java/barleyspur/doorman/UnresponsiveDepots.java
@@ -10,7 +10,7 @@
     public void removeNode(long node) {}
 
     @Override
-    public Call send(long node, AttemptRequest order, AttemptListener listener) {
+    public Call send(long node, AttemptRequest attemptRequest, AttemptListener listener) {
         return () -> {};
     }
 
