--- a/doorman/src/main/java/barleyspur/depot/RespDecoder.java
+++ b/doorman/src/main/java/barleyspur/depot/RespDecoder.java
@@ -64,7 +64,7 @@
                 return;
             }
             if (length > (i == BODY_INDEX ? MAX_BODY_BYTES : MAX_STRING_BYTES)) {
-                throw new CorruptedFrameException("bulk string too long: " + length + " bytes");
+                throw new CorruptedFrameException("bulk string too long: " + length);
             }
             if (in.writerIndex() - position < length + Resp.CRLF.length) {
                 return;
