--- a/doorman/src/main/java/barleyspur/admin/AdminConnection.java
+++ b/doorman/src/main/java/barleyspur/admin/AdminConnection.java
@@ -43,7 +43,7 @@
     public void channelActive(ChannelHandlerContext ctx) {
         channel = ctx.channel();
         lingeringClose = new LingeringClose(channel, clock);
-        requestTimeout = clock.after(
+        requestTimeout = clock.schedule(
                 REQUEST_TIMEOUT_MS,
                 () -> respond(
                         HttpResponse.error(408, "no complete request within " + (long) REQUEST_TIMEOUT_MS + " ms")));
@@ -86,7 +86,7 @@
     public void channelInactive(ChannelHandlerContext ctx) {
         if (requestTimeout != null) {
             requestTimeout.cancel();
-            lingeringClose.closed();
+            lingeringClose.onClosed();
         }
         server.requestEnded(ctx.channel());
         ctx.fireChannelInactive();
--- a/doorman/src/main/java/barleyspur/admin/LifecycleRoutes.java
+++ b/doorman/src/main/java/barleyspur/admin/LifecycleRoutes.java
@@ -32,7 +32,7 @@
 
     /** Adds these routes to {@code routes}. */
     public Routes.Builder addTo(Routes.Builder routes) {
-        return routes.add("GET", "/admin/health", request -> phaseResponse(lifecycle.ready() ? OK : UNAVAILABLE))
+        return routes.add("GET", "/admin/health", request -> phaseResponse(lifecycle.isReady() ? OK : UNAVAILABLE))
                 .add("PUT", "/admin/quiesce", request -> quiesce())
                 .add("PUT", "/admin/resume", request -> resume());
     }
@@ -59,7 +59,7 @@
     private HttpResponse phaseResponse(int status) {
         return HttpResponse.json(
                 status,
-                "{\"ready\":" + lifecycle.ready() + ",\"phase\":\""
-                        + lifecycle.phase().word() + "\"}");
+                "{\"ready\":" + lifecycle.isReady() + ",\"phase\":\""
+                        + lifecycle.phase().label() + "\"}");
     }
 }
--- a/doorman/src/main/java/barleyspur/channel/CommandChannel.java
+++ b/doorman/src/main/java/barleyspur/channel/CommandChannel.java
@@ -1,7 +1,7 @@
 package barleyspur.channel;
 
-import barleyspur.doorman.CappedLog;
 import barleyspur.doorman.Clock;
+import barleyspur.doorman.RateLimitedLog;
 import barleyspur.log.LogEvent;
 import barleyspur.transport.Connector;
 import io.netty.buffer.ByteBufUtil;
@@ -14,92 +14,96 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps the command channel up. Whatever it has to tell counts as told some seconds on even where it was cut,
- * so a connection that misses its heartbeats or shows a gap is given up at once and a new one resumes.
+ * The client of the command channel. A doorman is expected to know each command a few seconds after it was issued, even
+ * if the channel was interrupted. So a connection that misses its heartbeats or shows a gap is closed at once, and a
+ * new one resumes after the last command received.
  */
 public final class CommandChannel {
 
     private static final Logger LOG = LoggerFactory.getLogger("channel");
-    private static final int MAX_LINE = 4 << 20;
-    /** How long a connect may take, so that another is tried in time. */
+    private static final int MAX_LINE_BYTES = 4 << 20;
+    /** The connect timeout, short enough that another attempt is made in time. */
     public static final int CONNECT_TIMEOUT_MS = 500;
 
-    static final double AGAIN_MS = 200;
-    /** Heartbeats come each second. What a stopped channel has to tell counts as told 4 s after it stopped. */
-    static final double SILENCE_MS = 2_000;
+    static final double RECONNECT_DELAY_MS = 200;
+    /**
+     * Heartbeats arrive every second. Commands on a channel that has stopped are expected to be known 4 s after it
+     * stopped.
+     */
+    static final double HEARTBEAT_TIMEOUT_MS = 2_000;
 
     private final Connector connector;
     private final Clock clock;
     private final CommandReader reader;
-    private final CappedLog log;
+    private final RateLimitedLog log;
     private InetSocketAddress address;
-    /** The connection that counts; what others still say or do is no matter. */
+    /** The current connection; events on any other are ignored. */
     private Connection current;
 
     private boolean closed;
 
-    /** A channel to {@code address}, not yet connected; what it tells goes to {@code reader}. */
+    /** Creates a channel to {@code address}, not yet connected; its lines are passed to {@code reader}. */
     public CommandChannel(Connector connector, InetSocketAddress address, Clock clock, CommandReader reader) {
         this.connector = connector;
         this.address = address;
         this.clock = clock;
         this.reader = reader;
-        this.log = new CappedLog(LOG, clock);
+        this.log = new RateLimitedLog(LOG, clock);
     }
 
-    /** Connects, now and whenever the connection is lost. */
-    public void start() {
+    /** Connects, and reconnects whenever the connection is lost. */
+    public void connect() {
         Connection connection = new Connection();
         current = connection;
-        connector.connect(address, new LineDecoder(MAX_LINE), connection).addListener((ChannelFuture done) -> {
+        connector.connect(address, new LineDecoder(MAX_LINE_BYTES), connection).addListener((ChannelFuture done) -> {
             if (!done.isSuccess()) {
-                again(connection, done.cause().getMessage());
+                scheduleReconnect(connection, done.cause().getMessage());
             }
         });
     }
 
     /**
-     * Goes on at another address, after the last command that has come. The connection before is dropped at once:
-     * its end may tell nothing more, and what the channel has to tell counts as told a few seconds from now.
+     * Switches to another address and resumes there after the last command received. The previous connection is closed
+     * at once: it may deliver nothing more before its end, and the next commands have to be known within a few seconds.
      */
-    public void moveTo(InetSocketAddress next) {
+    public void reconnectTo(InetSocketAddress next) {
         if (closed || next.equals(address)) {
             return;
         }
         LogEvent.log(LOG.atInfo(), "moves", "from", address, "to", next, "after", reader.cursor());
         address = next;
-        Connection before = current;
-        if (before != null) {
-            start();
-            before.drop();
+        Connection previous = current;
+        if (previous != null) {
+            connect();
+            previous.closeChannel();
         }
     }
 
-    /** Ends the channel for good. */
+    /** Closes the channel permanently. */
     public void close() {
         closed = true;
         if (current != null) {
-            current.drop();
+            current.closeChannel();
         }
     }
 
-    private void again(Connection lost, String why) {
+    private void scheduleReconnect(Connection lost, String cause) {
         if (lost == current && !closed) {
-            log.warn("cut", "after", reader.cursor(), "cause", why);
-            clock.after(AGAIN_MS, () -> {
+            log.warn("cut", "after", reader.cursor(), "cause", cause);
+            clock.schedule(RECONNECT_DELAY_MS, () -> {
                 if (lost == current && !closed) {
-                    start();
+                    connect();
                 }
             });
         }
     }
 
-    /** One connection, until it ends for whatever reason. */
+    /** The handler of one connection. */
     private final class Connection extends SimpleChannelInboundHandler<String> {
         private Channel channel;
-        private Clock.Timer silence;
+        private Clock.Timer heartbeatTimer;
 
-        void drop() {
+        void closeChannel() {
             if (channel != null) {
                 channel.close();
             }
@@ -108,10 +112,10 @@
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             channel = ctx.channel();
-            silence = clock.after(SILENCE_MS, this::silent);
+            heartbeatTimer = clock.schedule(HEARTBEAT_TIMEOUT_MS, this::onHeartbeatTimeout);
             if (this != current || closed) {
-                // It came up after the channel had moved on.
-                drop();
+                // The connection was established after the channel had switched to another one.
+                closeChannel();
                 return;
             }
             LogEvent.log(LOG.atInfo(), "connected", "address", address, "after", reader.cursor());
@@ -123,23 +127,23 @@
             if (this != current || closed) {
                 return;
             }
-            silence.cancel();
-            silence = clock.after(SILENCE_MS, this::silent);
-            if (!reader.line(line)) {
+            heartbeatTimer.cancel();
+            heartbeatTimer = clock.schedule(HEARTBEAT_TIMEOUT_MS, this::onHeartbeatTimeout);
+            if (!reader.readLine(line)) {
                 log.warn("gap: resuming", "after", reader.cursor());
                 ctx.close();
             }
         }
 
-        private void silent() {
+        private void onHeartbeatTimeout() {
             log.warn("silent", "after", reader.cursor());
-            drop();
+            closeChannel();
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            silence.cancel();
-            again(this, "the connection has ended");
+            heartbeatTimer.cancel();
+            scheduleReconnect(this, "the connection has ended");
         }
 
         @Override
--- a/doorman/src/main/java/barleyspur/cli/Cli.java
+++ b/doorman/src/main/java/barleyspur/cli/Cli.java
@@ -1,6 +1,6 @@
 package barleyspur.cli;
 
-import barleyspur.Node;
+import barleyspur.DoormanServer;
 import barleyspur.config.Configuration;
 import barleyspur.config.ExpectationCheck;
 import barleyspur.config.Hcl;
@@ -164,7 +164,7 @@
 
     private static int rehearse() throws Command.InvalidInputException, IOException {
         try {
-            Node node = new Node(Configuration.example(), OwnSettings.none());
+            DoormanServer node = new DoormanServer(Configuration.example(), OwnSettings.none());
             node.start();
             node.drain();
             node.awaitEnd();
@@ -211,7 +211,7 @@
         Configuration configuration = loadConfiguration();
         checkSettings(settings, configuration);
         try {
-            Node node = new Node(configuration, settings);
+            DoormanServer node = new DoormanServer(configuration, settings);
             reloadSignal.setTask(
                     () -> node.reload(() -> reloadConfiguration(settings), () -> reloadSettings(line, settings)));
             // After SIGTERM the JVM waits for its shutdown hooks, so the hook waits for the drain. It is added before
--- a/doorman/src/main/java/barleyspur/doorman/NodeTable.java
+++ b/doorman/src/main/java/barleyspur/doorman/NodeTable.java
@@ -11,77 +11,90 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What was last listed of each node that is there, kept in step with the connections to them. */
+/** The latest listing of each known node. Passes additions and removals on to the depot client. */
 final class NodeTable {
 
     private static final Logger LOG = LoggerFactory.getLogger("doorman");
-    /** A log line names so many nodes: one for each of a thousand would hold up the event loop. */
-    private static final int NODES_A_LINE = 64;
+    /**
+     * Limits the nodes named in one log line. One line for each of a thousand nodes would block the event loop for too
+     * long.
+     */
+    private static final int MAX_NODES_PER_LINE = 64;
 
     /**
-     * What a list told: the nodes in the director's form, and the numbers of those on which work that was decided
-     * before must not go out any more.
+     * The changes made by one list.
+     *
+     * @param kind how the director has to read the list
+     * @param nodes the listed nodes in the director's form
+     * @param invalidated the numbers of nodes for which attempts decided earlier must not be sent any more
      */
     record Change(RoutingPolicy.ListKind kind, List<RoutingPolicy.Node> nodes, Set<Long> invalidated) {}
 
     private final Depots depots;
-    private final Map<Long, NodeListing> listed = new HashMap<>();
-    private boolean listedOnce;
+    private final Map<Long, NodeListing> nodes = new HashMap<>();
+    private boolean receivedList;
 
     NodeTable(Depots depots) {
         this.depots = depots;
     }
 
-    /** The node as it was last listed; null: it is not there. */
+    /** Returns the latest listing of a node, or null if the node is unknown or gone. */
     NodeListing get(long node) {
-        return listed.get(node);
+        return nodes.get(node);
     }
 
-    /** Takes a list over, a whole one or what has changed. */
-    Change apply(boolean whole, List<NodeListing> listings) {
-        RoutingPolicy.ListKind full = listedOnce ? RoutingPolicy.ListKind.FULL : RoutingPolicy.ListKind.CACHED;
+    /** Applies a list of nodes: all nodes if {@code full}, otherwise only the changes. */
+    Change apply(boolean full, List<NodeListing> listings) {
+        RoutingPolicy.ListKind fullListKind =
+                receivedList ? RoutingPolicy.ListKind.FULL : RoutingPolicy.ListKind.CACHED;
         Change change = new Change(
-                whole ? full : RoutingPolicy.ListKind.DELTA, new ArrayList<>(listings.size()), new HashSet<>());
-        listedOnce = true;
+                full ? fullListKind : RoutingPolicy.ListKind.DELTA, new ArrayList<>(listings.size()), new HashSet<>());
+        receivedList = true;
         List<String> added = new ArrayList<>();
         List<String> draining = new ArrayList<>();
         List<String> gone = new ArrayList<>();
-        if (whole) {
-            retireOmitted(listings, change);
+        if (full) {
+            removeUnlisted(listings, change);
         }
-        for (NodeListing l : listings) {
-            long node = l.node();
-            NodeListing known = listed.get(node);
-            if (known != null && !known.uid().equals(l.uid())) {
+        for (NodeListing listing : listings) {
+            long node = listing.nodeNumber();
+            NodeListing known = nodes.get(node);
+            if (known != null && !known.uid().equals(listing.uid())) {
                 LogEvent.log(
                         LOG.atError(),
                         "node passed over: its number is another's",
                         "uid",
-                        l.uid(),
+                        listing.uid(),
                         "node",
                         node,
                         "other",
                         known.uid());
                 continue;
             }
-            if (l.state() != RoutingPolicy.State.READY || known != null && !known.sameProcess(l)) {
+            if (listing.state() != RoutingPolicy.State.READY || known != null && !known.isSameProcessAs(listing)) {
                 change.invalidated.add(node);
             }
-            if (l.state() == RoutingPolicy.State.GONE) {
+            if (listing.state() == RoutingPolicy.State.GONE) {
                 gone.add(Long.toString(node));
-                retire(node);
+                remove(node);
             } else {
                 if (known == null) {
-                    added.add(describe(node, l));
+                    added.add(describe(node, listing));
                 }
-                if (l.state() == RoutingPolicy.State.DRAINING) {
+                if (listing.state() == RoutingPolicy.State.DRAINING) {
                     draining.add(Long.toString(node));
                 }
-                listed.put(node, l);
-                depots.list(node, l);
+                nodes.put(node, listing);
+                depots.updateNode(node, listing);
             }
-            change.nodes.add(
-                    new RoutingPolicy.Node(node, l.zone(), l.kind(), l.cell(), l.state(), l.size(), l.bootMs()));
+            change.nodes.add(new RoutingPolicy.Node(
+                    node,
+                    listing.zone(),
+                    listing.kind(),
+                    listing.cell(),
+                    listing.state(),
+                    listing.size(),
+                    listing.bootMs()));
         }
         log("nodes are listed", added);
         log("nodes drain", draining);
@@ -89,26 +102,26 @@
         return change;
     }
 
-    /** A node that a whole list leaves out has gone. */
-    private void retireOmitted(List<NodeListing> listings, Change change) {
-        change.invalidated.addAll(listed.keySet());
-        listings.forEach(l -> change.invalidated.remove(l.node()));
-        change.invalidated.forEach(this::retire);
+    /** Removes the nodes that a full list does not contain. */
+    private void removeUnlisted(List<NodeListing> listings, Change change) {
+        change.invalidated.addAll(nodes.keySet());
+        listings.forEach(l -> change.invalidated.remove(l.nodeNumber()));
+        change.invalidated.forEach(this::remove);
     }
 
-    private void retire(long node) {
-        listed.remove(node);
-        depots.retire(node);
+    private void remove(long node) {
+        nodes.remove(node);
+        depots.removeNode(node);
     }
 
-    private static String describe(long node, NodeListing l) {
-        return node + "=" + l.uid() + "@" + l.address().getHostString() + ":"
-                + l.address().getPort() + "/" + l.kind() + "/" + (long) l.bootMs();
+    private static String describe(long node, NodeListing listing) {
+        return node + "=" + listing.uid() + "@" + listing.address().getHostString() + ":"
+                + listing.address().getPort() + "/" + listing.kind() + "/" + (long) listing.bootMs();
     }
 
     private static void log(String event, List<String> nodes) {
-        for (int from = 0; from < nodes.size(); from += NODES_A_LINE) {
-            List<String> line = nodes.subList(from, Math.min(nodes.size(), from + NODES_A_LINE));
+        for (int from = 0; from < nodes.size(); from += MAX_NODES_PER_LINE) {
+            List<String> line = nodes.subList(from, Math.min(nodes.size(), from + MAX_NODES_PER_LINE));
             LogEvent.log(LOG.atInfo(), event, "count", line.size(), "nodes", String.join(",", line));
         }
     }
--- a/doorman/src/main/java/barleyspur/doorman/RequestTrace.java
+++ b/doorman/src/main/java/barleyspur/doorman/RequestTrace.java
@@ -6,25 +6,26 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The way of each request through a doorman as log events: taken, attempts and their ends, the answer. Logger
- * {@code trail}, level debug, so it is off unless asked for ({@code -Dorg.slf4j.simpleLogger.log.trail=debug}); a
- * request's id is the client's, so that one can be followed, and many counted, across the doormans that it came to.
+ * Logs the steps of each request through a doorman: its arrival, its attempts and their ends, and its answer. The
+ * events go to the logger {@code trail} at level debug, so they are off by default ({@code
+ * -Dorg.slf4j.simpleLogger.log.trail=debug} turns them on). Requests are logged under the client's request id, so one
+ * request can be followed across several doormans.
  */
 public final class RequestTrace {
 
     private static final Logger LOG = LoggerFactory.getLogger("trail");
-    /** A timer that runs so late shows a busy event loop or process. */
+    /** A timer that runs later than this indicates a busy event loop or process. */
     private static final double LATE_MS = 50;
 
     private RequestTrace() {}
 
-    /** Whether requests are traced; costs nothing where they are not. */
+    /** Returns whether tracing is on. Lets callers skip the work of tracing while it is off. */
     static boolean isOn() {
         return LOG.isDebugEnabled();
     }
 
-    /** {@code waitedMs}: how long it may have waited to be read. */
-    static void taken(Request request, double waitedMs) {
+    /** Logs an accepted request that may have waited {@code waitedMs} before it was read. */
+    static void requestAccepted(Request request, double waitedMs) {
         if (LOG.isDebugEnabled()) {
             LogEvent.log(
                     LOG.atDebug(),
@@ -46,10 +47,10 @@
         }
     }
 
-    /** {@code get} is null for an attempt that fills nothing. */
-    static void sent(RequestContext context, int number, long node, RoutingPolicy.Get get) {
+    /** Logs an attempt; {@code get} is null for an attempt without a fill. */
+    static void attemptSent(RequestContext context, int number, long node, RoutingPolicy.Get get) {
         if (LOG.isDebugEnabled()) {
-            boolean sourced = get != null && get.source() != node;
+            boolean hasOtherSource = get != null && get.source() != node;
             LogEvent.log(
                     LOG.atDebug(),
                     "attempt sent",
@@ -60,7 +61,7 @@
                     "node",
                     node,
                     "source",
-                    sourced ? get.source() : RoutingPolicy.NO_NODE,
+                    hasOtherSource ? get.source() : RoutingPolicy.NO_NODE,
                     "rank",
                     get == null ? 0 : get.rank(),
                     "age",
@@ -68,7 +69,8 @@
         }
     }
 
-    static void ended(RequestContext context, int number, Depots.Answer answer, double ms) {
+    /** Logs the end of an attempt. */
+    static void attemptEnded(RequestContext context, int number, Depots.Answer answer, double durationMs) {
         if (LOG.isDebugEnabled()) {
             LogEvent.log(
                     LOG.atDebug(),
@@ -84,12 +86,12 @@
                     "note",
                     answer.note(),
                     "ms",
-                    Math.round(ms));
+                    Math.round(durationMs));
         }
     }
 
-    /** {@code how}: served, refused, failed or gone. */
-    static void over(RequestContext context, String how, double ms) {
+    /** Logs the end of a request; {@code outcome} is served, refused, failed or gone. */
+    static void requestFinished(RequestContext context, String outcome, double durationMs) {
         if (LOG.isDebugEnabled()) {
             LogEvent.log(
                     LOG.atDebug(),
@@ -97,15 +99,15 @@
                     "request",
                     context.request.id(),
                     "how",
-                    how,
+                    outcome,
                     "attempts",
                     context.attempts.size(),
                     "ms",
-                    Math.round(ms));
+                    Math.round(durationMs));
         }
     }
 
-    /** A timer ran {@code lateMs} after its time. */
+    /** Logs a timer that ran {@code lateMs} after its due time, if that is noticeably late. */
     static void timerRan(double lateMs) {
         if (lateMs > LATE_MS) {
             LogEvent.log(LOG.atDebug(), "event loop late", "ms", Math.round(lateMs));
@@ -113,10 +115,10 @@
     }
 
     /**
-     * The last byte of an answer was handed to the client's socket, or the write failed with {@code cause}; without
-     * this line after a request is over, its answer still waits in this process.
+     * Logs that the last byte of an answer was passed to the client's socket, or that the write failed with
+     * {@code cause}. If this line is missing after the end of a request, its answer still waits in this process.
      */
-    public static void written(String requestId, String how, int bytes, Throwable cause) {
+    public static void answerWritten(String requestId, String outcome, int bytes, Throwable cause) {
         if (LOG.isDebugEnabled()) {
             LogEvent.log(
                     LOG.atDebug(),
@@ -124,7 +126,7 @@
                     "request",
                     requestId,
                     "how",
-                    how,
+                    outcome,
                     "bytes",
                     bytes,
                     "failure",
@@ -132,15 +134,18 @@
         }
     }
 
-    /** No answer is owed any more; {@code why}: the client cancelled, or its connection has ended. */
-    public static void left(String requestId, String why) {
+    /**
+     * Logs that a request needs no answer any more; {@code reason} says whether the client cancelled it or its
+     * connection has ended.
+     */
+    public static void clientLeft(String requestId, String reason) {
         if (LOG.isDebugEnabled()) {
-            LogEvent.log(LOG.atDebug(), "client left", "request", requestId, "why", why);
+            LogEvent.log(LOG.atDebug(), "client left", "request", requestId, "why", reason);
         }
     }
 
-    /** A client's connection has ended: why, and how many answers were still open or unwritten on it. */
-    public static void connectionEnded(Object client, Object why, int open, int unwritten) {
+    /** Logs the end of a client's connection, its reason, and how many of its answers were still open or unwritten. */
+    public static void connectionEnded(Object client, Object reason, int open, int unwritten) {
         if (LOG.isDebugEnabled()) {
             LogEvent.log(
                     LOG.atDebug(),
@@ -148,7 +153,7 @@
                     "client",
                     client,
                     "why",
-                    why,
+                    reason,
                     "open",
                     open,
                     "unwritten",
--- a/doorman/src/main/java/barleyspur/front/thrift/ClientConnection.java
+++ b/doorman/src/main/java/barleyspur/front/thrift/ClientConnection.java
@@ -1,8 +1,8 @@
 package barleyspur.front.thrift;
 
-import barleyspur.doorman.CappedLog;
 import barleyspur.doorman.Clock;
 import barleyspur.doorman.Doorman;
+import barleyspur.doorman.RateLimitedLog;
 import barleyspur.doorman.Request;
 import barleyspur.doorman.RequestTrace;
 import barleyspur.lifecycle.Lifecycle;
@@ -76,7 +76,7 @@
             int maxPending,
             ResponseBackpressure backpressure,
             ConnectionRegistry<ClientConnection> registry,
-            CappedLog log,
+            RateLimitedLog log,
             Lifecycle lifecycle) {}
 
     /** A request that has been read, and the earliest time at which it may have reached this machine. */
@@ -84,7 +84,7 @@
 
     private final ServerContext server;
     private final Doorman doorman;
-    private final CappedLog log;
+    private final RateLimitedLog log;
     private final ThriftFrameDecoder decoder;
     private final Map<Integer, PendingResponse> pending = new HashMap<>();
     /** Requests read in this iteration of the event loop, in order; each holds a reference to its body. */
@@ -124,18 +124,18 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) throws ThriftCall.MalformedCallException {
-        if (lingeringClose.begun()) {
+        if (lingeringClose.hasBegun()) {
             return;
         }
         ThriftCall call = ThriftCall.parse(frame);
         if (call instanceof ThriftCall.Dispatch dispatch) {
             dispatch.body().retain();
-            received.add(new ReceivedDispatch(dispatch, server.clock().pendingSinceMs()));
+            received.add(new ReceivedDispatch(dispatch, server.clock().earliestArrivalMs()));
         } else if (call instanceof ThriftCall.CancelRequest cancel) {
             cancel(cancel.cancelled());
         } else if (call instanceof ThriftCall.Alive alive) {
             markUsed();
-            responses.writeAlive(alive.seqid(), server.lifecycle().ready());
+            responses.writeAlive(alive.seqid(), server.lifecycle().isReady());
         } else if (call instanceof ThriftCall.UnknownMethod unknown) {
             log.warn("unknown method", "client", channel.remoteAddress(), "method", unknown.method());
             rejectCall(unknown.method(), unknown.seqid(), ThriftProtocol.UNKNOWN_METHOD, "unknown method");
@@ -170,7 +170,7 @@
         for (ReceivedDispatch next = received.poll(); next != null; next = received.poll()) {
             ThriftCall.Dispatch call = next.call();
             try {
-                if (!lingeringClose.begun() && channel.isActive()) {
+                if (!lingeringClose.hasBegun() && channel.isActive()) {
                     dispatch(call, next.arrivedMs());
                 }
             } catch (ThriftCall.MalformedCallException e) {
@@ -179,8 +179,8 @@
                 call.body().release();
             }
         }
-        if (lingeringClose.begun()) {
-            lingeringClose.discarded(decoder.discardedBytes());
+        if (lingeringClose.hasBegun()) {
+            lingeringClose.onDiscarded(decoder.discardedBytes());
         } else if (responses.unwritten() >= MAX_UNWRITTEN_FACTOR * server.maxPending()) {
             log.warn("connection closed: it asks for more and reads no answers", "client", channel.remoteAddress());
             closeWithError(ThriftProtocol.PROTOCOL_ERROR, "answers are not read");
@@ -231,7 +231,7 @@
     }
 
     private void markIdleIfNothingPending() {
-        if (pending.isEmpty() && !lingeringClose.begun() && used) {
+        if (pending.isEmpty() && !lingeringClose.hasBegun() && used) {
             if (decoder.hasPartialFrame()) {
                 server.registry().markReceiving(this);
             } else {
@@ -243,7 +243,7 @@
 
     /** Checks after all input of this iteration, and after the response that made the connection idle. */
     private void scheduleCloseIfIdle() {
-        if (server.lifecycle().closeWhenIdle()) {
+        if (server.lifecycle().closesIdleConnections()) {
             channel.eventLoop().execute(this::closeIfIdle);
         }
     }
@@ -257,15 +257,15 @@
         boolean idle =
                 pending.isEmpty() && received.isEmpty() && responses.unwritten() == 0 && !decoder.hasPartialFrame();
         if (idle
-                && server.lifecycle().closeWhenIdle()
-                && (used || server.lifecycle().closeStrangers())) {
+                && server.lifecycle().closesIdleConnections()
+                && (used || server.lifecycle().closesUnusedConnections())) {
             close(EndCause.IDLE);
         }
     }
 
     /** Starts to close the connection; further input is discarded. */
     private void close(EndCause cause) {
-        if (!lingeringClose.begun() && channel.isActive()) {
+        if (!lingeringClose.hasBegun() && channel.isActive()) {
             endCause = cause;
             server.registry().markClosing(this);
             readTimeout.stop();
@@ -288,7 +288,7 @@
      * the client hasn't read yet.
      */
     private void closeWithError(int kind, String message) {
-        if (lingeringClose.begun()) {
+        if (lingeringClose.hasBegun()) {
             return;
         }
         List<PendingResponse> unfinished = new ArrayList<>(pending.values());
@@ -319,7 +319,7 @@
             return;
         }
         used = true;
-        if (!server.lifecycle().takes(server.clock().nowMs(), request.remainingMs())) {
+        if (!server.lifecycle().acceptsRequest(server.clock().nowMs(), request.remainingMs())) {
             // The connection can be closed only when no request is pending; the client retries at another doorman.
             responses.writeRefused(call.seqid(), request.id(), Map.of("w", Long.toString(DRAIN_RETRY_AFTER_MS)));
             markIdleIfNothingPending();
@@ -335,7 +335,7 @@
     private Request toRequest(ThriftCall.Dispatch call) {
         Request request =
                 RequestFields.parse(call.fields(), call.body(), server.classes().get());
-        if (doorman.hasTaken(request.id())) {
+        if (doorman.hasRecentId(request.id())) {
             // A depot can't tell two requests with the same id apart.
             throw new IllegalArgumentException("field i is the id of an earlier request");
         }
@@ -373,7 +373,7 @@
         server.registry().markBusy(this);
         // The body is a slice of the frame and is needed until the request ends, longer than the frame itself.
         call.body().retain();
-        response.setRequest(doorman.take(request, arrivedMs, response));
+        response.setRequest(doorman.accept(request, arrivedMs, response));
     }
 
     @Override
@@ -421,7 +421,7 @@
     /** Closes the channel if it is lingering, because its file descriptor is needed. */
     void closeWithoutLinger() {
         channel.eventLoop().execute(() -> {
-            if (lingeringClose.begun()) {
+            if (lingeringClose.hasBegun()) {
                 channel.close();
             }
         });
@@ -433,12 +433,12 @@
      */
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-        responses.writabilityChanged(!channel.isWritable() && channel.isActive() && !lingeringClose.begun());
+        responses.writabilityChanged(!channel.isWritable() && channel.isActive() && !lingeringClose.hasBegun());
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        lingeringClose.closed();
+        lingeringClose.onClosed();
         server.registry().remove(this);
         readTimeout.stop();
         responses.stopStallTimer();
--- a/doorman/src/main/java/barleyspur/front/thrift/PendingResponse.java
+++ b/doorman/src/main/java/barleyspur/front/thrift/PendingResponse.java
@@ -32,7 +32,7 @@
 
     /** Cancels the request, because the client has disconnected, is being disconnected, or has cancelled it. */
     void cancel(String reason) {
-        RequestTrace.left(requestId, reason);
+        RequestTrace.clientLeft(requestId, reason);
         request.cancel();
     }
 
--- a/doorman/src/main/java/barleyspur/front/thrift/RequestFields.java
+++ b/doorman/src/main/java/barleyspur/front/thrift/RequestFields.java
@@ -38,7 +38,7 @@
 
     private Request toRequest(ByteBuf body, RequestClassRegistry classes) {
         String className = required("c");
-        int category = classes.number(className);
+        int category = classes.numberOf(className);
         if (category < 0) {
             throw new IllegalArgumentException("field c: unknown class");
         }
--- a/doorman/src/main/java/barleyspur/front/thrift/RequestReadTimeout.java
+++ b/doorman/src/main/java/barleyspur/front/thrift/RequestReadTimeout.java
@@ -50,7 +50,7 @@
 
     /** Starts the time-out for the first request. */
     void startFirstRequestTimer() {
-        timer = clock.after(INACTIVITY_TIMEOUT_MS, listener::firstRequestTimedOut);
+        timer = clock.schedule(INACTIVITY_TIMEOUT_MS, listener::firstRequestTimedOut);
     }
 
     /** Whether part of a request had been received at the last update. */
@@ -83,7 +83,7 @@
     }
 
     private void startPartialRequestTimer(double delayMs) {
-        timer = clock.after(delayMs, () -> {
+        timer = clock.schedule(delayMs, () -> {
             if (nothingPending.getAsBoolean()) {
                 listener.partialRequestTimedOut();
             } else {
--- a/doorman/src/main/java/barleyspur/front/thrift/ResponseWriter.java
+++ b/doorman/src/main/java/barleyspur/front/thrift/ResponseWriter.java
@@ -1,7 +1,7 @@
 package barleyspur.front.thrift;
 
-import barleyspur.doorman.CappedLog;
 import barleyspur.doorman.Clock;
+import barleyspur.doorman.RateLimitedLog;
 import barleyspur.doorman.RequestTrace;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -34,7 +34,7 @@
     private final Channel channel;
     private final Clock clock;
     private final ResponseBackpressure backpressure;
-    private final CappedLog log;
+    private final RateLimitedLog log;
     private final DoubleSupplier longestWaitMs;
     private final Listener listener;
     private Clock.Timer stallTimer;
@@ -48,7 +48,7 @@
             Channel channel,
             Clock clock,
             ResponseBackpressure backpressure,
-            CappedLog log,
+            RateLimitedLog log,
             DoubleSupplier longestWaitMs,
             Listener listener) {
         this.channel = channel;
@@ -113,7 +113,7 @@
         unwritten++;
         channel.writeAndFlush(message).addListener(future -> {
             backpressure.add(-bodyBytes);
-            RequestTrace.written(requestId, outcome, bytes, future.cause());
+            RequestTrace.answerWritten(requestId, outcome, bytes, future.cause());
             written(future.cause());
         });
     }
@@ -138,7 +138,7 @@
     }
 
     private void startStallTimer(double delayMs) {
-        stallTimer = clock.after(delayMs, () -> {
+        stallTimer = clock.schedule(delayMs, () -> {
             double remainingMs = stalledSinceMs + longestWaitMs.getAsDouble() - clock.nowMs();
             if (remainingMs > 0) {
                 startStallTimer(remainingMs);
--- a/doorman/src/main/java/barleyspur/front/thrift/ThriftServer.java
+++ b/doorman/src/main/java/barleyspur/front/thrift/ThriftServer.java
@@ -1,8 +1,8 @@
 package barleyspur.front.thrift;
 
-import barleyspur.doorman.CappedLog;
 import barleyspur.doorman.Clock;
 import barleyspur.doorman.Doorman;
+import barleyspur.doorman.RateLimitedLog;
 import barleyspur.lifecycle.Lifecycle;
 import barleyspur.reload.RequestClassRegistry;
 import io.netty.bootstrap.ServerBootstrap;
@@ -48,7 +48,7 @@
     private final Clock clock;
     private final int maxConnections;
     private final ChannelGroup connections;
-    private final CappedLog log;
+    private final RateLimitedLog log;
     private final ConnectionRegistry<ClientConnection> registry = new ConnectionRegistry<>();
     private final ClientConnection.ServerContext context;
     private final boolean sharePort;
@@ -75,7 +75,7 @@
         this.group = group;
         this.clock = clock;
         this.maxConnections = maxConnections;
-        this.log = new CappedLog(LOG, clock);
+        this.log = new RateLimitedLog(LOG, clock);
         this.connections = new DefaultChannelGroup(group.next());
         this.classes = classes;
         this.context = new ClientConnection.ServerContext(
@@ -192,7 +192,7 @@
             listener.close();
         }
         closeIdle();
-        Clock.Timer timeout = clock.after(maxMs, connections::close);
+        Clock.Timer timeout = clock.schedule(maxMs, connections::close);
         connections.newCloseFuture().addListener(closed -> {
             timeout.cancel();
             onClosed.run();
--- a/doorman/src/test/java/barleyspur/Loopback.java
+++ b/doorman/src/test/java/barleyspur/DoormanTestBed.java
@@ -3,7 +3,7 @@
 import barleyspur.config.Configuration;
 import barleyspur.config.OwnSettings;
 import barleyspur.doorman.Clock;
-import barleyspur.doorman.SocketPolls;
+import barleyspur.doorman.SocketPollTimes;
 import io.netty.channel.EventLoop;
 import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
@@ -35,16 +35,18 @@
 import org.json.JSONObject;
 
 /**
- * One whole doorman on real sockets, with a box, an origin and a command channel that do as the test says, and a clock
- * that the test moves. Its event loop can be held, so that what arrives meanwhile is all there in one turn: crossings are
- * forced, nothing waits for luck.
+ * A complete doorman on real loopback sockets, with a box, an origin and a command channel scripted by the test, and a
+ * clock moved by the test. Its event loop can be held, so that everything that arrives meanwhile is processed in one
+ * iteration: races are forced and don't depend on timing.
  */
-public final class Loopback implements AutoCloseable {
+public final class DoormanTestBed implements AutoCloseable {
 
-    /** Longest wait for what must come; no test takes that long unless it fails. */
-    static final int PATIENCE_MS = 20_000;
-    /** A connect that has not come up by then, after the system has tried it again, waits for the listener to accept. */
-    private static final int QUEUED_MS = 1_500;
+    /** The timeout for events that have to occur; only a failing test waits that long. */
+    static final int TIMEOUT_MS = 20_000;
+    /**
+     * A connect that is not established by then, although the system has retried it, waits for the listener to accept.
+     */
+    private static final int CONNECT_TIMEOUT_MS = 1_500;
 
     private static final String SETTINGS =
             """
@@ -64,25 +66,30 @@
           "tipMultiple": 3}}
         """;
 
-    public final Peer box;
-    public final Peer origin;
-    public final Peer channel = new Peer(0);
-    public final Node node;
-    private final Path file;
+    /** The fake depot, listed as a cache. */
+    public final FakePeer box;
+    /** The fake origin. */
+    public final FakePeer origin;
+    /** The fake command channel. */
+    public final FakePeer channel = new FakePeer(0);
+    /** The doorman under test. */
+    public final DoormanServer server;
+
+    private final Path configurationFile;
     private final JSONObject configuration;
     private final InetSocketAddress address;
     private ManualClock clock;
     private EventLoop loop;
 
-    /** A doorman that serves; {@code change} may change its configuration before it starts. */
-    public Loopback(Path folder, Consumer<JSONObject> change) throws Exception {
+    /** Starts a doorman; {@code change} may change its configuration before the start. */
+    public DoormanTestBed(Path folder, Consumer<JSONObject> change) throws Exception {
         this(folder, change, 0);
     }
 
-    /** The same with a box whose listener takes few connections before it accepts them; 0: many. */
-    public Loopback(Path folder, Consumer<JSONObject> change, int boxBacklog) throws Exception {
-        box = new Peer(boxBacklog);
-        origin = new Peer(0);
+    /** Starts a doorman with a box that has this listen backlog; 0 for the default. */
+    public DoormanTestBed(Path folder, Consumer<JSONObject> change, int boxBacklog) throws Exception {
+        box = new FakePeer(boxBacklog);
+        origin = new FakePeer(0);
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             address = new InetSocketAddress(InetAddress.getLoopbackAddress(), free.getLocalPort());
         }
@@ -110,26 +117,26 @@
                                                                         .put("targets", targets)))))
                 .put("settings", new JSONObject(SETTINGS));
         change.accept(configuration);
-        file = folder.resolve("config.json");
-        node = new Node(read(), OwnSettings.none(), (eventLoop, polls) -> {
+        configurationFile = folder.resolve("config.json");
+        server = new DoormanServer(read(), OwnSettings.none(), (eventLoop, polls) -> {
             loop = eventLoop;
             clock = new ManualClock(eventLoop, polls);
             return clock;
         });
-        node.start();
+        server.start();
     }
 
     private Configuration read() throws Configuration.Invalid {
         try {
-            Files.writeString(file, configuration.toString());
+            Files.writeString(configurationFile, configuration.toString());
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        return Configuration.load(Map.of("RELAY_CONFIG", file.toString()));
+        return Configuration.load(Map.of("RELAY_CONFIG", configurationFile.toString()));
     }
 
-    /** One node as the command channel lists it. */
-    public static JSONObject target(String uid, Peer peer, String model) {
+    /** Returns a node in the format of the command channel. */
+    public static JSONObject target(String uid, FakePeer peer, String model) {
         return new JSONObject()
                 .put("uid", uid)
                 .put("endpoint", "127.0.0.1:" + peer.port())
@@ -141,21 +148,24 @@
                 .put("boot_ms", 0);
     }
 
-    /** A client's connection. */
-    public Wire client() throws IOException {
-        return new Wire(new Socket(address.getAddress(), address.getPort()));
+    /** Opens a client connection. */
+    public TestConnection client() throws IOException {
+        return new TestConnection(new Socket(address.getAddress(), address.getPort()));
     }
 
-    /** A client's connection that takes little before it is read. */
-    public Wire narrowClient() throws IOException {
+    /** Opens a client connection with a small receive buffer. */
+    public TestConnection clientWithSmallReceiveBuffer() throws IOException {
         Socket socket = new Socket();
         socket.setReceiveBufferSize(4_096);
         socket.connect(address);
-        return new Wire(socket);
+        return new TestConnection(socket);
     }
 
-    /** Holds the event loop until the runnable that comes back is run: what arrives meanwhile comes in one turn. */
-    public Runnable hold() throws InterruptedException {
+    /**
+     * Holds the event loop until the returned runnable is run, so that everything that arrives meanwhile is processed
+     * in one iteration.
+     */
+    public Runnable holdEventLoop() throws InterruptedException {
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
         loop.execute(() -> {
@@ -168,33 +178,36 @@
 
     private static void awaitRelease(CountDownLatch release) {
         try {
-            if (!release.await(PATIENCE_MS, TimeUnit.MILLISECONDS)) {
-                throw new IllegalStateException("the loop was never released");
+            if (!release.await(TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
+                throw new IllegalStateException("the event loop was never released");
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Waits until an end of a client's connection has come to the doorman's side of it, whether it has been read or not. */
-    public void awaitEnded(Wire client) throws IOException, InterruptedException {
-        String open =
+    /**
+     * Waits until the end of a client's connection has arrived at the doorman's socket, whether it has been read or
+     * not.
+     */
+    public void awaitCloseReceived(TestConnection client) throws IOException, InterruptedException {
+        String pattern =
                 String.format(":%04X", address.getPort()) + " [0-9A-F]+" + String.format(":%04X 01", client.localPort);
-        Pattern entry = Pattern.compile(open);
+        Pattern entry = Pattern.compile(pattern);
         for (int i = 0;
                 entry.matcher(Files.readString(Path.of("/proc/net/tcp"))).find()
                         || entry.matcher(Files.readString(Path.of("/proc/net/tcp6")))
                                 .find();
                 i++) {
-            if (i > PATIENCE_MS) {
-                throw new AssertionError("its end never came");
+            if (i > TIMEOUT_MS) {
+                throw new AssertionError("the end of the connection never arrived");
             }
             TimeUnit.MILLISECONDS.sleep(1);
         }
     }
 
-    /** Waits until the doorman has read, and acted on, all that a client has written. */
-    public void awaitRead(Wire client) throws IOException, InterruptedException {
+    /** Waits until the doorman has read and processed everything that a client has written. */
+    public void awaitRead(TestConnection client) throws IOException, InterruptedException {
         Pattern unread = Pattern.compile(String.format(":%04X", address.getPort()) + " [0-9A-F]+"
                 + String.format(":%04X 01", client.localPort) + " [0-9A-F]{8}:(?!00000000)");
         for (int i = 0;
@@ -202,8 +215,8 @@
                         || unread.matcher(Files.readString(Path.of("/proc/net/tcp6")))
                                 .find();
                 i++) {
-            if (i > PATIENCE_MS) {
-                throw new AssertionError("it is never read");
+            if (i > TIMEOUT_MS) {
+                throw new AssertionError("the doorman never read the input");
             }
             TimeUnit.MILLISECONDS.sleep(1);
         }
@@ -211,43 +224,42 @@
         loop.submit(() -> {}).syncUninterruptibly();
     }
 
-    /** What is run once, within the turn of the loop that next asks for the time. */
-    public void whenTheTimeIsNextAsked(Runnable task) {
-        loop.submit(() -> clock.asked = task).syncUninterruptibly();
+    /** Runs {@code task} once, within the iteration of the event loop that next reads the clock. */
+    public void onNextClockRead(Runnable task) {
+        loop.submit(() -> clock.onNextRead = task).syncUninterruptibly();
     }
 
-    /** Lets time pass while nothing comes, with all timers that come due, each at its time. */
-    public void pass(double ms) {
-        loop.submit(() -> clock.pass(ms)).syncUninterruptibly();
-        // Due in a later turn than this one's: by then the loop has looked at its sockets again, and what comes after
-        // this
-        // call is not taken for something that came before the time passed.
+    /** Advances the clock while nothing arrives, and runs each timer at its due time. */
+    public void advanceClock(double durationMs) {
+        loop.submit(() -> clock.advance(durationMs)).syncUninterruptibly();
+        // This runs in a later iteration than the current one. By then the loop has polled its sockets again, so data
+        // that arrives after this call isn't dated to before the advance.
         loop.schedule(() -> {}, 1, TimeUnit.MILLISECONDS).awaitUninterruptibly();
     }
 
-    /** The same while the event loop is held, as when it is busy: no timer runs before it is released. */
-    public void passHeld(double ms) {
-        clock.now += ms;
+    /** Advances the clock while the event loop is held, as if it were busy: no timer runs before it is released. */
+    public void advanceClockOnly(double durationMs) {
+        clock.nowMs += durationMs;
     }
 
-    /** Gives the doorman its configuration anew, changed, as SIGHUP does. */
+    /** Changes the configuration and makes the doorman reload it, as SIGHUP does. */
     public void reload(Consumer<JSONObject> change) {
         change.accept(configuration);
-        node.reload(this::read, OwnSettings::none);
+        server.reload(this::read, OwnSettings::none);
     }
 
     @Override
     public void close() throws IOException {
-        node.drain();
+        server.drain();
         try {
             while (!loop.isShuttingDown()) {
-                pass(100);
+                advanceClock(100);
             }
         } catch (RejectedExecutionException e) {
-            // It has ended in between.
+            // The event loop has shut down meanwhile.
         }
         try {
-            node.awaitEnd();
+            server.awaitEnd();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -256,40 +268,41 @@
         channel.close();
     }
 
-    private record Task(double at, long order, Runnable run) {}
+    /** A scheduled task; tasks due at the same time run in order of {@code sequence}. */
+    private record Task(double dueMs, long sequence, Runnable action) {}
 
-    /** Time that stands still until the test moves it; what is due at once comes with the loop's next turn. */
+    /** A clock that only the test advances. Tasks without a delay run in the next iteration of the event loop. */
     private static final class ManualClock implements Clock {
         private final EventLoop loop;
-        private final SocketPolls polls;
+        private final SocketPollTimes polls;
         private final List<Task> timers = new ArrayList<>();
-        private volatile double now = System.currentTimeMillis();
-        private long order;
-        private Runnable asked;
+        private volatile double nowMs = System.currentTimeMillis();
+        private long sequence;
+        private Runnable onNextRead;
 
-        ManualClock(EventLoop loop, SocketPolls polls) {
+        ManualClock(EventLoop loop, SocketPollTimes polls) {
             this.loop = loop;
             this.polls = polls;
-            polls.setClock(() -> now);
+            polls.setClock(() -> nowMs);
         }
 
         @Override
-        public double pendingSinceMs() {
-            return polls.pendingSinceMs();
+        public double earliestArrivalMs() {
+            return polls.earliestArrivalMs();
         }
 
         @Override
         public double nowMs() {
-            Runnable task = asked;
+            Runnable task = onNextRead;
             if (task != null && loop.inEventLoop()) {
-                asked = null;
+                onNextRead = null;
                 task.run();
             }
-            return now;
+            return nowMs;
         }
 
         @Override
-        public Timer after(double delayMs, Runnable run) {
+        public Timer schedule(double delayMs, Runnable run) {
             if (delayMs <= 0) {
                 boolean[] cancelled = new boolean[1];
                 loop.execute(() -> {
@@ -299,54 +312,57 @@
                 });
                 return () -> cancelled[0] = true;
             }
-            Task task = new Task(now + delayMs, order++, run);
+            Task task = new Task(nowMs + delayMs, sequence++, run);
             timers.add(task);
             return () -> timers.remove(task);
         }
 
-        void pass(double ms) {
-            double to = now + ms;
+        void advance(double durationMs) {
+            double endMs = nowMs + durationMs;
             for (; ; ) {
                 Task next = timers.stream()
-                        .min(Comparator.comparingDouble(Task::at).thenComparingLong(Task::order))
-                        .filter(t -> t.at() <= to)
+                        .min(Comparator.comparingDouble(Task::dueMs).thenComparingLong(Task::sequence))
+                        .filter(t -> t.dueMs() <= endMs)
                         .orElse(null);
                 if (next == null) {
-                    now = to;
+                    nowMs = endMs;
                     return;
                 }
                 timers.remove(next);
-                now = next.at();
-                next.run().run();
+                nowMs = next.dueMs();
+                next.action().run();
             }
         }
     }
 
-    /** One that others connect to: it hands the test every connection, and what comes on those that it is told to read. */
-    public static final class Peer implements AutoCloseable {
+    /**
+     * A fake server. Passes each connection to the test, or after {@link #serve} each message received on any
+     * connection.
+     */
+    public static final class FakePeer implements AutoCloseable {
         private final ServerSocket server;
         private final BlockingQueue<Request> requests = new LinkedBlockingQueue<>();
         private final List<Socket> accepted = new ArrayList<>();
 
-        /** A {@code serve} or {@code cancel} as it came, and on which connection. */
-        public record Request(Wire wire, List<String> words) {
-            /** The first word. */
-            public String verb() {
-                return words.get(0);
+        /** A received message, such as {@code serve} or {@code cancel}, and its connection. */
+        public record Request(TestConnection connection, List<String> strings) {
+            /** Returns the name of the command. */
+            public String command() {
+                return strings.get(0);
             }
 
-            /** The request's id. */
+            /** Returns the request id. */
             public String id() {
-                return words.get(1);
+                return strings.get(1);
             }
 
-            /** Answers with a word, fields, and where there are any, bytes. */
-            public void answer(String word, String fields, byte[] bytes) throws IOException {
-                wire.resp(id(), word, fields, bytes);
+            /** Answers with a status, fields, and a body unless {@code bytes} is null. */
+            public void answer(String status, String fields, byte[] bytes) throws IOException {
+                connection.resp(id(), status, fields, bytes);
             }
         }
 
-        Peer(int backlog) {
+        FakePeer(int backlog) {
             try {
                 server = new ServerSocket(0, backlog, InetAddress.getLoopbackAddress());
             } catch (IOException e) {
@@ -358,43 +374,46 @@
             return server.getLocalPort();
         }
 
-        /** The next connection, for the test to read itself. */
-        public Wire accept() throws IOException {
-            server.setSoTimeout(PATIENCE_MS);
-            Wire wire = new Wire(server.accept());
+        /** Accepts the next connection, which the test reads itself. */
+        public TestConnection accept() throws IOException {
+            server.setSoTimeout(TIMEOUT_MS);
+            TestConnection connection = new TestConnection(server.accept());
             synchronized (accepted) {
-                accepted.add(wire.socket);
+                accepted.add(connection.socket);
             }
-            return wire;
+            return connection;
         }
 
-        /** Fills the queue of the listener, so that connects come up only once it accepts; who fills it comes back. */
-        public List<Wire> fillQueue() throws IOException {
-            List<Wire> registry = new ArrayList<>();
+        /**
+         * Fills the accept queue, so that further connects are established only once the listener accepts. Returns the
+         * connections that fill it.
+         */
+        public List<TestConnection> fillAcceptQueue() throws IOException {
+            List<TestConnection> connections = new ArrayList<>();
             try {
                 for (; ; ) {
                     Socket socket = new Socket();
-                    socket.connect(server.getLocalSocketAddress(), QUEUED_MS);
-                    registry.add(new Wire(socket));
+                    socket.connect(server.getLocalSocketAddress(), CONNECT_TIMEOUT_MS);
+                    connections.add(new TestConnection(socket));
                 }
             } catch (SocketTimeoutException e) {
-                return registry;
+                return connections;
             }
         }
 
-        /** From now on accepts and reads by itself; requests wait for {@link #next}. */
-        public Peer serve() {
+        /** Accepts and reads connections in the background from now on; messages are queued for {@link #nextRequest}. */
+        public FakePeer serve() {
             Thread acceptor = new Thread(
                     () -> {
                         try {
                             for (; ; ) {
-                                Wire wire = accept();
-                                Thread reader = new Thread(() -> read(wire), "peer-reader");
+                                TestConnection connection = accept();
+                                Thread reader = new Thread(() -> read(connection), "peer-reader");
                                 reader.setDaemon(true);
                                 reader.start();
                             }
                         } catch (IOException e) {
-                            // The test has ended.
+                            // The listener was closed at the end of the test.
                         }
                     },
                     "peer-acceptor");
@@ -403,27 +422,27 @@
             return this;
         }
 
-        private void read(Wire wire) {
+        private void read(TestConnection connection) {
             try {
-                for (List<String> words = wire.resp(); words != null; words = wire.resp()) {
-                    requests.add(new Request(wire, words));
+                for (List<String> strings = connection.resp(); strings != null; strings = connection.resp()) {
+                    requests.add(new Request(connection, strings));
                 }
             } catch (IOException e) {
-                // Reset by the doorman, or the test has ended.
+                // The doorman reset the connection, or the test has ended.
             }
         }
 
-        /** The next message on any connection. */
-        public Request next() throws InterruptedException {
-            Request request = requests.poll(PATIENCE_MS, TimeUnit.MILLISECONDS);
+        /** Returns the next message on any connection, and waits for it. */
+        public Request nextRequest() throws InterruptedException {
+            Request request = requests.poll(TIMEOUT_MS, TimeUnit.MILLISECONDS);
             if (request == null) {
-                throw new AssertionError("nothing came");
+                throw new AssertionError("no message arrived");
             }
             return request;
         }
 
-        /** A message that has come; null: none has. */
-        public Request come() {
+        /** Returns the next message that has already arrived, or null. */
+        public Request pollRequest() {
             return requests.poll();
         }
 
@@ -438,34 +457,34 @@
         }
     }
 
-    /** One connection, read by the test. */
-    public static final class Wire implements AutoCloseable {
+    /** A connection that the test reads and writes. */
+    public static final class TestConnection implements AutoCloseable {
         private final Socket socket;
         private final int localPort;
         private final DataInputStream in;
         private final OutputStream out;
 
-        Wire(Socket socket) throws IOException {
+        TestConnection(Socket socket) throws IOException {
             this.socket = socket;
             localPort = socket.getLocalPort();
-            socket.setSoTimeout(PATIENCE_MS);
+            socket.setSoTimeout(TIMEOUT_MS);
             socket.setTcpNoDelay(true);
             in = new DataInputStream(socket.getInputStream());
             out = socket.getOutputStream();
         }
 
-        /** Writes bytes, and says nothing of their meaning. */
+        /** Writes bytes as they are. */
         public void write(byte[] bytes) throws IOException {
             out.write(bytes);
         }
 
-        /** Writes a text. */
+        /** Writes text in UTF-8. */
         public void write(String text) throws IOException {
             write(text.getBytes(StandardCharsets.UTF_8));
         }
 
-        /** One line without its end; null at the end of the connection. */
-        public String line() throws IOException {
+        /** Reads one line without its line end; null at the end of the connection. */
+        public String readLine() throws IOException {
             ByteArrayOutputStream line = new ByteArrayOutputStream();
             for (int b = in.read(); b != '\n'; b = in.read()) {
                 if (b < 0) {
@@ -476,39 +495,39 @@
             return line.toString(StandardCharsets.UTF_8).strip();
         }
 
-        /** One RESP array of bulk strings; null at the end of the connection. */
+        /** Reads one RESP array of bulk strings; null at the end of the connection. */
         List<String> resp() throws IOException {
-            String head = line();
+            String head = readLine();
             if (head == null) {
                 return null;
             }
-            List<String> words = new ArrayList<>();
-            for (int left = Integer.parseInt(head.substring(1)); left > 0; left--) {
-                byte[] word = new byte[Integer.parseInt(line().substring(1))];
-                in.readFully(word);
+            List<String> strings = new ArrayList<>();
+            for (int remaining = Integer.parseInt(head.substring(1)); remaining > 0; remaining--) {
+                byte[] string = new byte[Integer.parseInt(readLine().substring(1))];
+                in.readFully(string);
                 in.readFully(new byte[2]);
-                words.add(new String(word, StandardCharsets.ISO_8859_1));
+                strings.add(new String(string, StandardCharsets.ISO_8859_1));
             }
-            return words;
+            return strings;
         }
 
-        /** Writes an answer of a depot's; {@code bytes} null: words alone. */
-        synchronized void resp(String id, String word, String fields, byte[] bytes) throws IOException {
-            ByteArrayOutputStream whole = new ByteArrayOutputStream();
-            whole.writeBytes(("*" + (bytes == null ? 3 : 4) + "\r\n").getBytes(StandardCharsets.US_ASCII));
-            for (String text : List.of(id, word, fields)) {
-                whole.writeBytes(("$" + text.length() + "\r\n" + text + "\r\n").getBytes(StandardCharsets.US_ASCII));
+        /** Writes a depot's answer; {@code bytes} is null for one without a body. */
+        synchronized void resp(String id, String string, String fields, byte[] bytes) throws IOException {
+            ByteArrayOutputStream message = new ByteArrayOutputStream();
+            message.writeBytes(("*" + (bytes == null ? 3 : 4) + "\r\n").getBytes(StandardCharsets.US_ASCII));
+            for (String text : List.of(id, string, fields)) {
+                message.writeBytes(("$" + text.length() + "\r\n" + text + "\r\n").getBytes(StandardCharsets.US_ASCII));
             }
             if (bytes != null) {
-                whole.writeBytes(("$" + bytes.length + "\r\n").getBytes(StandardCharsets.US_ASCII));
-                whole.writeBytes(bytes);
-                whole.writeBytes("\r\n".getBytes(StandardCharsets.US_ASCII));
+                message.writeBytes(("$" + bytes.length + "\r\n").getBytes(StandardCharsets.US_ASCII));
+                message.writeBytes(bytes);
+                message.writeBytes("\r\n".getBytes(StandardCharsets.US_ASCII));
             }
-            write(whole.toByteArray());
+            write(message.toByteArray());
         }
 
-        /** One frame without its length; null at the end of the connection. */
-        public byte[] frame() throws IOException {
+        /** Reads one frame without its length prefix; null at the end of the connection. */
+        public byte[] readFrame() throws IOException {
             int length;
             try {
                 length = in.readInt();
@@ -520,45 +539,45 @@
             return frame;
         }
 
-        /** Reads so many bytes. */
-        public byte[] bytes(int count) throws IOException {
+        /** Reads exactly {@code count} bytes. */
+        public byte[] readBytes(int count) throws IOException {
             byte[] bytes = new byte[count];
             in.readFully(bytes);
             return bytes;
         }
 
-        /** Writes bytes to one that may have reset the connection, or does so meanwhile. */
-        public void writeWhatGoes(byte[] bytes) {
+        /** Writes to a connection that the peer may reset before or during the write. */
+        public void writeIgnoringErrors(byte[] bytes) {
             try {
                 write(bytes);
             } catch (IOException e) {
-                // It is gone, which is what it may be.
+                // The connection was reset, which is allowed here.
             }
         }
 
-        /** Reads until the connection has ended, in order or by a reset. */
+        /** Reads and discards input until the connection has ended, normally or by a reset. */
         public void awaitEnd() throws IOException {
             try {
                 while (in.read() >= 0) {
-                    // Thrown away.
+                    // Discard.
                 }
             } catch (SocketException e) {
-                // A reset is an end too.
+                // A reset ends the connection as well.
             }
         }
 
-        /** Shuts this side only. */
-        public void shutOutput() throws IOException {
+        /** Shuts down the output side only. */
+        public void shutdownOutput() throws IOException {
             socket.shutdownOutput();
         }
 
-        /** Ends the connection by a reset. */
+        /** Resets the connection. */
         public void reset() throws IOException {
             socket.setSoLinger(true, 0);
             socket.close();
         }
 
-        /** Ends the connection in order, with a FIN. */
+        /** Closes the connection normally, with a FIN. */
         public void end() throws IOException {
             socket.close();
         }
--- a/doorman/src/test/java/barleyspur/admin/AdminServerTest.java
+++ b/doorman/src/test/java/barleyspur/admin/AdminServerTest.java
@@ -36,7 +36,7 @@
     }
 
     @Override
-    public Timer after(double delayMs, Runnable task) {
+    public Timer schedule(double delayMs, Runnable task) {
         Task timer = new Task(now + delayMs, task);
         timers.add(timer);
         return () -> timers.remove(timer);
@@ -78,7 +78,7 @@
     @Test
     void quiesceAndResumeChangeHealth() {
         assertTrue(call("GET", "/admin/health").startsWith("HTTP/1.1 503"), "not yet serving");
-        lifecycle.serving(now);
+        lifecycle.startServing(now);
         assertTrue(call("GET", "/admin/health").startsWith("HTTP/1.1 200"));
         String quiesce = call("PUT", "/admin/quiesce");
         assertTrue(quiesce.startsWith("HTTP/1.1 200") && quiesce.contains("\"phase\":\"quiesced\""), quiesce);
@@ -88,7 +88,7 @@
         assertEquals(1, quiesced, "a second quiesce has no effect");
         assertTrue(call("PUT", "/admin/resume").startsWith("HTTP/1.1 200"));
         assertTrue(call("GET", "/admin/health").startsWith("HTTP/1.1 200"));
-        lifecycle.leave(now, false, 3_700);
+        lifecycle.startLeaving(now, false, 3_700);
         assertTrue(call("PUT", "/admin/resume").startsWith("HTTP/1.1 409"), "no resume while shutting down");
     }
 
@@ -105,7 +105,7 @@
      */
     @Test
     void silentConnectionsNeitherBlockNorStay() {
-        lifecycle.serving(now);
+        lifecycle.startServing(now);
         List<EmbeddedChannel> silent = new ArrayList<>();
         for (int i = 0; i < AdminServer.MAX_CONNECTIONS; i++) {
             EmbeddedChannel connection = connect();
--- a/doorman/src/test/java/barleyspur/admin/http/HttpPropertiesTest.java
+++ b/doorman/src/test/java/barleyspur/admin/http/HttpPropertiesTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import barleyspur.Cuts;
+import barleyspur.ChunkedInput;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.embedded.EmbeddedChannel;
@@ -64,7 +64,7 @@
         byte[] twice = new byte[bytes.length + following.length];
         System.arraycopy(bytes, 0, twice, 0, bytes.length);
         System.arraycopy(following, 0, twice, bytes.length, following.length);
-        List<Object> read = Cuts.feed(decoder(), twice, splitSeed);
+        List<Object> read = ChunkedInput.feed(decoder(), twice, splitSeed);
         assertEquals(1, read.size(), "one request per connection: the rest is discarded");
         HttpRequest request = (HttpRequest) read.get(0);
         assertEquals(method, request.method());
@@ -85,7 +85,7 @@
         byte[] bytes = new byte[head.length + input.length];
         System.arraycopy(head, 0, bytes, 0, head.length);
         System.arraycopy(input, 0, bytes, head.length, input.length);
-        List<Object> read = Cuts.feedGarbage(decoder(), bytes, splitSeed);
+        List<Object> read = ChunkedInput.feedGarbage(decoder(), bytes, splitSeed);
         if (read != null) {
             assertTrue(read.size() <= 1);
             read.forEach(r -> ((HttpRequest) r).body().release());
@@ -107,7 +107,7 @@
 
     private static int status(byte[] bytes, long splitSeed) {
         HttpRequestException exception =
-                assertThrows(HttpRequestException.class, () -> Cuts.feed(decoder(), bytes, splitSeed));
+                assertThrows(HttpRequestException.class, () -> ChunkedInput.feed(decoder(), bytes, splitSeed));
         return exception.status();
     }
 
@@ -129,7 +129,7 @@
 
     @Example
     void leadingEmptyLinesAndRepeatedLengthsAreAccepted() {
-        List<Object> read = Cuts.feed(
+        List<Object> read = ChunkedInput.feed(
                 decoder(),
                 ("\r\n\r\nPUT /admin/resume?x=1 HTTP/1.0\r\nContent-Length: 2, 2\r\n" + "\r\nok")
                         .getBytes(StandardCharsets.ISO_8859_1),
--- a/doorman/src/test/java/barleyspur/front/thrift/ClientConnectionTest.java
+++ b/doorman/src/test/java/barleyspur/front/thrift/ClientConnectionTest.java
@@ -7,10 +7,10 @@
 
 import barleyspur.config.SettingsReader;
 import barleyspur.decision.RoutingPolicy;
-import barleyspur.doorman.CappedLog;
 import barleyspur.doorman.Clock;
 import barleyspur.doorman.Doorman;
-import barleyspur.doorman.SilentDepots;
+import barleyspur.doorman.RateLimitedLog;
+import barleyspur.doorman.UnresponsiveDepots;
 import barleyspur.lifecycle.Lifecycle;
 import barleyspur.reload.RequestClassRegistry;
 import io.netty.buffer.ByteBuf;
@@ -53,7 +53,7 @@
                 actionSink = sink;
             },
             this,
-            new SilentDepots());
+            new UnresponsiveDepots());
     private final ConnectionRegistry<ClientConnection> registry = new ConnectionRegistry<>();
     private final Lifecycle lifecycle = new Lifecycle();
     private final List<Runnable> timers = new ArrayList<>();
@@ -61,7 +61,7 @@
     private final EmbeddedChannel channel = connect();
 
     private EmbeddedChannel connect() {
-        lifecycle.serving(now);
+        lifecycle.startServing(now);
         ThriftFrameDecoder decoder = new ThriftFrameDecoder(100_000);
         ClientConnection.ServerContext context = new ClientConnection.ServerContext(
                 doorman,
@@ -70,7 +70,7 @@
                 MAX_PENDING,
                 new ResponseBackpressure(1_000, overLimit -> {}),
                 registry,
-                new CappedLog(LoggerFactory.getLogger("front"), this),
+                new RateLimitedLog(LoggerFactory.getLogger("front"), this),
                 lifecycle);
         return new EmbeddedChannel(decoder, new ClientConnection(context, decoder));
     }
@@ -81,7 +81,7 @@
     }
 
     @Override
-    public Timer after(double delayMs, Runnable task) {
+    public Timer schedule(double delayMs, Runnable task) {
         Runnable due = () -> task.run();
         timers.add(due);
         return () -> timers.remove(due);
@@ -175,7 +175,7 @@
         for (int i = 1; i <= MAX_PENDING; i++) {
             dispatch(i, "small");
             actionSink.accept(new RoutingPolicy.Refuse(((RoutingPolicy.Request) events.get(i - 1)).id(), 0));
-            doorman.purgedGroup(1, 0);
+            doorman.onGroupPurged(1, 0);
             events.remove(events.size() - 1);
         }
         dispatch(3, "small");
@@ -235,13 +235,13 @@
     @Test
     void refusalCarriesTheRetryDelay() {
         dispatch(1, "small");
-        doorman.listed(true, List.of());
+        doorman.onNodeList(true, List.of());
         assertNull(channel.readOutbound(), "held until the routing decision");
         RoutingPolicy.Request request = (RoutingPolicy.Request) events.get(0);
         assertEquals(3, request.part());
         assertEquals(17, request.group());
         actionSink.accept(new RoutingPolicy.Refuse(request.id(), 700));
-        doorman.purgedGroup(1, 0);
+        doorman.onGroupPurged(1, 0);
         assertAnswer(ThriftProtocol.REPLY, 1, "700");
     }
 
@@ -292,7 +292,7 @@
         dispatch(2, "small", "9b1f03aa5c7e2d41");
         assertAnswer(ThriftProtocol.EXCEPTION, 2, "field i");
         actionSink.accept(new RoutingPolicy.Refuse(((RoutingPolicy.Request) events.get(0)).id(), 0));
-        doorman.purgedGroup(1, 0);
+        doorman.onGroupPurged(1, 0);
         assertAnswer(ThriftProtocol.REPLY, 1, "");
         dispatch(3, "small", "9b1f03aa5c7e2d41");
         assertAnswer(ThriftProtocol.EXCEPTION, 3, "field i");
@@ -303,7 +303,7 @@
         EmbeddedChannel other = connect();
         dispatch(1, "small");
         actionSink.accept(new RoutingPolicy.Refuse(((RoutingPolicy.Request) events.get(0)).id(), 0));
-        doorman.purgedGroup(1, 0);
+        doorman.onGroupPurged(1, 0);
         advance(RequestReadTimeout.INACTIVITY_TIMEOUT_MS);
         advance(ClientConnection.LINGER_MS);
         assertFalse(other.isOpen());
@@ -372,12 +372,12 @@
         dispatch(2, "small");
         lifecycle.quiesce(now);
         actionSink.accept(new RoutingPolicy.Refuse(((RoutingPolicy.Request) events.get(0)).id(), 0));
-        doorman.purgedGroup(1, 0);
+        doorman.onGroupPurged(1, 0);
         channel.runPendingTasks();
         assertTrue(channel.isOpen(), "request 2 is pending");
         assertAnswer(ThriftProtocol.REPLY, 1, "");
         actionSink.accept(new RoutingPolicy.Refuse(((RoutingPolicy.Request) events.get(1)).id(), 0));
-        doorman.purgedGroup(1, 0);
+        doorman.onGroupPurged(1, 0);
         channel.runPendingTasks();
         assertAnswer(ThriftProtocol.REPLY, 2, "");
         dispatch(3, "small");
--- a/doorman/src/test/java/barleyspur/front/thrift/ConnectionFailureTest.java
+++ b/doorman/src/test/java/barleyspur/front/thrift/ConnectionFailureTest.java
@@ -7,10 +7,10 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import barleyspur.Cuts;
-import barleyspur.Loopback;
-import barleyspur.Loopback.Peer.Request;
-import barleyspur.Loopback.Wire;
+import barleyspur.ChunkedInput;
+import barleyspur.DoormanTestBed;
+import barleyspur.DoormanTestBed.FakePeer.Request;
+import barleyspur.DoormanTestBed.TestConnection;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import java.io.IOException;
@@ -41,8 +41,8 @@
     @TempDir
     Path folder;
 
-    private Loopback start() throws Exception {
-        Loopback doorman = new Loopback(folder, c -> {});
+    private DoormanTestBed start() throws Exception {
+        DoormanTestBed doorman = new DoormanTestBed(folder, c -> {});
         doorman.box.serve();
         doorman.origin.serve();
         return doorman;
@@ -55,7 +55,7 @@
     private static final int MARGIN_MS = 375;
 
     private static byte[] dispatch(int seqid, String className, String id) {
-        return Cuts.take(ThriftCalls.dispatch(
+        return ChunkedInput.readAndRelease(ThriftCalls.dispatch(
                 seqid,
                 Map.of("c", className, "i", id, "d", "2500", "o", "7f3a9c21e0b4d655", "seg", "3", "bucket", "17"),
                 new byte[4]));
@@ -76,12 +76,12 @@
                 .writeInt(5);
         buffer.writeCharSequence("alive", StandardCharsets.US_ASCII);
         buffer.writeInt(seqid).writeByte(ThriftProtocol.STOP);
-        return Cuts.take(buffer.setInt(0, buffer.readableBytes() - Integer.BYTES));
+        return ChunkedInput.readAndRelease(buffer.setInt(0, buffer.readableBytes() - Integer.BYTES));
     }
 
     /** Returns which response was received: served, refused or failed, or -1 for an application exception. */
-    private static int readOutcome(Wire client, int seqid) throws IOException {
-        byte[] frame = client.frame();
+    private static int readOutcome(TestConnection client, int seqid) throws IOException {
+        byte[] frame = client.readFrame();
         assertNotNull(frame, "the connection has ended without a response");
         ByteBuf in = Unpooled.wrappedBuffer(frame);
         int type = in.readInt() & 0xFF;
@@ -95,14 +95,14 @@
     }
 
     /** Asserts that the box receives this request next, so nothing else was sent before it, and responds to it. */
-    private static void assertNextAndServe(Loopback doorman, String id) throws Exception {
-        Request next = doorman.box.next();
-        assertEquals(List.of("serve", id), next.words().subList(0, 2));
+    private static void assertNextAndServe(DoormanTestBed doorman, String id) throws Exception {
+        Request next = doorman.box.nextRequest();
+        assertEquals(List.of("serve", id), next.strings().subList(0, 2));
         next.answer("DONE", DONE, new byte[10]);
     }
 
-    private static void assertStillServes(Loopback doorman, String id) throws Exception {
-        try (Wire client = doorman.client()) {
+    private static void assertStillServes(DoormanTestBed doorman, String id) throws Exception {
+        try (TestConnection client = doorman.client()) {
             client.write(dispatch(1, id));
             assertNextAndServe(doorman, id);
             assertEquals(SERVED, readOutcome(client, 1));
@@ -117,16 +117,16 @@
      */
     @Test
     void requestReadLateIsAnsweredBeforeItsDeadline() throws Exception {
-        try (Loopback doorman = start();
-                Wire client = doorman.client()) {
+        try (DoormanTestBed doorman = start();
+                TestConnection client = doorman.client()) {
             client.write(alive(1));
             assertEquals(SERVED, readOutcome(client, 1));
-            Runnable release = doorman.hold();
+            Runnable release = doorman.holdEventLoop();
             client.write(dispatch(2, id(1)));
-            doorman.passHeld(1_500);
+            doorman.advanceClockOnly(1_500);
             release.run();
-            assertEquals(id(1), doorman.box.next().id());
-            doorman.pass(999);
+            assertEquals(id(1), doorman.box.nextRequest().id());
+            doorman.advanceClock(999);
             assertEquals(REFUSED, readOutcome(client, 2), "2,499 of its 2,500 ms are over");
         }
     }
@@ -134,14 +134,14 @@
     /** A request that is read on arrival may take until its deadline minus the margin. */
     @Test
     void requestReadAtOnceMayTakeUntilTheMargin() throws Exception {
-        try (Loopback doorman = start();
-                Wire client = doorman.client()) {
+        try (DoormanTestBed doorman = start();
+                TestConnection client = doorman.client()) {
             client.write(alive(1));
             assertEquals(SERVED, readOutcome(client, 1));
-            doorman.pass(1_500);
+            doorman.advanceClock(1_500);
             client.write(dispatch(2, id(1)));
-            Request request = doorman.box.next();
-            doorman.pass(2_500 - MARGIN_MS - 10);
+            Request request = doorman.box.nextRequest();
+            doorman.advanceClock(2_500 - MARGIN_MS - 10);
             request.answer("DONE", DONE, new byte[10]);
             assertEquals(SERVED, readOutcome(client, 2));
         }
@@ -152,11 +152,11 @@
      */
     @Test
     void finalResponseLeavesTimeForASuspension() throws Exception {
-        try (Loopback doorman = start();
-                Wire client = doorman.client()) {
+        try (DoormanTestBed doorman = start();
+                TestConnection client = doorman.client()) {
             client.write(dispatch(1, id(1)));
-            doorman.box.next();
-            doorman.pass(2_500 - MARGIN_MS);
+            doorman.box.nextRequest();
+            doorman.advanceClock(2_500 - MARGIN_MS);
             assertEquals(REFUSED, readOutcome(client, 1));
         }
     }
@@ -164,13 +164,13 @@
     /** A first request that arrives slowly in parts is served, as long as further parts keep arriving. */
     @Test
     void slowFirstRequestIsServed() throws Exception {
-        try (Loopback doorman = start();
-                Wire client = doorman.client()) {
+        try (DoormanTestBed doorman = start();
+                TestConnection client = doorman.client()) {
             byte[] request = dispatch(1, id(1));
             for (int i = 0; i < 4; i++) {
                 client.write(slice(request, request.length * i / 4, request.length * (i + 1) / 4));
                 doorman.awaitRead(client);
-                doorman.pass(i < 3 ? 1_500 : 0);
+                doorman.advanceClock(i < 3 ? 1_500 : 0);
             }
             assertNextAndServe(doorman, id(1));
             assertEquals(SERVED, readOutcome(client, 1));
@@ -180,16 +180,16 @@
     /** A request that isn't complete within the longest deadline of any class is given up. */
     @Test
     void incompleteRequestTimesOut() throws Exception {
-        try (Loopback doorman = start();
-                Wire client = doorman.client()) {
+        try (DoormanTestBed doorman = start();
+                TestConnection client = doorman.client()) {
             byte[] request = dispatch(1, id(1));
             for (int i = 0; i < 4; i++) {
                 client.write(slice(request, i, i + 1));
                 doorman.awaitRead(client);
-                doorman.pass(1_500);
+                doorman.advanceClock(1_500);
             }
             assertEquals(-1, readOutcome(client, 0), "6 s are more than the longest deadline, 5 s");
-            assertNull(client.frame());
+            assertNull(client.readFrame());
         }
     }
 
@@ -201,14 +201,14 @@
      */
     @Test
     void unsafeRequestWithHungConnectIsRefused() throws Exception {
-        try (Loopback doorman = new Loopback(folder, c -> {}, 1);
-                Wire client = doorman.client()) {
-            List<Wire> queueFillers = doorman.box.fillQueue();
+        try (DoormanTestBed doorman = new DoormanTestBed(folder, c -> {}, 1);
+                TestConnection client = doorman.client()) {
+            List<TestConnection> queueFillers = doorman.box.fillAcceptQueue();
             client.write(dispatch(1, "order", id(1)));
             assertAlive(client, 2);
-            doorman.pass(2_500);
+            doorman.advanceClock(2_500);
             assertEquals(REFUSED, readOutcome(client, 1));
-            for (Wire filler : queueFillers) {
+            for (TestConnection filler : queueFillers) {
                 filler.close();
             }
         }
@@ -217,16 +217,16 @@
     /** No attempt starts for requests that are read together with a FIN, an RST or a cancel of their client. */
     @Test
     void noAttemptStartsAfterCloseInTheSameIteration() throws Exception {
-        try (Loopback doorman = start();
-                Wire cancellingClient = doorman.client()) {
-            List<Wire> burst = new ArrayList<>();
+        try (DoormanTestBed doorman = start();
+                TestConnection cancellingClient = doorman.client()) {
+            List<TestConnection> burst = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
-                Wire client = doorman.client();
+                TestConnection client = doorman.client();
                 client.write(alive(1));
                 assertEquals(SERVED, readOutcome(client, 1));
                 burst.add(client);
             }
-            Runnable release = doorman.hold();
+            Runnable release = doorman.holdEventLoop();
             for (int i = 0; i < 40; i++) {
                 for (int j = 2; j < 10; j++) {
                     burst.get(i).write(dispatch(j, id(100 * i + j)));
@@ -236,10 +236,10 @@
                 } else {
                     burst.get(i).reset();
                 }
-                doorman.awaitEnded(burst.get(i));
+                doorman.awaitCloseReceived(burst.get(i));
             }
             cancellingClient.write(dispatch(1, id(9_001)));
-            cancellingClient.write(Cuts.take(ThriftCalls.cancelRequest(2, 1)));
+            cancellingClient.write(ChunkedInput.readAndRelease(ThriftCalls.cancelRequest(2, 1)));
             cancellingClient.write(dispatch(3, id(9_002)));
             release.run();
             assertNextAndServe(doorman, id(9_002));
@@ -251,41 +251,41 @@
     /** The same for requests that wait for a slow connect to the box when their client disconnects or cancels. */
     @Test
     void noAttemptStartsAfterCloseDuringConnect() throws Exception {
-        try (Loopback doorman = new Loopback(folder, c -> {}, 1);
-                Wire closedClient = doorman.client();
-                Wire resetClient = doorman.client();
-                Wire cancellingClient = doorman.client();
-                Wire probe = doorman.client()) {
+        try (DoormanTestBed doorman = new DoormanTestBed(folder, c -> {}, 1);
+                TestConnection closedClient = doorman.client();
+                TestConnection resetClient = doorman.client();
+                TestConnection cancellingClient = doorman.client();
+                TestConnection probe = doorman.client()) {
             // The box's accept queue is full, so the doorman's connects complete only when it is emptied.
-            List<Wire> queueFillers = doorman.box.fillQueue();
+            List<TestConnection> queueFillers = doorman.box.fillAcceptQueue();
             closedClient.write(dispatch(1, id(1)));
             resetClient.write(dispatch(1, id(2)));
             cancellingClient.write(dispatch(1, id(3)));
             assertAlive(probe, 1);
             closedClient.end();
             resetClient.reset();
-            doorman.awaitEnded(closedClient);
-            doorman.awaitEnded(resetClient);
-            cancellingClient.write(Cuts.take(ThriftCalls.cancelRequest(2, 1)));
+            doorman.awaitCloseReceived(closedClient);
+            doorman.awaitCloseReceived(resetClient);
+            cancellingClient.write(ChunkedInput.readAndRelease(ThriftCalls.cancelRequest(2, 1)));
             cancellingClient.write(dispatch(3, id(4)));
             assertAlive(probe, 2);
             doorman.box.serve();
             assertNextAndServe(doorman, id(4));
             assertEquals(SERVED, readOutcome(cancellingClient, 3));
-            for (Wire filler : queueFillers) {
+            for (TestConnection filler : queueFillers) {
                 filler.close();
             }
         }
     }
 
     /** Asserts that the doorman responds, which means that it has read all data that was written before. */
-    private static void assertAlive(Wire probe, int seqid) throws IOException {
+    private static void assertAlive(TestConnection probe, int seqid) throws IOException {
         probe.write(alive(seqid));
         assertEquals(SERVED, readOutcome(probe, seqid));
     }
 
     /** Lets the event loop iterate often enough to read and write as much as possible. */
-    private static void iterateEventLoop(Wire probe) throws IOException {
+    private static void iterateEventLoop(TestConnection probe) throws IOException {
         for (int i = 1; i <= 500; i++) {
             assertAlive(probe, i);
         }
@@ -297,21 +297,21 @@
      */
     @Test
     void cancelIsProcessedWhileResponsesAreUnread() throws Exception {
-        try (Loopback doorman =
-                        new Loopback(folder, c -> c.getJSONObject("limits").put("memory_mb", 2_000));
-                Wire client = doorman.narrowClient();
-                Wire probe = doorman.client()) {
+        try (DoormanTestBed doorman = new DoormanTestBed(
+                        folder, c -> c.getJSONObject("limits").put("memory_mb", 2_000));
+                TestConnection client = doorman.clientWithSmallReceiveBuffer();
+                TestConnection probe = doorman.client()) {
             doorman.box.serve();
             client.write(dispatch(1, id(1)));
-            Request waiting = doorman.box.next();
+            Request waiting = doorman.box.nextRequest();
             // More than the socket buffers hold, so that the doorman can't write any more.
             for (int i = 2; i < 32; i++) {
                 client.write(dispatch(i, id(i)));
-                doorman.box.next().answer("DONE", DONE, new byte[240_000]);
+                doorman.box.nextRequest().answer("DONE", DONE, new byte[240_000]);
             }
             iterateEventLoop(probe);
-            client.write(Cuts.take(ThriftCalls.cancelRequest(40, 1)));
-            assertEquals(List.of("cancel", id(1)), doorman.box.next().words());
+            client.write(ChunkedInput.readAndRelease(ThriftCalls.cancelRequest(40, 1)));
+            assertEquals(List.of("cancel", id(1)), doorman.box.nextRequest().strings());
             waiting.answer("WAIT", "-", null);
             assertStillServes(doorman, id(50));
         }
@@ -320,14 +320,14 @@
     /** A client that shuts down its sending side counts as disconnected: the protocol has no half-closed clients. */
     @Test
     void halfClosedClientCountsAsDisconnected() throws Exception {
-        try (Loopback doorman = start();
-                Wire client = doorman.client()) {
+        try (DoormanTestBed doorman = start();
+                TestConnection client = doorman.client()) {
             client.write(dispatch(1, id(1)));
-            Request sent = doorman.box.next();
-            client.shutOutput();
-            assertEquals(List.of("cancel", id(1)), doorman.box.next().words());
+            Request sent = doorman.box.nextRequest();
+            client.shutdownOutput();
+            assertEquals(List.of("cancel", id(1)), doorman.box.nextRequest().strings());
             sent.answer("WAIT", "-", null);
-            assertNull(client.frame());
+            assertNull(client.readFrame());
             assertStillServes(doorman, id(2));
         }
     }
@@ -340,23 +340,23 @@
      */
     @Test
     void idleClientsAreEvictedWhileDiscoveryIsDown() throws Exception {
-        try (Loopback doorman =
-                new Loopback(folder, c -> c.getJSONObject("limits").put("sockets", 96))) {
+        try (DoormanTestBed doorman =
+                new DoormanTestBed(folder, c -> c.getJSONObject("limits").put("sockets", 96))) {
             doorman.box.serve();
             doorman.channel.accept().close();
-            List<Wire> idle = new ArrayList<>();
+            List<TestConnection> idle = new ArrayList<>();
             for (int i = 0; i < 60; i++) {
-                Wire client = doorman.client();
+                TestConnection client = doorman.client();
                 client.write(alive(1));
                 assertEquals(SERVED, readOutcome(client, 1));
                 idle.add(client);
             }
-            assertNull(idle.get(0).frame(), "the longest idle connection was evicted without a reset");
+            assertNull(idle.get(0).readFrame(), "the longest idle connection was evicted without a reset");
             assertStillServes(doorman, id(1));
-            doorman.pass(300);
-            Wire retried = doorman.channel.accept();
-            assertEquals("resume 1", retried.line());
-            for (Wire client : idle) {
+            doorman.advanceClock(300);
+            TestConnection retried = doorman.channel.accept();
+            assertEquals("resume 1", retried.readLine());
+            for (TestConnection client : idle) {
                 client.close();
             }
         }
@@ -368,36 +368,36 @@
      */
     @Test
     void inputDuringAnEvictionDoesNotResetTheConnection() throws Exception {
-        try (Loopback doorman =
-                new Loopback(folder, c -> c.getJSONObject("limits").put("sockets", 96))) {
+        try (DoormanTestBed doorman =
+                new DoormanTestBed(folder, c -> c.getJSONObject("limits").put("sockets", 96))) {
             doorman.box.serve();
-            List<Wire> idle = new ArrayList<>();
-            Wire oldest = doorman.client();
+            List<TestConnection> idle = new ArrayList<>();
+            TestConnection oldest = doorman.client();
             // Its response is left unread.
             oldest.write(alive(1));
             for (int i = 0; i < 32; i++) {
-                Wire client = doorman.client();
+                TestConnection client = doorman.client();
                 client.write(alive(1));
                 assertEquals(SERVED, readOutcome(client, 1));
                 idle.add(client);
             }
             byte[] request = dispatch(2, id(1));
-            doorman.whenTheTimeIsNextAsked(() -> {
+            doorman.onNextClockRead(() -> {
                 try {
                     oldest.write(slice(request, 0, 50));
                 } catch (IOException e) {
                     throw new IllegalStateException(e);
                 }
             });
-            Wire newClient = doorman.client();
+            TestConnection newClient = doorman.client();
             newClient.write(alive(1));
             assertEquals(SERVED, readOutcome(newClient, 1));
             idle.add(newClient);
             oldest.write(slice(request, 50, request.length));
             assertEquals(SERVED, readOutcome(oldest, 1));
-            assertNull(oldest.frame(), "closed without a reset");
+            assertNull(oldest.readFrame(), "closed without a reset");
             assertStillServes(doorman, id(2));
-            for (Wire client : idle) {
+            for (TestConnection client : idle) {
                 client.close();
             }
         }
@@ -410,36 +410,36 @@
      */
     @Test
     void invalidClientsAreDisconnectedWithoutAffectingOthers() throws Exception {
-        try (Loopback doorman =
-                        new Loopback(folder, c -> c.getJSONObject("limits").put("sockets", 160));
-                Wire validClient = doorman.client()) {
+        try (DoormanTestBed doorman = new DoormanTestBed(
+                        folder, c -> c.getJSONObject("limits").put("sockets", 160));
+                TestConnection validClient = doorman.client()) {
             doorman.box.serve();
             validClient.write(dispatch(1, id(1)));
-            Request sent = doorman.box.next();
-            List<Wire> invalidClients = new ArrayList<>();
+            Request sent = doorman.box.nextRequest();
+            List<TestConnection> invalidClients = new ArrayList<>();
             byte[] request = dispatch(1, id(2));
             byte[] flood = new byte[400_000];
             for (int i = 0; i < 200; i++) {
-                Wire client = doorman.client();
+                TestConnection client = doorman.client();
                 invalidClients.add(client);
                 switch (i % 5) {
                     case 0 -> client.write("GET / HTTP/1.1\r\n\r\n");
                     case 1 -> client.write(slice(request, 0, request.length - 1));
                     case 2 -> client.write(slice(request, 0, 3));
-                    case 3 -> client.writeWhatGoes(flood);
+                    case 3 -> client.writeIgnoringErrors(flood);
                     default -> {}
                 }
             }
-            try (Wire last = doorman.client()) {
+            try (TestConnection last = doorman.client()) {
                 // Connections are accepted in order and read in the next iteration of the event loop.
                 assertAlive(last, 1);
                 assertAlive(last, 2);
             }
-            doorman.pass(300);
+            doorman.advanceClock(300);
             sent.answer("DONE", DONE, new byte[10]);
             assertEquals(SERVED, readOutcome(validClient, 1));
-            doorman.pass(2_500);
-            for (Wire client : invalidClients) {
+            doorman.advanceClock(2_500);
+            for (TestConnection client : invalidClients) {
                 client.awaitEnd();
             }
             validClient.write(dispatch(2, id(3)));
@@ -451,17 +451,17 @@
     /** A complete request in the event loop iteration of its connection's eviction prevents the eviction. */
     @Test
     void requestInTheIterationOfItsEvictionIsServed() throws Exception {
-        try (Loopback doorman =
-                new Loopback(folder, c -> c.getJSONObject("limits").put("sockets", 96))) {
+        try (DoormanTestBed doorman =
+                new DoormanTestBed(folder, c -> c.getJSONObject("limits").put("sockets", 96))) {
             doorman.box.serve();
-            List<Wire> idle = new ArrayList<>();
+            List<TestConnection> idle = new ArrayList<>();
             for (int i = 0; i < 30; i++) {
-                Wire client = doorman.client();
+                TestConnection client = doorman.client();
                 client.write(alive(1));
                 assertEquals(SERVED, readOutcome(client, 1));
                 idle.add(client);
             }
-            Runnable release = doorman.hold();
+            Runnable release = doorman.holdEventLoop();
             idle.get(0).write(dispatch(2, id(1)));
             for (int i = 0; i < 4; i++) {
                 idle.add(doorman.client());
@@ -469,7 +469,7 @@
             release.run();
             assertNextAndServe(doorman, id(1));
             assertEquals(SERVED, readOutcome(idle.get(0), 2));
-            for (Wire client : idle) {
+            for (TestConnection client : idle) {
                 client.close();
             }
         }
@@ -480,73 +480,74 @@
     /** A request that is partly received at SIGTERM is served, and idle connections close without a reset. */
     @Test
     void partlyReceivedRequestIsServedAfterSigterm() throws Exception {
-        Loopback doorman = start();
-        Wire client = doorman.client();
-        Wire idle = doorman.client();
+        DoormanTestBed doorman = start();
+        TestConnection client = doorman.client();
+        TestConnection idle = doorman.client();
         idle.write(alive(1));
         byte[] request = dispatch(1, id(1));
         client.write(slice(request, 0, 60));
         assertEquals(SERVED, readOutcome(idle, 1));
-        doorman.node.drain();
-        doorman.node.drain();
-        doorman.pass(700);
+        doorman.server.drain();
+        doorman.server.drain();
+        doorman.advanceClock(700);
         assertAlive(idle, 2);
         client.write(slice(request, 60, request.length));
-        Request sent = doorman.box.next();
-        doorman.pass(1_000);
-        assertNull(idle.frame(), "idle connections are closed at the end of the grace period");
+        Request sent = doorman.box.nextRequest();
+        doorman.advanceClock(1_000);
+        assertNull(idle.readFrame(), "idle connections are closed at the end of the grace period");
         sent.answer("DONE", DONE, new byte[10]);
         assertEquals(SERVED, readOutcome(client, 1));
-        assertNull(client.frame());
+        assertNull(client.readFrame());
         doorman.close();
     }
 
     /** A request whose depot doesn't respond is failed before SIGKILL may end the process. */
     @Test
     void requestAtAHungDepotFailsBeforeSigkill() throws Exception {
-        Loopback doorman = new Loopback(folder, c -> ((JSONObject)
+        DoormanTestBed doorman = new DoormanTestBed(folder, c -> ((JSONObject)
                         c.getJSONObject("settings").getJSONArray("grades").get(0))
                 .put("hardLimitMs", 60_000));
         doorman.box.serve();
-        Wire client = doorman.client();
-        client.write(Cuts.take(ThriftCalls.dispatch(
+        TestConnection client = doorman.client();
+        client.write(ChunkedInput.readAndRelease(ThriftCalls.dispatch(
                 1,
                 Map.of("c", "segment", "i", id(1), "d", "50000", "o", "7f3a9c21e0b4d655", "seg", "3", "bucket", "17"),
                 new byte[4])));
-        doorman.box.next();
-        doorman.node.drain();
-        doorman.pass(3_499);
-        doorman.pass(2);
+        doorman.box.nextRequest();
+        doorman.server.drain();
+        doorman.advanceClock(3_499);
+        doorman.advanceClock(2);
         assertEquals(FAILED, readOutcome(client, 1), "SIGKILL may come after 3.7 s");
-        assertNull(client.frame());
+        assertNull(client.readFrame());
         doorman.close();
     }
 
     /** A client that reads slowly receives complete responses until SIGKILL may end the process. */
     @Test
     void slowReaderReceivesResponsesUntilSigkill() throws Exception {
-        Loopback doorman = new Loopback(folder, c -> c.getJSONObject("limits").put("memory_mb", 2_000));
+        DoormanTestBed doorman =
+                new DoormanTestBed(folder, c -> c.getJSONObject("limits").put("memory_mb", 2_000));
         doorman.box.serve();
-        Wire client = doorman.narrowClient();
+        TestConnection client = doorman.clientWithSmallReceiveBuffer();
         byte[] bytes = new byte[240_000];
         Arrays.fill(bytes, (byte) 7);
         for (int i = 1; i <= 30; i++) {
             client.write(dispatch(i, id(i)));
-            doorman.box.next().answer("DONE", DONE, bytes);
+            doorman.box.nextRequest().answer("DONE", DONE, bytes);
         }
-        try (Wire probe = doorman.client()) {
+        try (TestConnection probe = doorman.client()) {
             iterateEventLoop(probe);
         }
-        doorman.node.drain();
-        doorman.pass(3_400);
+        doorman.server.drain();
+        doorman.advanceClock(3_400);
         for (int i = 1; i <= 30; i++) {
-            ByteBuf in = Unpooled.wrappedBuffer(client.frame());
+            ByteBuf in = Unpooled.wrappedBuffer(client.readFrame());
             in.skipBytes(4).skipBytes(in.readInt()).skipBytes(4 + 3 + 3);
             byte[] got = new byte[in.readInt()];
             in.readBytes(got);
             assertArrayEquals(bytes, got, "response " + i);
         }
-        assertNull(client.frame());
+        assertNull(client.readFrame());
         doorman.close();
     }
 
@@ -558,12 +559,12 @@
      */
     @Test
     void unsafeRequestIsNeverSentTwice() throws Exception {
-        try (Loopback doorman = new Loopback(folder, c -> {});
-                Wire client = doorman.client()) {
+        try (DoormanTestBed doorman = new DoormanTestBed(folder, c -> {});
+                TestConnection client = doorman.client()) {
             for (int read = 1; read < 110; read++) {
                 client.write(dispatch(read, "order", id(read)));
-                Wire at = doorman.box.accept();
-                at.bytes(read);
+                TestConnection at = doorman.box.accept();
+                at.readBytes(read);
                 at.reset();
                 assertEquals(FAILED, readOutcome(client, read), "reset after " + read + " bytes");
             }
@@ -578,9 +579,9 @@
      */
     @Test
     void eachAttemptCarriesTheIdempotencyKey() throws Exception {
-        try (Loopback doorman = start();
-                Wire client = doorman.client()) {
-            client.write(Cuts.take(ThriftCalls.dispatch(
+        try (DoormanTestBed doorman = start();
+                TestConnection client = doorman.client()) {
+            client.write(ChunkedInput.readAndRelease(ThriftCalls.dispatch(
                     1,
                     Map.of(
                             "c",
@@ -598,21 +599,22 @@
                             "k",
                             "645b707de91bf3071eae83015509ede1"),
                     new byte[4])));
-            Request first = doorman.box.next();
+            Request first = doorman.box.nextRequest();
             first.answer("BROKE", "-", null);
-            Request retried = doorman.box.next();
+            Request retried = doorman.box.nextRequest();
             for (Request attempt : List.of(first, retried)) {
                 assertEquals(id(1), attempt.id());
                 assertTrue(
-                        attempt.words().get(2).contains(",once=645b707de91bf3071eae83015509ede1"),
-                        attempt.words().get(2));
+                        attempt.strings().get(2).contains(",once=645b707de91bf3071eae83015509ede1"),
+                        attempt.strings().get(2));
             }
             retried.answer("DONE", DONE, new byte[10]);
             assertEquals(SERVED, readOutcome(client, 1));
             client.write(dispatch(2, "stamp", id(2)));
-            Request without = doorman.box.next();
+            Request without = doorman.box.nextRequest();
             assertFalse(
-                    without.words().get(2).contains("once="), without.words().get(2));
+                    without.strings().get(2).contains("once="),
+                    without.strings().get(2));
             without.answer("DONE", DONE, new byte[10]);
             assertEquals(SERVED, readOutcome(client, 2));
         }
@@ -621,24 +623,24 @@
     /** A pending request keeps its class's rule on repeats even if a reload changes the rule. */
     @Test
     void pendingRequestKeepsItsRepeatRuleDuringAReload() throws Exception {
-        try (Loopback doorman = start();
-                Wire client = doorman.client()) {
-            Wire channel = doorman.channel.accept();
-            assertEquals("resume 1", channel.line());
+        try (DoormanTestBed doorman = start();
+                TestConnection client = doorman.client()) {
+            TestConnection channel = doorman.channel.accept();
+            assertEquals("resume 1", channel.readLine());
             client.write(dispatch(1, "order", id(1)));
-            Request sent = doorman.box.next();
+            Request sent = doorman.box.nextRequest();
             doorman.reload(c -> {
                 JSONArray grades = c.getJSONObject("settings").getJSONArray("grades");
                 grades.getJSONObject(1).put("repeat", "repeatable");
                 // The reload also moves the command channel, which shows when it has been applied.
                 c.put("channel", c.getString("channel").replace("127.0.0.1", "127.0.0.2"));
             });
-            assertNull(channel.line(), "the channel has moved");
-            sent.wire().reset();
+            assertNull(channel.readLine(), "the channel has moved");
+            sent.connection().reset();
             assertEquals(FAILED, readOutcome(client, 1));
             client.write(dispatch(2, "order", id(2)));
-            doorman.box.next().wire().reset();
-            Request retried = doorman.box.next();
+            doorman.box.nextRequest().connection().reset();
+            Request retried = doorman.box.nextRequest();
             assertEquals(id(2), retried.id(), "a request accepted under the new rule is retried");
             retried.answer("DONE", DONE, new byte[10]);
             assertEquals(SERVED, readOutcome(client, 2));
@@ -647,7 +649,7 @@
 
     // ---- the command channel ---------------------------------------------------------------------------
 
-    private static String state(Loopback doorman, int cursor, String state) {
+    private static String state(DoormanTestBed doorman, int cursor, String state) {
         return new JSONObject()
                         .put("cursor", cursor)
                         .put(
@@ -658,7 +660,7 @@
                                         .put(
                                                 "targets",
                                                 new JSONArray()
-                                                        .put(Loopback.target("s-1", doorman.box, "cache")
+                                                        .put(DoormanTestBed.target("s-1", doorman.box, "cache")
                                                                 .put("state", state))))
                         .toString()
                 + "\n";
@@ -670,30 +672,30 @@
      */
     @Test
     void silentChannelIsReconnected() throws Exception {
-        try (Loopback doorman = start()) {
+        try (DoormanTestBed doorman = start()) {
             for (String last :
                     List.of("", "1\n", state(doorman, 2, "terminating").substring(0, 40))) {
-                Wire silent = doorman.channel.accept();
-                assertEquals("resume 1", silent.line());
+                TestConnection silent = doorman.channel.accept();
+                assertEquals("resume 1", silent.readLine());
                 silent.write(last);
-                Wire probe = doorman.client();
+                TestConnection probe = doorman.client();
                 assertAlive(probe, 1);
                 probe.close();
-                doorman.pass(2_000);
-                assertNull(silent.line(), "closed after: " + last);
-                doorman.pass(300);
+                doorman.advanceClock(2_000);
+                assertNull(silent.readLine(), "closed after: " + last);
+                doorman.advanceClock(300);
             }
-            Wire healthy = doorman.channel.accept();
-            assertEquals("resume 1", healthy.line());
+            TestConnection healthy = doorman.channel.accept();
+            assertEquals("resume 1", healthy.readLine());
             healthy.write(state(doorman, 2, "terminating") + "2\n");
-            try (Wire client = doorman.client()) {
+            try (TestConnection client = doorman.client()) {
                 assertAlive(client, 1);
                 client.write(dispatch(2, id(2)));
-                Request elsewhere = doorman.origin.next();
+                Request elsewhere = doorman.origin.nextRequest();
                 assertEquals(id(2), elsewhere.id(), "the box drains");
                 elsewhere.answer("DONE", DONE, new byte[10]);
                 assertEquals(SERVED, readOutcome(client, 2));
-                assertNull(doorman.box.come());
+                assertNull(doorman.box.pollRequest());
             }
         }
     }
@@ -701,20 +703,20 @@
     /** A request that waits for a connect to a box goes elsewhere when the box starts to drain. */
     @Test
     void drainRedirectsRequestsThatWaitForAConnect() throws Exception {
-        try (Loopback doorman = new Loopback(folder, c -> {}, 1);
-                Wire client = doorman.client();
-                Wire probe = doorman.client()) {
+        try (DoormanTestBed doorman = new DoormanTestBed(folder, c -> {}, 1);
+                TestConnection client = doorman.client();
+                TestConnection probe = doorman.client()) {
             doorman.origin.serve();
-            List<Wire> queueFillers = doorman.box.fillQueue();
-            Wire channel = doorman.channel.accept();
+            List<TestConnection> queueFillers = doorman.box.fillAcceptQueue();
+            TestConnection channel = doorman.channel.accept();
             client.write(dispatch(1, id(1)));
             assertAlive(probe, 1);
             channel.write(state(doorman, 2, "terminating"));
-            Request elsewhere = doorman.origin.next();
+            Request elsewhere = doorman.origin.nextRequest();
             assertEquals(id(1), elsewhere.id());
             elsewhere.answer("DONE", DONE, new byte[10]);
             assertEquals(SERVED, readOutcome(client, 1));
-            for (Wire filler : queueFillers) {
+            for (TestConnection filler : queueFillers) {
                 filler.close();
             }
         }
@@ -728,38 +730,38 @@
      */
     @Test
     void invalidResponsesDoNotAffectOtherRequests() throws Exception {
-        try (Loopback doorman = start();
-                Wire client = doorman.client()) {
+        try (DoormanTestBed doorman = start();
+                TestConnection client = doorman.client()) {
             client.write(dispatch(1, id(1)));
-            Request first = doorman.box.next();
+            Request first = doorman.box.nextRequest();
             first.answer("DONE", DONE, new byte[10]);
             first.answer("DONE", DONE, new byte[11]);
             assertEquals(SERVED, readOutcome(client, 1));
             client.write(dispatch(2, id(2)));
-            Request second = doorman.box.next();
+            Request second = doorman.box.nextRequest();
             second.answer("DONE", DONE, null);
-            Request retried = doorman.box.next();
+            Request retried = doorman.box.nextRequest();
             assertEquals(id(2), retried.id());
             retried.answer("KEEP", DONE, null);
-            Request third = doorman.box.next();
+            Request third = doorman.box.nextRequest();
             assertEquals(id(2), third.id(), "the client holds no copy that could be confirmed as current");
             third.answer("DONE", DONE, new byte[12]);
             assertEquals(SERVED, readOutcome(client, 2));
             client.write(dispatch(3, id(3)));
-            Request cancelled = doorman.box.next();
-            client.write(Cuts.take(ThriftCalls.cancelRequest(4, 3)));
-            assertEquals("cancel", doorman.box.next().verb());
+            Request cancelled = doorman.box.nextRequest();
+            client.write(ChunkedInput.readAndRelease(ThriftCalls.cancelRequest(4, 3)));
+            assertEquals("cancel", doorman.box.nextRequest().command());
             cancelled.answer("DONE", DONE, new byte[13]);
             client.write(dispatch(5, id(5)));
-            Request cut = doorman.box.next();
-            cut.wire().write("*4\r\n$16\r\n" + id(5) + "\r\n$4\r\nDONE\r\n$5\r\nhow=h\r\n$10\r\nhalf");
-            cut.wire().end();
+            Request cut = doorman.box.nextRequest();
+            cut.connection().write("*4\r\n$16\r\n" + id(5) + "\r\n$4\r\nDONE\r\n$5\r\nhow=h\r\n$10\r\nhalf");
+            cut.connection().end();
             assertNextAndServe(doorman, id(5));
             assertEquals(SERVED, readOutcome(client, 5));
             client.write(dispatch(6, id(6)));
-            Request endless = doorman.box.next();
-            endless.wire().write("*4\r\n$16\r\n" + id(6) + "\r\n$4\r\nDONE\r\n$5\r\nhow=h\r\n$99999999\r\n");
-            endless.wire().writeWhatGoes(new byte[400_000]);
+            Request endless = doorman.box.nextRequest();
+            endless.connection().write("*4\r\n$16\r\n" + id(6) + "\r\n$4\r\nDONE\r\n$5\r\nhow=h\r\n$99999999\r\n");
+            endless.connection().writeIgnoringErrors(new byte[400_000]);
             assertNextAndServe(doorman, id(6));
             assertEquals(SERVED, readOutcome(client, 6));
             assertStillServes(doorman, id(7));
--- a/doorman/src/test/java/barleyspur/front/thrift/ThriftPropertiesTest.java
+++ b/doorman/src/test/java/barleyspur/front/thrift/ThriftPropertiesTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import barleyspur.Cuts;
+import barleyspur.ChunkedInput;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
@@ -43,8 +43,8 @@
             twice.writeBytes(one);
             one.release();
         }
-        List<Object> frames =
-                Cuts.feed(new EmbeddedChannel(new ThriftFrameDecoder(MAX_FRAME)), Cuts.take(twice), splitSeed);
+        List<Object> frames = ChunkedInput.feed(
+                new EmbeddedChannel(new ThriftFrameDecoder(MAX_FRAME)), ChunkedInput.readAndRelease(twice), splitSeed);
         assertEquals(2, frames.size());
         for (int i = 0; i < 2; i++) {
             ByteBuf frame = (ByteBuf) frames.get(i);
@@ -88,7 +88,7 @@
     @Property(seed = "14")
     void randomStreamFailsOnlyAsMalformed(@ForAll @Size(max = 300) byte[] input, @ForAll long splitSeed) {
         List<Object> frames =
-                Cuts.feedGarbage(new EmbeddedChannel(new ThriftFrameDecoder(MAX_FRAME)), input, splitSeed);
+                ChunkedInput.feedGarbage(new EmbeddedChannel(new ThriftFrameDecoder(MAX_FRAME)), input, splitSeed);
         if (frames != null) {
             frames.forEach(f -> assertTrue(((ByteBuf) f).release()));
         }
