--- a/doorman/src/main/java/barleyspur/budget/Action.java
+++ b/doorman/src/main/java/barleyspur/budget/Action.java
@@ -1,23 +1,24 @@
 package barleyspur.budget;
 
-/** What a {@link Budgets} wants done. */
+/** An output of a {@link Budgets} that its caller has to carry out. */
 public sealed interface Action {
 
-    /** Say this there. */
+    /** Sends a message to an address. */
     record Send(String address, Word word) implements Action {}
 
     /**
-     * What this doorman may use has changed.
+     * Reports that the lease of this doorman on a budget has changed.
      *
-     * @param amount  beyond its floor
-     * @param untilMs when it runs out, on this process's clock
-     * @param using   places in use, or units spent
+     * @param amount leased units beyond the floor
+     * @param untilMs expiry of the lease on this process's clock
+     * @param using places in use, or units spent
+     * @param term epoch of the coordinator that granted the lease
      */
     record Holds(String budget, long amount, double untilMs, long using, long term) implements Action {}
 
-    /** This doorman divides from now on, or no longer does. */
+    /** Reports that this doorman has become the coordinator, or is no longer the coordinator. */
     record Divides(boolean on, long term, String why) implements Action {}
 
-    /** Log an event that operators should see; the text is the same for all of a kind. */
+    /** Logs an event for operators; {@code event} is a fixed text for each kind of event. */
     record Warn(String event, String budget, String detail) implements Action {}
 }
--- a/doorman/src/main/java/barleyspur/budget/Budgets.java
+++ b/doorman/src/main/java/barleyspur/budget/Budgets.java
@@ -6,15 +6,15 @@
 import java.util.function.Consumer;
 
 /**
- * One doorman's part in dividing budgets: it holds shares, and where its address is a voter's it votes and may divide. Not
- * for several threads. Times are milliseconds of one clock of this process that never steps back; no clock is compared
- * with another's. What comes out is given to the consumer within the calls.
+ * The budget logic of one doorman: it holds leases, and if its address is one of the voters', it votes and may be
+ * elected coordinator. Not thread-safe. All times are milliseconds of one monotonic clock of this process; clocks of
+ * different processes are never compared. Outputs are passed to the consumer synchronously, within the calls.
  */
 public final class Budgets {
 
     private final Shared s;
     private final Holder holder;
-    /** Null where this process is no voter. */
+    /** Null if this process is not a voter. */
     private final Voter voter;
 
     private final Candidate candidate;
@@ -24,11 +24,11 @@
     private double lastMs;
 
     /**
-     * Begins: from now on this process may be asked.
+     * Creates the logic of a process that can be reached by the others from now on.
      *
-     * @param address of this process, as the voters are named
-     * @param nonce   of this process's life, which no other process has
-     * @param seed    of ballots, numbers and jitter: drawn anew for each life
+     * @param address of this process, in the form in which the voters are configured
+     * @param nonce identifies this run of the process; no other process has the same
+     * @param seed for ballots, sequence numbers and jitter; must differ for each run of the process
      */
     public Budgets(
             Terms terms, String name, String address, long nonce, long seed, double nowMs, Consumer<Action> out) {
@@ -43,20 +43,23 @@
         candidate = rank < 0 ? null : new Candidate(s, voter, rank);
     }
 
-    /** This doorman's share of a budget, or of a subject's: {@code NAME:SUBJECT}; null where the terms have none. */
+    /**
+     * Returns the limiter of a budget, or of one subject of it ({@code NAME:SUBJECT}); null if no such budget is
+     * configured.
+     */
     public Share share(double nowMs, String budget) {
         s.now = nowMs;
         Terms.Budget b = s.of(budget);
         return b == null ? null : holder.share(budget, b);
     }
 
-    /** Says that some were turned away for want of a share: more is asked for soon. */
+    /** Schedules an early lease request after requests were rejected for lack of capacity. */
     public void wantsMore(double nowMs, Share share) {
         s.now = nowMs;
         holder.wantsMore(share);
     }
 
-    /** Changes the whole, burst and weight that this doorman goes by for a budget and its subjects. */
+    /** Applies a changed capacity, burst and weight of a budget to all its subjects. */
     public void retune(double nowMs, Terms.Budget next) {
         enter(nowMs);
         Terms.Budget b = s.budgets.computeIfPresent(next.name(), (k, before) -> before.retuned(next));
@@ -70,25 +73,25 @@
         }
     }
 
-    /** Who is there, by the fleet view: a hint. */
+    /** Sets the addresses that are reachable according to the fleet view. Used as a hint only. */
     public void there(Set<String> addresses) {
         s.there(addresses);
     }
 
-    /** When {@link #tick} is to be called next. */
+    /** Returns the time at which {@link #tick} has to be called next. */
     public double dueMs() {
         double due = holder.dueMs();
         return candidate == null ? due : Math.min(due, candidate.dueMs());
     }
 
-    /** Does what is due by now. */
+    /** Does all work that is due by now. */
     public void tick(double nowMs) {
         enter(nowMs);
         holder.tick();
         ownWords();
     }
 
-    /** Takes in a word of another process of this fleet. */
+    /** Handles a message of another process of this fleet. */
     public void receive(double nowMs, String from, String fromName, long fromNonce, Word word) {
         enter(nowMs);
         take(from, fromName, fromNonce, word);
@@ -96,8 +99,8 @@
     }
 
     /**
-     * This doorman is to leave soon: it divides and votes no more, but goes on using what it holds. So whoever divides next
-     * is told of that, and can hand it on when it is given back.
+     * Prepares for leaving soon: stops coordinating and voting, but keeps using and renewing the leases. The next
+     * coordinator therefore learns of these leases and can reassign them once {@link #leave} returns them.
      */
     public void resign(double nowMs) {
         enter(nowMs);
@@ -108,11 +111,11 @@
         }
         if (divider != null) {
             divider = null;
-            s.emit(new Action.Divides(false, 0, "leaves"));
+            s.emit(new Action.Divides(false, 0, "leaving"));
         }
     }
 
-    /** Gives back all that is held, and divides and votes no more. */
+    /** Returns all leases, and stops coordinating and voting. */
     public void leave(double nowMs) {
         enter(nowMs);
         holder.leave();
@@ -125,7 +128,7 @@
         s.now = lastMs;
         if (candidate != null && candidate.tick() && divider != null) {
             divider = null;
-            s.emit(new Action.Divides(false, 0, "no majority of the voters"));
+            s.emit(new Action.Divides(false, 0, "lost the majority of the voters"));
         }
     }
 
@@ -151,7 +154,7 @@
         } else if (word instanceof Word.Vote w) {
             if (candidate.onVote(from, w)) {
                 divider = new Divider(s, candidate.term());
-                s.emit(new Action.Divides(true, candidate.term(), "a majority of the voters"));
+                s.emit(new Action.Divides(true, candidate.term(), "elected by a majority of the voters"));
             }
         } else if (word instanceof Word.Ask w) {
             asked(from, fromName, fromNonce, w);
@@ -168,9 +171,9 @@
         }
     }
 
-    // ---- readings --------------------------------------------------------------------------------------
+    // ---- status ----------------------------------------------------------------------------------------
 
-    /** What is known here at that time. */
+    /** Returns the state that this process knows at that time. */
     public Ledger ledger(double nowMs) {
         s.now = Math.max(lastMs, nowMs);
         List<Ledger.Own> own = new ArrayList<>();
--- a/doorman/src/main/java/barleyspur/budget/Candidate.java
+++ b/doorman/src/main/java/barleyspur/budget/Candidate.java
@@ -6,14 +6,15 @@
 import java.util.Map;
 
 /**
- * Stands for divider where nobody divides and the view says that nobody before it in the list of voters is there, and stays
- * it while a majority of all voters, not of those that are there, renews its promises. Its term ends a term after the
- * sending of the asks that a majority has answered.
+ * Leader election of the coordinator by leases. A voter becomes a candidate if there is no coordinator and the fleet
+ * view shows no reachable voter before it in the configured list. It leads as long as a majority of all configured
+ * voters, not only of the reachable ones, renews its promises. Leadership ends one leader lease after the sending of
+ * the newest vote requests that a majority has answered.
  */
 final class Candidate {
 
     private static final int RENEWALS = 4;
-    /** A candidate that has no majority by then releases its votes, and waits. */
+    /** Part of a leader lease after which a candidate without a majority releases its votes and backs off. */
     private static final double TRY_SHARE = 0.25;
 
     private static final int REMEMBERED = 8;
@@ -38,7 +39,7 @@
         nextMs = s.now + s.silenceMs();
     }
 
-    /** Whether this process divides at this moment. */
+    /** Returns whether this process is the coordinator now. */
     boolean divides() {
         return divides && s.now < endMs;
     }
@@ -55,11 +56,11 @@
         return left ? Double.POSITIVE_INFINITY : divides ? Math.min(nextMs, endMs) : nextMs;
     }
 
-    /** Does what is due; whether it no longer divides. */
+    /** Does the work that is due; returns whether this process has just lost leadership. */
     boolean tick() {
         boolean lost = divides && s.now >= endMs;
         if (lost) {
-            // Another may have divided since: what was known under this ballot is void.
+            // Another coordinator may have led since then, so all state of this ballot is discarded.
             divides = false;
             release();
             nextMs = s.now + s.random.nextDouble() * s.terms.termMs() * TRY_SHARE;
@@ -87,13 +88,16 @@
         return lost;
     }
 
-    /** Whether the view knows of no voter before this one: a hint, so that seldom two stand at once. */
+    /**
+     * Returns whether no voter before this one in the list can be expected to start an election. The fleet view is only
+     * a hint here, to make concurrent candidates rare.
+     */
     private boolean isFirst() {
         int before = 0;
         for (int i = 0; i < rank; i++) {
             before += s.isThere(s.terms.voters().get(i)) ? 1 : 0;
         }
-        // Who is there may not be able to divide: after a while the next one tries all the same.
+        // A reachable voter may still be unable to win an election, so the next one tries after a delay.
         return voter.promised().isEmpty() && s.now - voter.freeSinceMs() >= before * s.terms.termMs() * TRY_SHARE;
     }
 
@@ -116,7 +120,7 @@
         endMs = Double.NEGATIVE_INFINITY;
     }
 
-    /** Takes a vote in; whether this process divides from now on. */
+    /** Handles a vote; returns whether this process becomes the coordinator by it. */
     boolean onVote(String from, Word.Vote vote) {
         Double sent = sentMs.get(vote.number());
         boolean lapsed = divides && s.now >= endMs;
@@ -149,7 +153,7 @@
         return first;
     }
 
-    /** Gives up dividing and votes, for good. */
+    /** Permanently gives up leadership and candidacy, and releases the votes. */
     void leave() {
         left = true;
         divides = false;
--- a/doorman/src/main/java/barleyspur/budget/Divider.java
+++ b/doorman/src/main/java/barleyspur/budget/Divider.java
@@ -8,27 +8,28 @@
 import java.util.TreeMap;
 
 /**
- * Hands out shares, for as long as this process divides under one ballot. All that a doorman may still use is written down
- * against it until it has said that it won't, or until it has surely run out: for each budget the sum of that never goes over
- * what is to be divided. What dividers before handed out is not known here: until their last share must be over, only
- * what holders report is divided.
+ * Grants leases while this process is the coordinator of one epoch. Every amount that a holder may still use stays
+ * recorded against it until the holder reports that it no longer uses it, or until it must have expired on any clock
+ * within the drift bound. For each budget the sum of these amounts never exceeds the leasable capacity. Grants of
+ * earlier coordinators are not known here: until the last of them must have expired, only the capacity that holders
+ * report is granted.
  */
 final class Divider {
 
-    /** Holders' demand is looked at anew this often within a lease, and on who is new at once. */
+    /** Upper bound on reallocations within a lease; changed demand or a new holder triggers one within this limit. */
     private static final int LOOKS = 400;
 
     private static final int FORGET_LEASES = 3;
-    /** Clocks' rates are compared over so long, and datagrams may take so long meanwhile. */
+    /** Interval over which clock rates are compared, and the variation of network delay to tolerate meanwhile. */
     private static final double PACE_MS = 20_000;
 
     private static final double PACE_SLACK_MS = 500;
     private static final int MOST_PACES = 20_000;
 
-    /** A share that may still be used. */
+    /** A grant that its holder may still use. */
     private record Out(long number, long amount, double endMs) {}
 
-    /** One process that holds, or held, a share of a budget. */
+    /** State of one process that holds, or held, a lease on a budget. */
     private static final class Claimant {
         final String address;
         final String name;
@@ -36,7 +37,7 @@
         long last;
         long using;
         double usingEndMs = Double.NEGATIVE_INFINITY;
-        /** The most that it reported from dividers before. */
+        /** The largest amount that it reported as granted by earlier coordinators. */
         long adopted;
 
         long most;
@@ -45,7 +46,10 @@
         double weight = 1;
         double heardMs;
         long target;
-        /** What it had less than its part lately, in unit-ms: who has most comes first for units that can't be split. */
+        /**
+         * How far its target has lately been below its fair share, in unit-ms. The holder with the largest deficit gets
+         * the next indivisible unit.
+         */
         double credit;
 
         boolean gone;
@@ -55,7 +59,7 @@
             this.address = address;
         }
 
-        /** What it may still use at that time. */
+        /** Returns the amount that the holder may still use at that time. */
         long committed(double nowMs) {
             long most = nowMs < usingEndMs ? using : 0;
             for (int i = 0; i < out.size(); i++) {
@@ -68,14 +72,14 @@
         }
     }
 
-    /** One budget, or one subject's. */
+    /** State of one budget, or of one subject of it. */
     private static final class Pool {
         Terms.Budget budget;
         final Map<Long, Claimant> claimants = new TreeMap<>();
         double lookedMs = Double.NEGATIVE_INFINITY;
         double askedMs;
         boolean changed;
-        /** Of an amount: which one, 0 before any of it was given, and when it is over. */
+        /** Of an amount: id of the current period, 0 before any unit was granted, and the end of that period. */
         long opening;
 
         double openEndMs;
@@ -89,7 +93,7 @@
     final long term;
     private final double fromMs;
     private final Map<String, Pool> pools = new HashMap<>();
-    /** By process: when both clocks' times were last noted, ours and theirs. */
+    /** By process nonce: the last noted pair of clock readings, of this process and of the other one. */
     private final Map<Long, double[]> pace = new HashMap<>();
 
     private double sweptMs;
@@ -101,12 +105,12 @@
         this.sweptMs = s.now;
     }
 
-    /** Until when shares of dividers before may be in use that nobody has reported. */
+    /** Returns the time until which unreported leases of earlier coordinators may be in use. */
     private double waitsUntilMs(Terms.Budget b) {
         return fromMs + b.leaseMs() * Terms.WAIT;
     }
 
-    /** A clock that runs beyond the bound against this one's is named; what it holds may then last longer than here. */
+    /** Warns about a clock that drifts beyond the bound: its leases may last longer there than is assumed here. */
     private void pace(String name, long nonce, double theirMs) {
         double[] first = pace.computeIfAbsent(nonce, k -> new double[] {s.now, theirMs});
         double ours = s.now - first[0];
@@ -122,7 +126,7 @@
         }
     }
 
-    /** Answers an ask. */
+    /** Handles a lease request. */
     Word.Grants onAsk(String from, String name, long nonce, Word.Ask ask) {
         List<Word.Grant> grants = new ArrayList<>();
         pace(name, nonce, ask.atMs());
@@ -142,7 +146,7 @@
                 continue;
             }
             pool.askedMs = s.now;
-            // A report that was sent before this term may be of what the divider before has given to others since.
+            // A report sent before this epoch may contain capacity that the earlier coordinator has regranted since.
             boolean fresh = ask.heard() == term || s.now >= waitsUntilMs(b);
             report(pool, h, c, fresh);
             Word.Grant grant = h.gone || !fresh ? null : grant(pool, h, c);
@@ -154,7 +158,7 @@
         return new Word.Grants(s.digest, term, grants);
     }
 
-    /** Takes in what a holder says of itself: what it won't use any more is free again. */
+    /** Records the report of a holder and frees what it no longer uses. */
     private void report(Pool pool, Claimant h, Word.Claim c, boolean fresh) {
         Terms.Budget b = pool.budget;
         h.last = c.number();
@@ -172,20 +176,19 @@
         }
         boolean leaves = c.took() >= c.number();
         if (c.held() > 0 && mine && !leaves) {
-            // One that is over by now was on its way for long.
+            // The report may arrive after the lease has expired; the expiry time is kept.
             h.out.add(new Out(c.took(), c.held(), endMs));
         } else if (c.held() > 0 && !leaves && fresh) {
             adopt(pool, h, c);
         } else if (b.kind() == Kind.AMOUNT && pool.opening == 0 && c.opening() != 0) {
-            // Somebody remembers that it was opened, and is over.
+            // A holder remembers a period that is over.
             pool.opening = c.opening();
             pool.openEndMs = s.now;
         }
         boolean other = b.kind() == Kind.RATE || b.kind() == Kind.AMOUNT && c.opening() != pool.opening;
         h.using = other ? 0 : Math.max(0, c.using());
-        // A liar that claims to use more than it ever had gets nothing by it. What is in use beyond a share that a
-        // divider
-        // before cut down is within what waits, and ends before that does.
+        // Caps the reported use at what the holder ever had, so that a false report reserves nothing more. Use beyond
+        // a lease that an earlier coordinator reduced is covered by the recovery wait and ends before that does.
         h.using = Math.min(h.using, Math.max(h.most, c.held()));
         h.usingEndMs = switch (b.kind()) {
             case RATE -> Double.NEGATIVE_INFINITY;
@@ -202,16 +205,18 @@
         h.whole = Math.max(0, c.whole());
     }
 
-    /** A share that a divider before gave: it goes on, and what it is can be divided from now on. */
+    /** Takes over a lease of an earlier coordinator; from now on its amount can be allocated here. */
     private void adopt(Pool pool, Claimant h, Word.Claim c) {
         double until = waitsUntilMs(pool.budget);
         if (s.now >= until) {
             s.emit(new Action.Warn(
-                    "a share of an earlier divider outlives its lease: a bound is broken", c.budget(), h.name));
+                    "a lease of an earlier coordinator outlasts its duration: a timing bound is violated",
+                    c.budget(),
+                    h.name));
             until = s.now + c.leftMs() * Terms.WAIT;
         }
         if (pool.budget.kind() == Kind.AMOUNT && pool.opening == 0) {
-            // Opened before: it goes on under its own name and is over when what was given of it is.
+            // The period was opened by an earlier coordinator: it keeps its id and ends with the grants of it.
             pool.opening = c.opening();
             pool.openEndMs = until;
         }
@@ -247,7 +252,10 @@
         return new Word.Grant(c.budget(), c.number(), amount, lastsMs, pool.opening);
     }
 
-    /** How much may be out at once: of the least whole that anybody who may act on it believes in, without the floors. */
+    /**
+     * Returns how much may be leased at once: the smallest capacity that any active holder or this process has
+     * configured, less all floors. During recovery it is also limited to the amounts taken over.
+     */
     private long limit(Pool pool) {
         Terms.Budget b = pool.budget;
         long whole = b.whole();
@@ -262,7 +270,7 @@
         return s.now < waitsUntilMs(b) ? Math.min(divided, adopted) : divided;
     }
 
-    /** Divides anew among those that ask; what those hold that no longer do is out of reach until it is over. */
+    /** Computes the target of each active holder. Amounts held by inactive ones stay reserved until they expire. */
     private void look(Pool pool, long limit) {
         Terms.Budget b = pool.budget;
         List<Claimant> asking = new ArrayList<>();
@@ -289,7 +297,7 @@
             Claimant h = asking.get(i);
             double bound = 4 * b.leaseMs();
             h.credit = Math.max(-bound, Math.min(bound, h.credit + (parts[i] - Math.min(h.target, h.wants)) * elapsed));
-            // Who has such a unit keeps it for about a lease, so that nothing flaps.
+            // The current owner of an indivisible unit keeps it for about one lease, to avoid flapping.
             claims[i] = h.credit + (h.target > Math.floor(parts[i]) ? b.leaseMs() : 0);
         }
         long[] given = Division.divide(Math.max(0, left), parts, wants, weights, claims);
@@ -300,7 +308,7 @@
         pool.changed = false;
     }
 
-    /** Forgets holders whose shares are over, and budgets that nobody asks for. */
+    /** Removes holders without leases, and budgets that nobody requests. */
     private void sweep() {
         if (s.now - sweptMs < s.shortestLeaseMs) {
             return;
@@ -326,7 +334,7 @@
         }
     }
 
-    /** Other terms of a budget count from now on. */
+    /** Applies a changed configuration of a budget. */
     void retune(Terms.Budget next) {
         for (Pool pool : pools.values()) {
             if (pool.budget.name().equals(next.name())) {
@@ -336,9 +344,9 @@
         }
     }
 
-    // ---- readings --------------------------------------------------------------------------------------
+    // ---- status ----------------------------------------------------------------------------------------
 
-    /** Who holds how much of what. */
+    /** Returns the allocation of each budget to its holders. */
     List<Ledger.Row> rows() {
         List<Ledger.Row> rows = new ArrayList<>();
         for (Map.Entry<String, Pool> e : new TreeMap<>(pools).entrySet()) {
@@ -363,8 +371,8 @@
             }
             long limit = limit(pool);
             String why = s.now < waitsUntilMs(pool.budget)
-                    ? "waits for what dividers before gave out"
-                    : out > limit ? "the whole was lowered: more than it is still out" : "";
+                    ? "waiting until leases of earlier coordinators have expired"
+                    : out > limit ? "the capacity was reduced: leases above it have not expired yet" : "";
             rows.add(new Ledger.Row(e.getKey(), pool.budget.kind(), pool.budget.whole(), limit, out, why, holdings));
         }
         return rows;
--- a/doorman/src/main/java/barleyspur/budget/Division.java
+++ b/doorman/src/main/java/barleyspur/budget/Division.java
@@ -1,28 +1,28 @@
 package barleyspur.budget;
 
 /**
- * Weighted max-min in whole units: what everybody wants where it fits; else nobody gets more than it wants, and who gets less
- * than it wants gets as much by weight as anybody (Bertsekas and Gallager 1992, section 6.5.2).
+ * Weighted max-min fair allocation in whole units. If the total demand fits, each holder gets its demand. Otherwise no
+ * holder gets more than its demand, and each unsatisfied holder gets at least as much per weight as any other
+ * (Bertsekas and Gallager 1992, section 6.5.2).
  */
 final class Division {
 
     private Division() {}
 
     /**
-     * Divides {@code total} units.
+     * Allocates {@code total} whole units.
      *
-     * @param parts   what each gets where units can be split, by {@link #level}
-     * @param wants   units, from 0 on
+     * @param parts fair share of each holder with fractional units, by {@link #level}
+     * @param wants demands in units, at least 0
      * @param weights above 0
-     * @param claims  who of those that are equally far from their part comes first for the units that can't be split: the
-     *                greatest
+     * @param claims priorities for the units left over by rounding down: the largest comes first
      */
     static long[] divide(long total, double[] parts, long[] wants, double[] weights, double[] claims) {
         int n = wants.length;
         long[] given = new long[n];
         long left = total;
         for (int i = 0; i < n; i++) {
-            // A sum of parts that is whole must not lose a unit to rounding.
+            // The tolerance keeps rounding errors from losing a unit of a share that is a whole number.
             given[i] = (long) Math.floor(parts[i] + 1e-9);
             left -= given[i];
         }
@@ -40,7 +40,7 @@
                 left--;
             }
         }
-        // What nobody wants is spread, so that a growing demand needn't ask first.
+        // Spreads capacity that nobody demands, so that growing demand can be met without a new request.
         double sum = 0;
         for (double w : weights) {
             sum += w;
@@ -58,7 +58,7 @@
         return given;
     }
 
-    /** The parts where units could be split. */
+    /** Computes the fair shares with fractional units, by progressive filling. */
     static double[] level(long total, long[] wants, double[] weights) {
         int n = wants.length;
         double[] parts = new double[n];
--- a/doorman/src/main/java/barleyspur/budget/Holder.java
+++ b/doorman/src/main/java/barleyspur/budget/Holder.java
@@ -8,21 +8,22 @@
 import java.util.TreeMap;
 
 /**
- * The part of a doorman that holds shares: asks for them, reports what it holds, and takes what is granted. A grant counts
- * from when its ask was sent, so that however late it comes it ends no later here than at the divider.
+ * The lease holder of a doorman: requests leases, reports what it holds, and applies grants. The duration of a grant
+ * counts from the sending of its request, so that a lease always ends here no later than at the coordinator, however
+ * late the grant arrives.
  */
 final class Holder {
 
-    /** Asks within a lease: so many may be lost but one before a share runs out. */
+    /** Requests sent within one lease duration; all but one may be lost before a lease expires. */
     static final int ASKS = 4;
-    /** A doorman that is short, has lost the divider, or has just been cut down asks so much sooner. */
+    /** Factor by which requests are sped up after a shortage, a reduced lease or the loss of the coordinator. */
     static final double HASTE = 5;
 
     private static final double LEAST_MS = 20;
     private static final int FIRST_NUMBER_BITS = 16;
-    /** Claims that fit into a datagram beside what the fleet says of the sender. */
+    /** Reports that fit into a datagram beside the fleet's own data. */
     static final int CLAIMS = 8;
-    /** Asks whose grants may still come; older ones' shares are over. */
+    /** Requests whose grants may still arrive; leases of older requests have expired. */
     private static final int REMEMBERED = 2 * ASKS * (int) HASTE;
 
     private record Sent(long number, double atMs) {}
@@ -31,18 +32,18 @@
     private final Map<String, Share> shares = new TreeMap<>();
     private final Map<String, List<Sent>> sent = new HashMap<>();
     private final double startedMs;
-    /** Where asks go: the divider as it was last heard of, or a voter that may know. */
+    /** Destination of requests: the last known coordinator, or a voter that may know it. */
     private String target = "";
 
     private int nextVoter;
     private double answeredMs;
     private double triedMs = Double.NEGATIVE_INFINITY;
     /**
-     * Of the last ask: rises within this process's life, and begins anywhere, so that no grant fits an ask that it doesn't
-     * answer, nor one of an earlier life.
+     * Sequence number of the last request. Increases while the process runs and starts at a random value, so that no
+     * grant matches a request that it does not answer, nor a request of an earlier run of the process.
      */
     private long number;
-    /** The term of the divider that was last heard. */
+    /** Epoch of the coordinator whose grants arrived last. */
     private long heard;
 
     private boolean left;
@@ -58,7 +59,7 @@
         return shares.computeIfAbsent(name, n -> new Share(n, s.terms, budget, s.now, startedMs + s.floorsAfterMs()));
     }
 
-    /** Whether it asks, and no divider answers. */
+    /** Returns whether this process requests leases and no coordinator answers. */
     boolean asksInVain() {
         return !shares.isEmpty() && isLost();
     }
@@ -86,7 +87,7 @@
         for (Iterator<Share> it = shares.values().iterator(); it.hasNext(); ) {
             Share share = it.next();
             if (s.now >= share.nextLookMs) {
-                // Demand that jumps is told at once, so that what it leaves behind can be used by others.
+                // A jump in demand is reported at once, so that capacity freed by it can be used by others.
                 share.nextLookMs = s.now + share.budget.leaseMs() / ASKS / HASTE;
                 share.nextAskMs = share.budget.kind() != Kind.AMOUNT && share.hasNews(s.now) ? s.now : share.nextAskMs;
             }
@@ -101,14 +102,14 @@
             if (share.isWorthAsking(s.now)) {
                 claims.add(claim(share, share.took, share.held(s.now)));
             }
-            // In step with nobody: jitter from the seed.
+            // Jitter keeps the doormans from requesting in lockstep.
             double pause = share.budget.leaseMs() / ASKS * (0.8 + 0.2 * s.random.nextDouble());
             share.nextAskMs = s.now + (isLost() || share.amount == 0 && share.demand() > 0 ? pause / HASTE : pause);
         }
         send(claims);
     }
 
-    /** Whether the divider was not heard for as long as it should have answered twice. */
+    /** Returns whether no coordinator has answered for the time in which two answers were due. */
     private boolean isLost() {
         return s.now - answeredMs > 2 * s.shortestLeaseMs / ASKS;
     }
@@ -154,7 +155,7 @@
         }
     }
 
-    /** The next voter that the view says is there; if it says none is, the next of all: a view is a hint. */
+    /** Returns the next reachable voter by the fleet view, or the next of all if none is: the view is only a hint. */
     private String nextTarget() {
         List<String> voters = s.terms.voters();
         for (int i = 0; i < voters.size(); i++) {
@@ -190,7 +191,7 @@
         answeredMs = s.now;
         target = from;
         if (grants.term() != heard) {
-            // A new divider divides nothing before it is told what is out.
+            // A new coordinator can grant nothing before it knows the outstanding leases.
             heard = grants.term();
             for (Share share : shares.values()) {
                 share.nextAskMs = Math.min(share.nextAskMs, s.now + LEAST_MS * s.random.nextDouble());
@@ -208,7 +209,7 @@
             s.emit(new Action.Holds(share.name, share.amount, share.endMs, share.using(), share.term));
             double pause = share.budget.leaseMs() / ASKS / HASTE;
             if (less) {
-                // Somebody waits for what is given up: the divider has to know that it is.
+                // Another holder may be waiting for the freed amount, so the coordinator has to learn of it soon.
                 share.nextAskMs = Math.min(share.nextAskMs, s.now + LEAST_MS * (1 + s.random.nextDouble()));
             } else if (share.amount == 0 && news) {
                 share.nextAskMs = Math.min(share.nextAskMs, s.now + pause);
@@ -225,7 +226,7 @@
         return Double.NaN;
     }
 
-    /** Asks soon for more, where some were turned away for want of a share. */
+    /** Moves the next request forward after local requests were rejected for lack of capacity. */
     void wantsMore(Share share) {
         double pause = share.budget.leaseMs() / ASKS / HASTE;
         if (share.nextAskMs - s.now > pause) {
@@ -233,13 +234,13 @@
         }
     }
 
-    /** Gives everything back, and takes nothing any more. */
+    /** Returns all leases and stops applying grants. */
     void leave() {
         left = true;
         List<Word.Claim> claims = new ArrayList<>();
         for (Share share : shares.values()) {
             if (share.held(s.now) > 0) {
-                // None of all grants up to this very ask will be used.
+                // Declares all grants up to and including the answer to this request as unused.
                 claims.add(claim(share, number + 1, 0));
                 share.giveBack(s.now);
                 s.emit(new Action.Holds(share.name, 0, s.now, share.using(), share.term));
--- a/doorman/src/main/java/barleyspur/budget/Kind.java
+++ b/doorman/src/main/java/barleyspur/budget/Kind.java
@@ -1,11 +1,11 @@
 package barleyspur.budget;
 
-/** What a budget counts. */
+/** The quantity that a budget limits. */
 public enum Kind {
-    /** Units a second, with a burst. */
+    /** Units per second, with a burst. */
     RATE,
-    /** Units in flight at once. */
+    /** Units in use at the same time. */
     PLACES,
-    /** Units spent once, within one lease of the first ask. */
+    /** Units that are spent once, within one lease duration of the first request. */
     AMOUNT
 }
--- a/doorman/src/main/java/barleyspur/budget/Ledger.java
+++ b/doorman/src/main/java/barleyspur/budget/Ledger.java
@@ -3,13 +3,15 @@
 import java.util.List;
 
 /**
- * What a doorman knows of the budgets at one moment.
+ * The state of the budgets as one doorman knows it at one time.
  *
- * @param divides whether it divides; only then are there rows
- * @param divider where it asks, or whom its vote is promised to; empty: it knows none, or has asked for nothing
- * @param lost    it asks, and no divider has answered for twice as long as one should take
- * @param silent  whether it may neither vote nor use floors yet, since it has just started
- * @param own     what it may use itself
+ * @param divides whether this doorman is the coordinator; {@code rows} is empty otherwise
+ * @param divider where this doorman sends its requests or whom it voted for; empty if unknown or if it has requested
+ *     nothing
+ * @param lost whether it sends requests and no coordinator has answered for twice the expected time
+ * @param silent whether it may not vote yet because it has just started
+ * @param own the leases of this doorman
+ * @param rows the allocations that this doorman makes as the coordinator
  */
 public record Ledger(
         boolean divides,
@@ -21,7 +23,7 @@
         List<Own> own,
         List<Row> rows) {
 
-    /** This doorman's share of a budget. */
+    /** The lease of this doorman on one budget. */
     public record Own(
             String budget,
             Kind kind,
@@ -35,15 +37,15 @@
             long overheld) {}
 
     /**
-     * One budget as the divider has it.
+     * The allocation of one budget at the coordinator.
      *
-     * @param limit how much may be out beyond floors
-     * @param out   how much is
-     * @param why   something is held back, or empty
+     * @param limit how much may be leased beyond the floors
+     * @param out how much holders may still use
+     * @param why the reason for which capacity is held back, or empty
      */
     public record Row(String budget, Kind kind, long whole, long limit, long out, String why, List<Holding> holdings) {}
 
-    /** One doorman's part: {@code committed} is what it may still use, {@code target} what it is to have. */
+    /** The state of one holder: {@code committed} is what it may still use, {@code target} what it is to get. */
     public record Holding(
             String doorman,
             String address,
--- a/doorman/src/main/java/barleyspur/budget/Share.java
+++ b/doorman/src/main/java/barleyspur/budget/Share.java
@@ -1,23 +1,23 @@
 package barleyspur.budget;
 
 /**
- * What this doorman may use of one budget. Taking is local: a look at the time and at a few numbers. Not for several
- * threads.
+ * Limits the local use of one budget to the floor and the leased amount. {@link #take} is a local operation without any
+ * communication. Not thread-safe.
  */
 public final class Share {
 
     private static final double MS_PER_S = 1_000;
-    /** Of places: how much of the demand seen before is still believed an ask later, where less came. */
+    /** For places: factor by which the demand estimate decays per request interval if less demand is seen. */
     private static final double FADES = 0.7;
-    /** Of rates: how much a look counts against those before, where what came may be chance. */
+    /** For rates: weight of a new sample in the demand estimate if its deviation may be random. */
     private static final double LOOK_SHARE = 0.2;
-    /** Standard deviations of a count (as of a Poisson process, the root of its mean) beyond which it is no chance. */
+    /** Deviation of a count, in standard deviations of a Poisson process, above which it is not taken as random. */
     private static final double CHANCE = 3;
 
     final String name;
     final Terms terms;
     Terms.Budget budget;
-    /** When this process may use floors: whoever had its place before may have used them until then. */
+    /** When this process may use floors: until then a predecessor in its place may have used them. */
     private final double floorFromMs;
 
     long amount;
@@ -28,7 +28,7 @@
     private long using;
     private double tokens;
     private double settledMs;
-    // What came since the last look at the demand.
+    // Counters since the last demand estimate.
     private long taken;
     private long refused;
     private long peak;
@@ -37,7 +37,7 @@
     private double demand;
     private double lookedMs;
     double usedMs;
-    // Asking.
+    // State of the lease requests.
     long reported;
     double nextLookMs;
     long number;
@@ -57,26 +57,26 @@
         nextLookMs = nowMs;
     }
 
-    // ---- use -------------------------------------------------------------------------------------------
+    // ---- acquiring -------------------------------------------------------------------------------------
 
-    /** Until when new units may be taken from what was granted. */
+    /** Returns the time until which units of the lease may be acquired. */
     private double takesUntilMs() {
         return endMs - terms.slackMs() - (budget.kind() == Kind.PLACES ? terms.holdMs() : 0);
     }
 
-    /** What may be taken at that time: the floor and what was granted. */
+    /** Returns the limit at that time: the floor and the leased amount. */
     public long allowed(double nowMs) {
         return floor(nowMs) + (nowMs < takesUntilMs() ? amount : 0);
     }
 
-    /** What is set aside for this doorman, whatever becomes of the others. */
+    /** Returns the amount that is reserved for this doorman independently of any lease. */
     long floor(double nowMs) {
         return nowMs < floorFromMs ? 0 : Math.min(budget.floor(), budget.whole() / terms.largest());
     }
 
     /**
-     * Takes a unit, if there is one now. To be called last before what it is taken for is sent. A place has to be given
-     * back by {@link #release}.
+     * Acquires a unit if one is available. Must be the last check before the guarded operation is sent. A place has to
+     * be returned by {@link #release}.
      */
     public boolean take(double nowMs) {
         usedMs = nowMs;
@@ -103,14 +103,14 @@
         return good;
     }
 
-    /** What a unit was taken for is sent: counts where the process paused for longer than the slack in between. */
+    /** Records the sending of the guarded operation; counts pauses after {@link #take} that exceeded the slack. */
     public void sent(double takenMs, double nowMs) {
         if (nowMs - takenMs > terms.slackMs()) {
             overslept++;
         }
     }
 
-    /** Gives a place back. */
+    /** Returns a place. */
     public void release(double takenMs, double nowMs) {
         using--;
         released++;
@@ -120,7 +120,7 @@
         }
     }
 
-    /** Fills the bucket up to now: at what was granted while that lasted, at the floor after. */
+    /** Refills the token bucket up to now, at the leased rate until the lease ended and at the floor after that. */
     private void settle(double nowMs) {
         double end = takesUntilMs();
         if (settledMs < end && amount > 0) {
@@ -134,21 +134,23 @@
 
     private void fill(double untilMs, long rate) {
         if (untilMs > settledMs) {
-            // A clock that runs fast must not make more of it.
+            // Allows for a clock that runs fast.
             double more = rate * (1 - Terms.DRIFT) * (untilMs - settledMs) / MS_PER_S;
             tokens = Math.min(saved(rate), tokens + more);
             settledMs = untilMs;
         }
     }
 
-    /** What a bucket may hold: one unit for each of the largest fleet, and the rest of the burst by shares. */
+    /**
+     * Returns the bucket size: one unit, as each doorman of the largest fleet has, and a part of the remaining burst.
+     */
     private double saved(long rate) {
         return rate == 0 ? 0 : 1 + (budget.burst() - terms.largest()) * Math.min(rate, budget.whole()) / budget.whole();
     }
 
-    // ---- grants ----------------------------------------------------------------------------------------
+    // ---- leases ----------------------------------------------------------------------------------------
 
-    /** Takes a share that was granted; its time is counted from when the ask was sent. */
+    /** Applies a grant; {@code newEndMs} counts from the sending of the request. */
     void granted(double nowMs, long number, long byTerm, long newAmount, double newEndMs, long newOpening) {
         if (budget.kind() == Kind.RATE) {
             settle(nowMs);
@@ -166,12 +168,12 @@
         }
     }
 
-    /** Binds this process to use nothing that was granted, from the ask of that number on. */
+    /** Stops using all grants up to the answer to the last request. */
     void giveBack(double nowMs) {
         granted(nowMs, number, term, 0, endMs, opening);
     }
 
-    /** What is held beyond the floor at that time, and could still be used. */
+    /** Returns the leased amount beyond the floor that is valid at that time. */
     long held(double nowMs) {
         return nowMs < endMs ? amount : 0;
     }
@@ -187,13 +189,13 @@
 
     // ---- demand ----------------------------------------------------------------------------------------
 
-    /** What could be used beyond the floor, by what came lately. */
+    /** Returns the amount that could be used beyond the floor, estimated from recent requests. */
     long wants(double nowMs) {
         double elapsed = nowMs - lookedMs;
         if (elapsed >= budget.leaseMs() / Holder.ASKS / Holder.HASTE / 2) {
             demand = switch (budget.kind()) {
                 case RATE -> rate(elapsed);
-                // Up at once, down by and by.
+                // Rises at once, decays slowly.
                 case PLACES ->
                     Math.max(
                             Math.max(peak, using)
@@ -214,7 +216,7 @@
         return Math.max(0, Math.min(budget.whole(), (long) Math.ceil(demand)) - floor(nowMs));
     }
 
-    /** Units a second: what came differs by more than chance from what was expected, or moves that a little. */
+    /** Estimates units per second: takes a significant change at once and smooths a deviation that may be random. */
     private double rate(double elapsed) {
         double came = taken + refused;
         double expected = demand * elapsed / MS_PER_S;
@@ -224,13 +226,16 @@
                 : demand + LOOK_SHARE * (seen - demand);
     }
 
-    /** Whether what is wanted differs so much from what was told that the divider should know. */
+    /** Returns whether the demand differs enough from the last reported one to report it early. */
     boolean hasNews(double nowMs) {
         long wants = wants(nowMs);
         return Math.abs(wants - reported) > Math.max(1, reported / 4);
     }
 
-    /** Nobody asks for an amount that nobody wants: a divider that has just begun would take its time for young. */
+    /**
+     * Returns whether a lease request is useful. An amount that nobody uses is not requested: a new coordinator would
+     * take that for its first request and open a new period.
+     */
     boolean isWorthAsking(double nowMs) {
         return budget.kind() != Kind.AMOUNT || opening != 0 || held(nowMs) > 0 || usedMs >= lookedMs;
     }
@@ -240,24 +245,24 @@
         return nowMs - usedMs > (once ? 1 : 3) * budget.leaseMs() && nowMs >= endMs && (using == 0 || once);
     }
 
-    // ---- readings --------------------------------------------------------------------------------------
+    // ---- status ----------------------------------------------------------------------------------------
 
-    /** The budget's name. */
+    /** Returns the name of the budget, with the subject if there is one. */
     public String name() {
         return name;
     }
 
-    /** Places in use, or units spent. */
+    /** Returns the number of places in use, or of units spent. */
     public long using() {
         return using;
     }
 
-    /** What the demand was taken for at the last look. */
+    /** Returns the demand by the last estimate. */
     public double demand() {
         return demand;
     }
 
-    /** Sends that came later after their check than the slack, and places that were in use for longer than they may. */
+    /** Returns the number of sends later than the slack allows, and of places held for longer than allowed. */
     public long[] beyondBounds() {
         return new long[] {overslept, overheld};
     }
--- a/doorman/src/main/java/barleyspur/budget/Shared.java
+++ b/doorman/src/main/java/barleyspur/budget/Shared.java
@@ -7,20 +7,20 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 
-/** What the parts of one process share: the terms, the time, the hint of who is there, and the way out. */
+/** State shared by the components of one process: configuration, current time, reachability hint and outputs. */
 final class Shared {
 
     final Terms terms;
     final long digest;
-    /** As retuned since the start. */
+    /** The budgets by name, with changes applied since the start. */
     final Map<String, Terms.Budget> budgets;
-    /** This process's own address. */
+    /** The address of this process. */
     final String self;
 
     final SplittableRandom random;
     final double shortestLeaseMs;
     private final Consumer<Action> out;
-    /** What this process says to itself. */
+    /** Messages of this process to itself. */
     final ArrayDeque<Word> own = new ArrayDeque<>();
 
     double now;
@@ -39,17 +39,17 @@
                 .orElse(1);
     }
 
-    /** How long a process that has just started promises nothing: as long as a promise made from here before may last. */
+    /** Returns how long a voter abstains after its start: as long as a promise made before the restart may last. */
     double silenceMs() {
         return terms.termMs() * Terms.WAIT;
     }
 
-    /** How long one that has just started uses no floor: as long as what was taken of it before may be in use. */
+    /** Returns how long no floor is used after a start: as long as units acquired before the restart may be in use. */
     double floorsAfterMs() {
         return terms.holdMs() * Terms.WAIT;
     }
 
-    /** The terms by which a budget goes now, or null. */
+    /** Returns the current configuration of a budget, or null. */
     Terms.Budget of(String name) {
         return budgets.get(Terms.root(name));
     }
--- a/doorman/src/main/java/barleyspur/budget/Voter.java
+++ b/doorman/src/main/java/barleyspur/budget/Voter.java
@@ -1,9 +1,8 @@
 package barleyspur.budget;
 
 /**
- * One voter's word: it promises one ballot at a time that no other will have its vote before the promise is over. It
- * remembers nothing over a restart, so whoever has just started promises nothing until every promise that was made from
- * here before must be over.
+ * Promises its vote to one ballot at a time until the promise expires. Keeps no state over a restart, so a voter that
+ * has just started abstains until every promise that it may have made before must have expired.
  */
 final class Voter {
 
@@ -24,12 +23,12 @@
         return s.now < silentUntilMs;
     }
 
-    /** Whom it has promised to, as an address; empty: nobody. */
+    /** Returns the address that the vote is promised to, or empty. */
     String promised() {
         return s.now < untilMs ? promised : "";
     }
 
-    /** Since when it could have promised to somebody, or when it will. */
+    /** Returns the time since which, or from which on, the vote is free. */
     double freeSinceMs() {
         return Math.max(silentUntilMs, untilMs);
     }
--- a/doorman/src/main/java/barleyspur/budget/Word.java
+++ b/doorman/src/main/java/barleyspur/budget/Word.java
@@ -2,43 +2,47 @@
 
 import java.util.List;
 
-/** What two doormans say to each other about budgets. {@code terms} is the digest of what they have agreed on. */
+/**
+ * Messages between doormans about budgets. {@code terms} is the digest of the configuration that the sender and the
+ * receiver must share.
+ */
 public sealed interface Word {
 
     /**
-     * Asks a voter for its promise.
+     * Requests the promise of a voter.
      *
-     * @param ballot of this candidacy, drawn anew for each
-     * @param number of this ask, so that the answer tells when it was sent
+     * @param ballot random id of this candidacy
+     * @param number sequence number of this request: identifies the time at which it was sent when the reply comes
      */
     record VoteAsk(long terms, long ballot, long number) implements Word {}
 
-    /** A voter's answer; {@code promised} is the address of whom it has promised to, or empty. */
+    /** Replies to a {@link VoteAsk}; {@code promised} is the address that the vote is promised to, or empty. */
     record Vote(long ballot, long number, boolean yes, String promised) implements Word {}
 
-    /** The candidate or divider of this ballot will never act on it again. */
+    /** Releases the votes for a ballot, which its candidate or coordinator will never use again. */
     record Release(long ballot) implements Word {}
 
     /**
-     * A doorman reports what it holds and asks for what it wants.
+     * Requests leases from the coordinator and reports the current ones.
      *
-     * @param heard the term of the divider that it last heard: shows one that it was sent after that began
-     * @param atMs  the asker's own clock, of which only the rate counts
+     * @param heard epoch of the coordinator whose grants arrived last: if it is the receiver's, the report was sent
+     *     after that epoch began
+     * @param atMs clock of the sender, of which only the rate is used
      */
     record Ask(long terms, long heard, double atMs, List<Claim> claims) implements Word {}
 
     /**
-     * One budget's part of an ask.
+     * The part of a lease request for one budget.
      *
-     * @param number  of the ask: rises for each budget within a process's life
-     * @param took    of all grants with numbers up to this none will be used but for {@code held}
-     * @param term    the ballot under which what is held was granted
-     * @param held    what it may use now beyond its floor; 0 where that has run out
-     * @param using   places in use, or units spent
-     * @param wants   what it could use beyond its floor
-     * @param whole   what it takes the whole for
-     * @param opening of an amount: which one what is held belongs to
-     * @param leftMs  how long what is held lasts
+     * @param number sequence number of the request: increases for each budget while the process runs
+     * @param took of all grants with sequence numbers up to this one, nothing will be used but {@code held}
+     * @param term epoch in which the current lease was granted
+     * @param held amount that may be used now beyond the floor; 0 if the lease has expired
+     * @param using places in use, or units spent
+     * @param wants demand beyond the floor
+     * @param whole capacity of the budget by the sender's settings
+     * @param opening of an amount: id of the period that {@code held} belongs to
+     * @param leftMs remaining duration of the current lease
      */
     record Claim(
             String budget,
@@ -53,12 +57,12 @@
             long opening,
             double leftMs) {}
 
-    /** The divider's answer to an ask. */
+    /** The coordinator's answer to a lease request. */
     record Grants(long terms, long term, List<Grant> grants) implements Word {}
 
-    /** A share: {@code amount} for {@code forMs} from when the ask of that number was sent. */
+    /** Grants {@code amount} for {@code forMs}, counted from the sending of the request with that sequence number. */
     record Grant(String budget, long number, long amount, double forMs, long opening) {}
 
-    /** Not the divider: ask there, or, where it is empty, another voter. */
+    /** Tells that the sender is not the coordinator: requests go to this address or, if empty, to another voter. */
     record Elsewhere(String address) implements Word {}
 }
--- a/doorman/src/main/java/barleyspur/budget/net/BudgetCalls.java
+++ b/doorman/src/main/java/barleyspur/budget/net/BudgetCalls.java
@@ -5,12 +5,12 @@
 import org.json.JSONArray;
 import org.json.JSONObject;
 
-/** What {@code GET /admin/budget} answers. */
+/** Builds the response to {@code GET /admin/budget}. */
 final class BudgetCalls {
 
     private BudgetCalls() {}
 
-    /** @param ledger null where this process has no address in its fleet yet */
+    /** @param ledger null if this process has no address in its fleet yet */
     static JSONObject json(String name, Ledger ledger) {
         JSONObject json = new JSONObject().put("self", name).put("ready", ledger != null);
         if (ledger == null) {
--- a/doorman/src/main/java/barleyspur/budget/net/BudgetPort.java
+++ b/doorman/src/main/java/barleyspur/budget/net/BudgetPort.java
@@ -21,7 +21,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One doorman's budgets on the fleet's datagrams and its event loop. */
+/** Runs the budgets of one doorman on the event loop and the datagrams of the fleet view. */
 public final class BudgetPort implements Passenger {
 
     private static final Logger LOG = LoggerFactory.getLogger("budget");
@@ -39,9 +39,9 @@
     private final Counter turnedAway;
     private final Counter sentWords;
     private final MeterRegistry metrics;
-    /** Wholes that the settings were changed to since the start. */
+    /** Budgets that were changed by a reload since the start. */
     private final Map<String, Terms.Budget> retuned = new HashMap<>();
-    /** Null until others can reach this process: only then its silence counts. */
+    /** Null until other processes can reach this one: the abstention of its voter has to start then. */
     private Budgets budgets;
 
     private Clock.Timer timer;
@@ -63,7 +63,7 @@
         fleet.board(this);
     }
 
-    /** Adds its call to the second address's. */
+    /** Adds the call for the budgets to the routes of the admin address. */
     public void addTo(Routes.Builder routes) {
         routes.add(
                 "GET",
@@ -74,9 +74,9 @@
                                 .toString()));
     }
 
-    // ---- taking ----------------------------------------------------------------------------------------
+    // ---- acquiring -------------------------------------------------------------------------------------
 
-    /** The share of a budget or subject; null where there is none yet. */
+    /** Returns the limiter of a budget or subject, or null if it isn't available yet. */
     Share share(String budget) {
         Share share = budgets == null || left ? null : budgets.share(clock.nowMs(), budget);
         if (share != null) {
@@ -85,7 +85,7 @@
         return share;
     }
 
-    /** Takes a unit of a share, or asks for more soon. */
+    /** Acquires a unit, or schedules an early lease request if none is available. */
     boolean take(Share share) {
         double now = clock.nowMs();
         boolean good = share.take(now);
@@ -99,7 +99,7 @@
         return good;
     }
 
-    /** Other settings count from now on: of a budget that is known its whole and weight. */
+    /** Applies the capacity, burst and weight of reloaded settings to the budgets that exist since the start. */
     public void retune(Terms next) {
         next.budgets().forEach((budget, b) -> {
             retuned.put(budget, b);
@@ -111,7 +111,7 @@
         });
     }
 
-    // ---- the fleet's calls -----------------------------------------------------------------------------
+    // ---- calls of the fleet ----------------------------------------------------------------------------
 
     @Override
     public void start() {
@@ -127,7 +127,7 @@
             word = codec.decode(body);
         } catch (WordCodec.Unreadable e) {
             metrics.counter("budget.words.refused", "cause", e.getMessage()).increment();
-            capped.warn("word refused: " + e.getMessage(), "from", sender.name());
+            capped.warn("message refused: " + e.getMessage(), "from", sender.name());
             return;
         }
         if (word != null && budgets != null) {
@@ -159,7 +159,7 @@
         left = true;
     }
 
-    // ---- time and actions ------------------------------------------------------------------------------
+    // ---- timer and actions -----------------------------------------------------------------------------
 
     private void schedule() {
         double due = budgets == null || left ? Double.POSITIVE_INFINITY : budgets.dueMs();
@@ -206,7 +206,7 @@
         } else if (action instanceof Action.Divides a) {
             LogEvent.log(
                     LOG.atInfo(),
-                    a.on() ? "divides" : "divides no more",
+                    a.on() ? "divides" : "stopped dividing",
                     "mono",
                     mono,
                     "term",
--- a/doorman/src/main/java/barleyspur/budget/net/GuardedDepots.java
+++ b/doorman/src/main/java/barleyspur/budget/net/GuardedDepots.java
@@ -13,10 +13,11 @@
 import java.util.Map;
 
 /**
- * Depots whose attempts take from budgets, each node's from its own: {@code NAME:UID}. A unit is taken last before the
- * attempt's first byte goes out, also where it had to wait for a connection, so that nothing leaves on a share that is
- * over; without one the attempt ends as one that the node had no room for, which never ran. An amount counts attempts at
- * nodes that started less than its lease ago, under the node's id and start.
+ * Depots whose attempts are limited by budgets; each node has its own subject {@code NAME:UID}. A unit is acquired
+ * immediately before the first byte of an attempt is written, even if the attempt had to wait for a connection, so that
+ * nothing is sent under an expired lease. Without a unit the attempt ends like one that the node had no room for and
+ * that never ran. A budget of kind amount limits attempts at nodes that started less than its lease duration ago; its
+ * subject contains the node's id and start time.
  */
 public final class GuardedDepots implements Depots {
 
@@ -24,13 +25,13 @@
     private final BudgetPort port;
     private final Clock clock;
     private final double holdMs;
-    /** Those whose places come first: they alone can be given back. */
+    /** Those that limit places come first, as only places can be returned. */
     private final List<Terms.Budget> budgets = new ArrayList<>();
 
     private final Map<String, Integer> guarded;
     private final Map<Long, NodeListing> listings = new HashMap<>();
 
-    /** @param guarded the kinds of nodes whose attempts take from a budget, by its name */
+    /** @param guarded the kind of nodes whose attempts each budget limits, by the budget's name */
     public GuardedDepots(Depots depots, BudgetPort port, Clock clock, Terms terms, Map<String, Integer> guarded) {
         this.depots = depots;
         this.port = port;
@@ -43,7 +44,7 @@
                 .forEach(budgets::add);
     }
 
-    /** One attempt, and what was taken for it. */
+    /** One attempt, and the units acquired for it. */
     private final class Guard implements AttemptListener, Call {
         private final NodeListing listing;
         private final AttemptListener listener;
@@ -99,7 +100,7 @@
             if (!places.isEmpty()) {
                 longest = clock.after(holdMs, () -> {
                     if (!over) {
-                        // Longer than a place may be held.
+                        // A place must not be held for longer.
                         call.cancel();
                         ended(Answer.of(Result.TIMEOUT));
                     }
@@ -128,7 +129,7 @@
             freeWhenDone();
         }
 
-        /** The node may still be at it: its place is free when it must be done. */
+        /** The node may still be processing the attempt, so its place is returned only when it must be done. */
         private void freeWhenDone() {
             if (!places.isEmpty()) {
                 clock.after(Math.max(0, takenMs + holdMs - clock.nowMs()), this::giveBack);
--- a/doorman/src/main/java/barleyspur/budget/net/WordCodec.java
+++ b/doorman/src/main/java/barleyspur/budget/net/WordCodec.java
@@ -11,13 +11,13 @@
 import java.util.List;
 
 /**
- * Words about budgets as bytes: CBOR (RFC 8949), {@code [format, kind, fields...]}. Elements behind those that a reader knows
- * are skipped; a word of an unknown kind, or of a format that this program doesn't read, is none. Times are whole
- * milliseconds: what a share lasts is rounded down, what is left of one up. Not for several threads.
+ * Encodes messages about budgets as CBOR (RFC 8949): {@code [format, kind, fields...]}. Additional elements at the end
+ * are skipped. A message of an unknown kind is ignored, one of another format is rejected. Times are whole
+ * milliseconds: the duration of a grant is rounded down, the remaining duration of a lease up. Not thread-safe.
  */
 final class WordCodec {
 
-    /** Written into each word: the oldest format whose readers understand it. */
+    /** Written into each message: the oldest format whose readers understand it. */
     private static final int FORMAT = 1;
 
     private static final int VOTE_ASK = 1;
@@ -29,10 +29,10 @@
     private static final int MOST_ITEMS = 64;
     private static final int LONGEST_TEXT = 128;
     private static final double WEIGHTS = 1_000;
-    /** What of a word surrounds its list. */
+    /** Upper bound on the bytes of a message around its list of items. */
     private static final int AROUND = 64;
 
-    /** Words that can't be read. */
+    /** Thrown for messages that cannot be decoded; the text is the cause's label in the metrics. */
     static final class Unreadable extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -47,7 +47,7 @@
 
     private final CBORFactory factory = new CBORFactory();
 
-    /** A word as one or more messages of at most {@code room} bytes; what is too long by itself is left out. */
+    /** Encodes a message as one or more of at most {@code room} bytes; items that are too long are left out. */
     List<byte[]> encode(Word word, int room) {
         if (word instanceof Word.Ask w) {
             return split(
@@ -177,7 +177,7 @@
         g.writeEndArray();
     }
 
-    /** Reads a word; null where it is of a kind that this program doesn't know. */
+    /** Decodes a message; returns null for an unknown kind. */
     Word decode(byte[] body) throws Unreadable {
         try (JsonParser p = factory.createParser(body)) {
             start(p);
--- a/doorman/src/main/java/barleyspur/budget/net/package-info.java
+++ b/doorman/src/main/java/barleyspur/budget/net/package-info.java
@@ -1,2 +1,2 @@
-/** Carries what {@link barleyspur.budget} decides: on the fleet view's datagrams, to attempts at depots, and to operators. */
+/** Connects {@link barleyspur.budget} to the fleet's datagrams, to attempts at depots, and to the admin interface. */
 package barleyspur.budget.net;
--- a/doorman/src/main/java/barleyspur/tier/History.java
+++ b/doorman/src/main/java/barleyspur/tier/History.java
@@ -1,32 +1,34 @@
 package barleyspur.tier;
 
 /**
- * What is known of objects that were asked for lately, kept or not: how often, on which of the last eight days, and at
- * what time of the day. A slot takes 16 bytes, their number is a power of two, and three quarters of them are filled at
- * most: 21 to 43 MB for a million objects, 33.6 for exactly that. Where it is full, the one asked for longest ago of a few goes.
+ * Request statistics of recently requested objects, kept in the tier or not: how often they were requested, on which of
+ * the last eight days, and at what time of day. A slot takes 16 bytes, the number of slots is a power of two, and at
+ * most three quarters of them are used: 21 to 43 MB for about a million objects, 33.6 MB for exactly a million. When
+ * the table is full, the least recently requested one of a few sampled objects is evicted.
  *
- * <p>Frequency halves every {@link #HALF_LIFE_MIN} minutes, reckoned when an object is looked at.
+ * <p>The frequency halves every {@link #HALF_LIFE_MIN} minutes; the decay is computed when an object is read or
+ * updated.
  */
 final class History {
 
     private static final int DAY_MIN = 1_440;
-    /** A day's bins for the time of the first request: ten minutes each. */
+    /** Width of the time-of-day bins for the first request of a day. */
     private static final int BIN_MIN = 10;
 
     private static final int BINS = DAY_MIN / BIN_MIN;
     private static final int HALF_LIFE_MIN = 90;
     private static final int LOOKED_AT = 8;
     private static final double MINUTE_MS = 60_000;
-    /** Frequencies are kept in 256ths. */
+    /** Fixed-point scale of the frequencies: one request is 256. */
     private static final double UNIT = 256;
-    /** What an object's first request counts: most objects that are new are not asked for again. */
+    /** Count of an object's first request, a quarter of a request: most new objects are not requested again. */
     private static final int FIRST = 64;
 
     private static final int MOST_COUNT = 0xFFFF;
 
     private final long[] objects;
     private final int[] lastMin;
-    /** Of each object: days (8 bits, the lowest is the day of lastMin), bin (8 bits), frequency (16 bits). */
+    /** Per object: days (8 bits, the lowest is the day of lastMin), bin (8 bits), frequency (16 bits). */
     private final int[] packed;
 
     private final int mask;
@@ -34,7 +36,7 @@
     private int size;
     private long draws = 0x9E3779B97F4A7C15L;
 
-    /** For at most so many objects; from 16 on. */
+    /** Creates a history of at most {@code most} objects, or of 16 if that is less. */
     History(int most) {
         int slots = Integer.highestOneBit(Math.max(16, most) * 4 / 3 - 1) << 1;
         this.most = most;
@@ -44,7 +46,7 @@
         mask = slots - 1;
     }
 
-    /** An object as it stands: how often it is asked for a minute now, and how likely and how soon it comes back. */
+    /** Statistics of an object: its current request rate, and how likely and how soon it is requested again. */
     record Known(double perMinute, double dailyShare, double untilBinMin) {
         static final Known NOTHING = new Known(0, 0, DAY_MIN);
     }
@@ -61,7 +63,7 @@
         return objects.length;
     }
 
-    /** Spreads the bits of a number (the finisher of SplitMix64, Steele et al. 2014). */
+    /** Hashes a number (the finisher of SplitMix64, Steele et al. 2014). */
     static long mix(long z) {
         long a = (z ^ (z >>> 30)) * 0xBF58476D1CE4E5B9L;
         long b = (a ^ (a >>> 27)) * 0x94D049BB133111EBL;
@@ -81,7 +83,7 @@
         return at;
     }
 
-    /** An object was asked for. */
+    /** Records a request for an object. */
     void asked(long object, double nowMs) {
         int minute = (int) (nowMs / MINUTE_MS);
         long name = name(object);
@@ -113,27 +115,27 @@
         return (packed[at] & 0xFFFF) * Math.exp(-Math.log(2) * (minute - lastMin[at]) / HALF_LIFE_MIN);
     }
 
-    /** What is known of an object at a time. */
+    /** Returns the statistics of an object at a time. */
     Known known(long object, double nowMs) {
         int at = find(name(object));
         if (objects[at] == 0) {
             return Known.NOTHING;
         }
         int minute = (int) (nowMs / MINUTE_MS);
-        // The mean count of a steady stream is its rate times the half life over ln 2.
+        // In a steady state the mean count is the request rate times the half-life over ln 2.
         double perMinute = aged(at, minute) / UNIT * Math.log(2) / HALF_LIFE_MIN;
         int days = minute / DAY_MIN - lastMin[at] / DAY_MIN;
         int seen = days > 7 ? 0 : (packed[at] >>> 24) << days;
-        // Of the three days before this one: whether it has come today already is in the frequency.
+        // Counts the three days before the current one: a request of today is already part of the frequency.
         double share = Integer.bitCount(seen >> 1 & 0b111) / 3.0;
         int bin = packed[at] >>> 16 & 0xFF;
         int until = Math.floorMod(bin - minute % DAY_MIN / BIN_MIN, BINS) * BIN_MIN;
-        // An object that has come today by this time next comes tomorrow.
+        // An object already requested today in this bin is next expected tomorrow.
         boolean doneToday = (seen & 1) != 0 && until == 0;
         return new Known(perMinute, share, doneToday ? DAY_MIN : until);
     }
 
-    /** Makes room: of a few at a random place, the one asked for longest ago on the fewest days. */
+    /** Evicts one of a few sampled objects: the one with the oldest last request, a day more for each day seen. */
     private void forgetOne() {
         draws = mix(draws + 0x9E3779B97F4A7C15L);
         int at = (int) draws & mask;
@@ -152,7 +154,7 @@
         remove(worst);
     }
 
-    /** Closes the gap that a removed object leaves, so that probing needs no marks of what was there. */
+    /** Closes the gap after a removal by shifting entries back, so that probing needs no tombstones. */
     private void remove(int hole) {
         int gap = hole;
         for (int at = gap + 1 & mask; objects[at] != 0; at = at + 1 & mask) {
--- a/doorman/src/main/java/barleyspur/tier/Keeper.java
+++ b/doorman/src/main/java/barleyspur/tier/Keeper.java
@@ -1,26 +1,26 @@
 package barleyspur.tier;
 
-/** Decides which parts a bounded store keeps. Sizes are in KB, at least 1; times in ms, never stepping back. */
+/** Decides which parts a bounded store keeps. Sizes are in KB, at least 1; times are in ms and never decrease. */
 public interface Keeper {
 
-    /** Takes the parts that have to go. */
+    /** Receives the parts that are evicted. */
     interface Dropped {
-        /** One part of an object. */
+        /** Evicts one part of an object. */
         void part(long object, int part);
     }
 
-    /** A part is asked for: learns of it, and says whether it is kept. */
+    /** Records a request for a part; returns whether the part is kept. */
     boolean asked(long object, int part, int kb, double nowMs);
 
     /**
-     * A part that was not kept has been fetched. Says whether it is kept from now on; those that make room for it go to
-     * {@code dropped}.
+     * Offers a part that was not kept and has been fetched. Returns whether it is kept from now on; the parts evicted
+     * to make room for it are passed to {@code dropped}.
      */
     boolean offered(long object, int part, int kb, double nowMs, Dropped dropped);
 
-    /** A part has gone for another reason, such as a purge; says whether it was kept. */
+    /** Removes a part for another reason, such as a purge; returns whether it was kept. */
     boolean removed(long object, int part);
 
-    /** What all kept parts take. */
+    /** Returns the total size of the kept parts. */
     long keptKb();
 }
--- a/doorman/src/main/java/barleyspur/tier/PartTable.java
+++ b/doorman/src/main/java/barleyspur/tier/PartTable.java
@@ -1,8 +1,8 @@
 package barleyspur.tier;
 
 /**
- * The kept parts and their sizes, in 16 bytes a slot; the table doubles when it is three quarters full, so a million
- * parts take 21 to 43 MB. Open addressing by linear probing, without marks of what was removed.
+ * Hash table of the kept parts and their sizes, with 16 bytes per slot. It doubles when it is three quarters full, so a
+ * million parts take 21 to 43 MB. Open addressing with linear probing and no tombstones.
  */
 final class PartTable {
 
@@ -10,7 +10,7 @@
 
     private long[] objects = new long[FIRST_SLOTS];
     private int[] parts = new int[FIRST_SLOTS];
-    /** KB; 0 where a slot is free. */
+    /** In KB; 0 for a free slot. */
     private int[] sizes = new int[FIRST_SLOTS];
 
     private int count;
@@ -35,7 +35,7 @@
         return (int) History.mix(object * 31 + part) & objects.length - 1;
     }
 
-    /** The slot of a part, or the free one where it would go. */
+    /** Returns the slot of a part, or the free slot to insert it at. */
     private int slot(long object, int part) {
         int at = home(object, part);
         while (sizes[at] != 0 && (objects[at] != object || parts[at] != part)) {
@@ -48,7 +48,7 @@
         return sizes[slot(object, part)] != 0;
     }
 
-    /** Takes a part in that it doesn't hold; {@code kb} is at least 1. */
+    /** Inserts a part that is not in the table; {@code kb} is at least 1. */
     void put(long object, int part, int kb) {
         if (count * 4 >= objects.length * 3) {
             grow();
@@ -75,7 +75,7 @@
         }
     }
 
-    /** Removes a part and says how large it was; 0 where it wasn't there. */
+    /** Removes a part; returns its size, or 0 if it was not in the table. */
     int remove(long object, int part) {
         int gap = slot(object, part);
         int kb = sizes[gap];
@@ -97,8 +97,8 @@
     }
 
     /**
-     * A slot in use, drawn by a random number: the first one from a random place on. Those behind a run of free slots
-     * are drawn more often, which evens out as the table changes. There must be one.
+     * Samples a used slot: the first one at or after a random position. Slots behind a run of free ones are sampled
+     * more often, which evens out as the table changes. The table must not be empty.
      */
     int draw(long random) {
         int at = (int) random & objects.length - 1;
--- a/doorman/src/main/java/barleyspur/tier/RecurrentKeeper.java
+++ b/doorman/src/main/java/barleyspur/tier/RecurrentKeeper.java
@@ -4,20 +4,23 @@
 import java.util.List;
 
 /**
- * Keeps what is worth most for its place: how often its object is asked for now, or is likely to be soon by the days and
- * the time of day at which it came before. A part is let in only if it is worth more than what would have to go, so a
- * scan of objects wanted once passes by; of what is kept, a few at random are looked at and the least goes (as in
- * Redis' and Caffeine's sampling, and hyperbolic caching: Blankstein et al. 2017).
+ * Keeps the parts with the highest value per size. The value is the object's current request rate plus the rate
+ * expected from its daily recurrence: on how many recent days it was requested, and how soon the time of day of those
+ * requests comes. A part is admitted only if it is worth more than the parts to evict for it, so a scan of objects that
+ * are requested once does not displace others. Eviction picks the least valuable of a few sampled parts (as in Redis'
+ * and Caffeine's sampling, and hyperbolic caching: Blankstein et al. 2017).
  */
 public final class RecurrentKeeper implements Keeper {
 
-    /** Kept parts looked at to find the least. */
+    /** Number of kept parts that are sampled for an eviction. */
     private static final int SAMPLE = 24;
-    /** How far off a daily return counts: after so many minutes it is worth 1/e of one that is due. */
+    /**
+     * Decay of an expected daily request with its distance: after so many minutes it is worth 1/e of one that is due.
+     */
     private static final double AHEAD_MIN = 1_000;
-    /** Requests that one return stands for, a minute: as many as an object asked for all the time gets in an hour. */
+    /** Request rate that an expected daily request counts as: that of an object with one request an hour. */
     private static final double RETURN_PER_MINUTE = 1 / 60.0;
-    /** Between counting requests (1) and bytes (0). */
+    /** Exponent of the size: 0 would maximize the hit ratio by bytes, 1 the one by requests. */
     private static final double SIZE_POWER = 0.6;
 
     private record Leaving(long object, int part, int kb) {}
@@ -29,9 +32,11 @@
     private long draws;
 
     /**
-     * @param mostKb  what it may keep, over 0
-     * @param objects of how many objects it knows a history at most
-     * @param seed    of its draws
+     * Creates an empty store.
+     *
+     * @param mostKb the capacity, above 0
+     * @param objects the maximum number of objects in the history
+     * @param seed for the sampling
      */
     public RecurrentKeeper(long mostKb, int objects, long seed) {
         this.mostKb = mostKb;
@@ -50,7 +55,7 @@
         return held.holds(object, part);
     }
 
-    /** What a KB of it is worth. */
+    /** Returns the value of a part per weighted size. */
     private double worth(long object, int kb, double nowMs) {
         History.Known k = history.known(object, nowMs);
         double back = k.dailyShare() * RETURN_PER_MINUTE * Math.exp(-k.untilBinMin() / AHEAD_MIN);
--- a/doorman/src/test/java/barleyspur/budget/DivisionTest.java
+++ b/doorman/src/test/java/barleyspur/budget/DivisionTest.java
@@ -14,7 +14,7 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** Weighted max-min in whole units. */
+/** Tests weighted max-min allocation in whole units. */
 class DivisionTest {
 
     private static long[] divide(long total, double[] weights, long... wants) {
@@ -31,7 +31,7 @@
         return weights;
     }
 
-    /** Guards: nobody gets more than it wants where others lack, who lack get alike, weights count, spare is spread. */
+    /** Demands cap allocations, unsatisfied holders get equal amounts by weight, and spare capacity is spread. */
     @Test
     void ordinaryCases() {
         assertArrayEquals(new long[] {2, 4, 4}, divide(10, alike(3), 2, 9, 9));
@@ -41,7 +41,7 @@
         assertArrayEquals(new long[0], divide(5, alike(0)));
     }
 
-    /** Guards: the whole is divided, no more and no less; and nobody who lacks gets over a unit less than anybody else. */
+    /** Exactly the total is allocated, and an unsatisfied holder gets at most a unit less than any other. */
     @Property(seed = "71", tries = 2_000)
     void allIsDividedAndFair(
             @ForAll @Size(min = 1, max = 20) List<@LongRange(max = 50) Long> wanted,
@@ -57,14 +57,14 @@
         }
         assertEquals(total, sum);
         for (int i = 0; i < wants.length && lack; i++) {
-            assertTrue(given[i] <= wants[i], "nobody has more than it wants where somebody lacks");
+            assertTrue(given[i] <= wants[i], "a holder has more than its demand while another is unsatisfied");
             for (int j = 0; j < wants.length; j++) {
                 assertTrue(given[i] >= wants[i] || given[j] <= given[i] + 1, i + " and " + j);
             }
         }
     }
 
-    /** Guards: whatever the weights, the sum is right. */
+    /** The total is allocated exactly for any weights. */
     @Property(seed = "72", tries = 1_000)
     void weightsDontChangeTheSum(
             @ForAll @Size(5) List<@LongRange(max = 50) Long> wanted,
--- a/doorman/src/test/java/barleyspur/budget/net/WordCodecPropertiesTest.java
+++ b/doorman/src/test/java/barleyspur/budget/net/WordCodecPropertiesTest.java
@@ -14,7 +14,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** Words about budgets as bytes, with random cuts and garbage. */
+/** Round trips of budget messages, and decoding of truncated and corrupted ones. */
 class WordCodecPropertiesTest {
 
     private static final int ROOM = 800;
@@ -35,7 +35,7 @@
                 new Word.Grants(7, 8, List.of()));
     }
 
-    /** Guards: what is written is read. */
+    /** Each kind of message survives a round trip. */
     @Test
     void whatIsWrittenIsRead() throws Exception {
         for (Word word : words()) {
@@ -44,7 +44,7 @@
         }
     }
 
-    /** Guards: however many budgets are asked for, each message fits, and none is left out. */
+    /** Any number of items is split into messages that fit, and none is left out. */
     @Property(seed = "81", tries = 60)
     void messagesFitAndNoneIsLeftOut(
             @ForAll @IntRange(max = 300) int count, @ForAll @IntRange(min = 200, max = 900) int room) throws Exception {
@@ -60,7 +60,9 @@
         assertEquals(claims, read);
     }
 
-    /** Guards: what is cut or changed is unreadable, none, or some word, but no other failure. */
+    /**
+     * A truncated or corrupted message is rejected, ignored or decoded to some message, but causes no other failure.
+     */
     @Property(seed = "82", tries = 2_000)
     void garbageDoesNoHarm(
             @ForAll @IntRange(max = 6) int which,
@@ -79,7 +81,7 @@
         }
     }
 
-    /** Guards: a word of a newer kind is none, of a newer format unreadable, and fields behind the known are skipped. */
+    /** An unknown kind is ignored, a newer format is rejected, and additional fields at the end are skipped. */
     @Test
     void newerWordsAreSkipped() throws Exception {
         assertNull(codec.decode(new byte[] {(byte) 0x82, 1, 99 - 60}));
--- a/doorman/src/test/java/barleyspur/tier/RecurrentKeeperTest.java
+++ b/doorman/src/test/java/barleyspur/tier/RecurrentKeeperTest.java
@@ -13,7 +13,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What the tier keeps: what comes back each morning, through scans and pushes, within its place and its memory. */
+/**
+ * Tests the retention of daily recurring objects under scans, and the bounds on the size of the tier and its history.
+ */
 class RecurrentKeeperTest {
 
     private static final double MINUTE = 60_000;
@@ -28,8 +30,8 @@
     }
 
     /**
-     * Guards: what riders ask for each morning is still there the next, through a day of objects wanted once; it must
-     * have come on three days before it counts as daily.
+     * Objects that are requested each morning survive a day of objects that are requested once. They count as daily
+     * after three days.
      */
     @Test
     void theMorningsObjectsSurviveADayOfScans() {
@@ -44,10 +46,10 @@
                 ask(keeper, once++, 1, day * DAY + 600 * MINUTE + i * 10_000);
             }
         }
-        assertTrue(hits >= 3 * 60 * 0.9, hits + " of 180 were kept over the day");
+        assertTrue(hits >= 3 * 60 * 0.9, hits + " of 180 hits");
     }
 
-    /** Guards: of objects that are asked for alike, many small ones are kept and not a few large ones. */
+    /** Of objects with the same request rate, many small ones are kept rather than a few large ones. */
     @Test
     void smallOnesBeforeLargeOnes() {
         Keeper keeper = new RecurrentKeeper(100, 10_000, 1);
@@ -61,10 +63,10 @@
         for (int i = 0; i < 50; i++) {
             small += keeper.asked(i, 0, 1, 50 * MINUTE) ? 1 : 0;
         }
-        assertTrue(small >= 48, small + " of 50 small ones are kept");
+        assertTrue(small >= 48, small + " of 50 small objects are kept");
     }
 
-    /** Guards: the books are right whatever happens: what is said to be kept is, and never more than there is room. */
+    /** Reported hits, evictions and sizes match a model under random operations, and the capacity is never exceeded. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void theBooksAreRight(long seed) {
@@ -86,7 +88,7 @@
                     kept.keySet().removeAll(dropped);
                     kept.put(object, kb);
                 } else {
-                    assertTrue(dropped.isEmpty(), "room was made for what was not let in");
+                    assertTrue(dropped.isEmpty(), "parts were evicted for one that was not admitted");
                 }
             }
             assertEquals(kept.values().stream().mapToInt(Integer::intValue).sum(), keeper.keptKb());
@@ -94,7 +96,7 @@
         }
     }
 
-    /** Guards: a part larger than all there is doesn't empty the tier. */
+    /** A part larger than the capacity doesn't evict anything. */
     @Test
     void whatIsTooLargePushesNothingOut() {
         Keeper keeper = new RecurrentKeeper(100, 100, 1);
@@ -103,19 +105,19 @@
         assertEquals(60, keeper.keptKb());
     }
 
-    /** Guards: the history stays within its memory at any number of objects, and finds what it holds after removals. */
+    /** The history stays within its memory limit for any number of objects, and finds its entries after evictions. */
     @Test
     void theHistoryIsBounded() {
         History history = new History(1_000);
         for (int i = 0; i < 200_000; i++) {
             history.asked(i, i * 100.0);
             assertTrue(history.size() <= 1_000);
-            assertTrue(history.known(i, i * 100.0).perMinute() > 0, "the newest is not known");
+            assertTrue(history.known(i, i * 100.0).perMinute() > 0, "the latest object is missing");
         }
         assertTrue(History.bytesPerSlot() * (double) new History(1_000_000).slots() <= 34e6);
     }
 
-    /** Guards: a daily return is known by its days and its time, and forgotten when it stays out. */
+    /** A daily recurrence is recognized by days and time of day, and forgotten when it stops. */
     @Test
     void daysAndTimesOfReturn() {
         History history = new History(100);
--- a/lab/src/test/java/barleyspur/lab/fleet/BudgetProcessesTest.java
+++ b/lab/src/test/java/barleyspur/lab/fleet/BudgetProcessesTest.java
@@ -14,9 +14,9 @@
 import org.junit.jupiter.api.parallel.ExecutionMode;
 
 /**
- * Budgets divided by several real processes of the built jar under load and faults. Safety is checked twice: by what every
- * process told of its shares, joined on one clock, and by what stand-in boxes counted. That the whole is held again is
- * waited for, for as long as 40 s, and no speed is judged.
+ * Runs several real processes of the built jar that share budgets, under load and faults. Safety is checked twice: by
+ * the leases that every process logged, joined on one clock, and by what stand-in boxes counted. The recovery of the
+ * full capacity is waited for, up to 40 s; its speed is not checked.
  */
 @Execution(ExecutionMode.CONCURRENT)
 class BudgetProcessesTest {
@@ -27,7 +27,7 @@
     Path folder;
 
     private BudgetFleet.Result play(String file) throws Exception {
-        assertTrue(Files.isReadable(JAR), "the doorman's jar is built first: mvn verify");
+        assertTrue(Files.isReadable(JAR), "the doorman's jar has to be built first: mvn verify");
         BudgetFleet.Result result = BudgetFleet.play(
                 ScenarioFile.load(Path.of("..", "examples", "budget", file)), JAR, folder, System.out::println);
         assertEquals(List.of(), result.broken());
@@ -35,34 +35,43 @@
     }
 
     /**
-     * Guards: a holder killed with its share in full use, two frozen past their leases with requests waiting, one restarted
-     * ten times faster than a lease, all killed at once: what a lost one held is used by nobody before it is over.
+     * No lost holder's lease is used by others before it expires: a holder is killed with its lease in full use, two
+     * are frozen past their leases with requests waiting, one restarts ten times faster than a lease, and all are
+     * killed at once.
      */
     @Test
     void holdersThatAreLostUseNothingTwice() throws Exception {
         BudgetFleet.Result result = play("holders.hcl");
-        assertTrue(result.boxes().get("s-0").mostAtOnce() > 0, "the boxes saw nothing at all");
+        assertTrue(result.boxes().get("s-0").mostAtOnce() > 0, "the box got no requests");
     }
 
-    /** Guards: the divider killed, frozen past its term, cut off with a minority: never two that hand out the same. */
+    /**
+     * Two coordinators never grant the same capacity if one is killed, frozen past its term, or cut off with a
+     * minority.
+     */
     @Test
     void dividersThatAreLostAreReplacedOneAtATime() throws Exception {
         assertTrue(play("dividers.hcl").shares().dividers() >= 3);
     }
 
-    /** Guards: halves, thirds of which two meet, a third of datagrams lost or late, one way cut. */
+    /**
+     * Capacity is not exceeded in partitions: halves, overlapping thirds, one-way cuts, a third of datagrams lost or
+     * late.
+     */
     @Test
     void partsNeverUseMoreThanTheWhole() throws Exception {
         play("parts.hcl");
     }
 
-    /** Guards: in a rolling restart who leaves gives back at once, and what others hold goes on under a new divider. */
+    /**
+     * In a rolling restart a leaving process returns its leases at once, and those of others survive a new coordinator.
+     */
     @Test
     void aRollingRestartKeepsTheWholeInUse() throws Exception {
         assertTrue(play("rolling.hcl").shares().dividers() >= 2);
     }
 
-    /** Guards: a whole that is halved by a reload holds once what was given of more is over, and can be raised again. */
+    /** A capacity halved by a reload is kept once the larger leases have expired, and can be raised again. */
     @Test
     void aWholeThatIsHalvedHolds() throws Exception {
         BudgetFleet.Result result = play("whole.hcl");
@@ -76,10 +85,10 @@
                 .mapToLong(BudgetWatch.Told::amount)
                 .max()
                 .orElse(0);
-        assertTrue(before >= 3, "a quarter of the twelve was held before: " + before);
+        assertTrue(before >= 3, "a quarter of the twelve should have been leased before: " + before);
     }
 
-    /** Guards: one place among 14 is never two, and doesn't stay with one of them for good. */
+    /** A single place among 14 processes is never used twice at once, and doesn't stay with one of them. */
     @Test
     void onePlaceAmongFourteenChangesHands() throws Exception {
         Set<Integer> had = play("one.hcl").shares().all().stream()
@@ -89,9 +98,9 @@
         assertTrue(had.size() > 1, "one place stayed with " + had);
     }
 
-    /** Guards: what a young box may be sent in all isn't handed out anew when a divider dies. */
+    /** The total that may be sent to a young box isn't granted again when a coordinator dies. */
     @Test
     void anAmountIsSpentOnce() throws Exception {
-        assertTrue(play("cold.hcl").boxes().get("s-0").arrived() > 0, "the box saw nothing at all");
+        assertTrue(play("cold.hcl").boxes().get("s-0").arrived() > 0, "the box got no requests");
     }
 }
--- a/lab/src/test/java/barleyspur/lab/fleet/BudgetWorldTest.java
+++ b/lab/src/test/java/barleyspur/lab/fleet/BudgetWorldTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The division of budgets in virtual time: whatever the schedule, never over the whole. Seeds are in the messages. */
+/** Runs the budget logic in virtual time and checks that no schedule exceeds a capacity. Messages contain the seeds. */
 class BudgetWorldTest {
 
     private static final List<String> ALL = List.of("calls", "rate", "cold");
@@ -57,14 +57,14 @@
         return world;
     }
 
-    /** Over two jumps of the demand: what changes hands is nobody's for a moment. */
+    /** Averages over two jumps of the demand, as capacity is briefly unavailable while it is reassigned. */
     private static void assertUsable(BudgetWorld world, String budget) {
         double sum = 0;
         for (int i = 0; i < 40; i++) {
             world.playTo(world.nowMs + 50);
             sum += world.usable(budget) / 40;
         }
-        assertTrue(sum >= 0.85, budget + ": " + sum + " of the whole could be used");
+        assertTrue(sum >= 0.85, budget + ": " + sum + " of the capacity was usable");
     }
 
     static BudgetWorld random(int doormans, int faults, long seed) {
@@ -73,7 +73,7 @@
         return world;
     }
 
-    /** Guards: no random schedule of faults, drifts and wrong views lets all together use more than the whole. */
+    /** No random schedule of faults, clock drifts and wrong views exceeds a capacity. */
     @ParameterizedTest
     @CsvSource({"3, 8, 200", "5, 8, 200", "14, 12, 25"})
     void randomSchedulesNeverGoOverTheWhole(int doormans, int faults, int seeds) {
@@ -84,17 +84,17 @@
         }
     }
 
-    /** Guards: with three doormans and two units no placing of up to two faults in twelve steps is over the whole. */
+    /** With three doormans and two units, no placement of up to two faults in twelve steps exceeds the capacity. */
     @ParameterizedTest
     @EnumSource(Kind.class)
     void noPlacingOfTwoFaultsGoesOverTheWhole(Kind kind) {
         BudgetChecker checker = new BudgetChecker(kind, 12);
-        assertTrue(checker.isWarm(), "both units are out when the faults begin");
+        assertTrue(checker.isWarm(), "both units must be leased when the faults begin");
         BudgetChecker.Result r = checker.explore(2);
         assertNull(r.broken(), () -> r.counterexample() + ": " + r.broken());
     }
 
-    /** Guards: demand that jumps each second is followed, and in calm all but a little of the whole can be used. */
+    /** Demand that jumps each second is followed: without faults nearly the full capacity is usable. */
     @Test
     void theWholeCanBeUsed() {
         BudgetWorld world = calm(14, terms(14, 3), List.of("calls", "rate"));
@@ -103,11 +103,11 @@
             world.playTo(world.nowMs + 100);
             least = Math.min(least, Math.min(world.usable("rate"), world.usable("calls")));
         }
-        assertTrue(least > 0.6, "of the whole " + least + " could be used at least");
+        assertTrue(least > 0.6, "usable part of the capacity: at least " + least);
         assertEquals(List.of(), world.broken());
     }
 
-    /** Guards: what a dead holder had comes back within a lease and two seconds, and what it had isn't used before. */
+    /** The lease of a dead holder becomes available within its duration and two seconds, and not before it expires. */
     @Test
     void whatADeadHolderHadComesBack() {
         BudgetWorld world = calm(5, terms(5, 3), List.of("calls", "rate"));
@@ -118,7 +118,7 @@
         assertEquals(List.of(), world.broken());
     }
 
-    /** Guards: who leaves gives back at once: no lease has to run out. */
+    /** A leaving process returns its leases at once; they don't have to expire. */
     @Test
     void leavingGivesBackAtOnce() {
         BudgetWorld world = calm(3, terms(3, 3), List.of("rate"));
@@ -127,7 +127,7 @@
         assertUsable(world, "rate");
     }
 
-    /** Guards: a minority keeps its floors and nothing else once its shares are over. */
+    /** A minority keeps its floors, and nothing else once its leases have expired. */
     @Test
     void aMinorityKeepsItsFloors() {
         BudgetWorld world = calm(5, terms(5, 3), List.of("calls", "rate"));
@@ -139,7 +139,7 @@
         assertEquals(List.of(), world.broken());
     }
 
-    /** Guards: a whole that is lowered holds within a lease, while everything is in use. */
+    /** A reduced capacity is kept within one lease duration even if all of it is in use. */
     @Test
     void aLoweredWholeHoldsWithinALease() {
         BudgetWorld world = calm(5, terms(5, 3), List.of("calls"));
@@ -151,7 +151,7 @@
         assertUsable(world, "calls");
     }
 
-    /** Guards: of wholes that differ the least counts, so that a larger one counts only when all have it. */
+    /** The smallest capacity that any process has configured applies, so an increase takes effect when all have it. */
     @Test
     void aLargerWholeCountsWhenAllHaveIt() {
         BudgetWorld world = calm(3, terms(3, 3), List.of("calls"));
@@ -164,7 +164,7 @@
         assertUsable(world, "calls");
     }
 
-    /** Guards: one that asks for everything gets no more than its weight allows, and one that tells lies of use nothing. */
+    /** Excessive demand gets no more than the sender's weight allows, and a false report of use has no effect. */
     @Test
     void aLiarIsBoundedByItsWeight() {
         BudgetWorld world = calm(4, terms(4, 3), List.of("calls"));
@@ -197,7 +197,7 @@
                 others += world.in(slot).share("calls").allowed(world.in(slot).clock()) / 200.0;
             }
         }
-        assertTrue(others >= 11, "of 15 the others had " + others + " on average");
+        assertTrue(others >= 11, "the others had " + others + " of 15 on average");
         assertEquals(List.of(), world.broken());
     }
 
@@ -232,12 +232,12 @@
     }
 
     /**
-     * Guards: a report that was sent before a divider began, of units that were given to others since, is not taken for
-     * something that can be divided: what the divider before holds itself, frozen, is not handed out.
+     * A report that was sent before the coordinator's epoch, of units that were granted to others since, must not count
+     * as available capacity. Otherwise the lease of the previous coordinator, which is frozen, would be granted again.
      */
     @Test
     void aReportFromBeforeATermDoesntCount() {
-        // First the fourth wants everything, then the fifth does; the first, which divides, always wants some.
+        // First slot 3 demands everything, then slot 4 does; slot 0, the coordinator, always demands some.
         BudgetWorld world = quick(
                 Kind.RATE,
                 500,
@@ -255,13 +255,13 @@
         world.apply(new Fault.Freeze(Set.of(0)));
         untilDivides(world, 1);
         BudgetWorld.Process next = world.in(1);
-        assertTrue(!old.isEmpty() && next.budgets.ledger(next.clock()).divides(), "nothing to show");
+        assertTrue(!old.isEmpty() && next.budgets.ledger(next.clock()).divides(), "the scenario was not reached");
         next.budgets.receive(next.clock(), world.in(3).address, "d4", world.in(3).nonce, old.get(old.size() - 1));
         world.playTo(world.nowMs + 4_000);
         assertEquals(List.of(), world.broken());
     }
 
-    /** Guards: voters that restart from nothing while the divider they promised to is cut off promise nothing yet. */
+    /** Restarted voters must not vote while the coordinator they may have voted for is cut off. */
     @Test
     void whoHasJustStartedPromisesNothing() {
         BudgetWorld world = quick(Kind.RATE, 1_000, 1_000, (b, slot, now) -> 20);
@@ -275,7 +275,7 @@
         assertUsable(world, "b");
     }
 
-    /** Guards: what a holder took at the end of its lease is done before others have its places. */
+    /** Places acquired at the end of a lease are released before others get them. */
     @Test
     void aHolderThatIsCutOffIsDoneWhenItsLeaseIsOver() {
         BudgetWorld world =
@@ -287,7 +287,7 @@
         assertUsable(world, "b");
     }
 
-    /** Guards: a grant that was made to an earlier life of a doorman, and comes late, fits no ask of the next. */
+    /** A late grant to an earlier run of a doorman must not match a request of its next run. */
     @Test
     void aGrantOfAnEarlierLifeFitsNothing() {
         Terms terms = terms(3, 3);
@@ -309,7 +309,7 @@
         }
     }
 
-    /** Guards: two candidates whose ballots happen to be alike don't share a promise. */
+    /** Two candidates whose ballots happen to be equal don't share a promise. */
     @Test
     void aPromiseIsToOneCandidate() {
         List<Word> said = new ArrayList<>();
@@ -331,7 +331,7 @@
                 said);
     }
 
-    /** Guards: what one doorman spent of an amount is not there again when it dies and another one divides. */
+    /** Spent units of an amount don't become available again when their holder dies and another process coordinates. */
     @Test
     void anAmountIsNotOpenedAnewByTheNextDivider() {
         BudgetWorld world = quick(
@@ -349,7 +349,9 @@
         assertEquals(List.of(), world.broken());
     }
 
-    /** Guards: doormans that all began to ask at the same moment don't go on in step: no millisecond has half of the asks. */
+    /**
+     * Doormans that start at the same time don't keep requesting in lockstep: no millisecond has half of the requests.
+     */
     @Test
     void asksDontStayInStep() {
         BudgetWorld world = new BudgetWorld(
@@ -370,7 +372,7 @@
         assertTrue(byMs.values().stream().allMatch(n -> n <= 10), byMs.toString());
     }
 
-    /** Guards: a clock that drifts beyond the bound is named. */
+    /** A clock that drifts beyond the bound is reported. */
     @Test
     void aClockBeyondTheBoundIsNamed() {
         BudgetWorld world = new BudgetWorld(
@@ -386,7 +388,7 @@
                 world.warnings.toString());
     }
 
-    /** Guards: doormans that go by other terms neither vote for each other nor get shares. */
+    /** Doormans with a different configuration don't vote for each other and get no leases. */
     @Test
     void otherTermsGetNothing() {
         BudgetWorld world = calm(3, terms(3, 3), List.of("calls"));
@@ -398,7 +400,7 @@
         assertTrue(world.warnings.containsKey("a doorman goes by other terms of budgets: it gets nothing"));
     }
 
-    /** Guards: a schedule with budgets that is written reads as the same. */
+    /** Schedules with budgets survive a round trip. */
     @Test
     void aWrittenScheduleReplays() throws Exception {
         for (String file : List.of("holders.hcl", "whole.hcl", "cold.hcl", "random.hcl")) {
@@ -408,7 +410,7 @@
         }
     }
 
-    /** Guards: a counterexample's text is read as the faults that it names. */
+    /** The printed faults of a counterexample can be parsed. */
     @Test
     void faultsAreReadAsTheyArePrinted() {
         List<BudgetChecker.Placed> faults = BudgetChecker.parse("36:RESTART:1 40:CUT:3");
--- a/lab/src/test/java/barleyspur/lab/fleet/BudgetWrongVersionsTest.java
+++ b/lab/src/test/java/barleyspur/lab/fleet/BudgetWrongVersionsTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Wrong versions of the division's decisions, made by changing one piece of their source, each caught by a named check:
- * random schedules, the exploration of a small world, or a test of {@link BudgetWorldTest}. Guards the checks.
+ * Mutation tests: each mutant changes one piece of the source of the budget logic and must be caught by a named check,
+ * which is random schedules, the exploration of a small state space, or a test of {@link BudgetWorldTest}.
  */
 class BudgetWrongVersionsTest {
 
@@ -30,140 +30,140 @@
     static Stream<Arguments> versions() {
         return Stream.of(
                 Arguments.of(
-                        "a share is handed out anew before its lease is over",
+                        "a lease is granted again before it has expired",
                         "Divider.java",
                         "h.out.add(new Out(c.number(), amount, s.now + lastsMs * Terms.WAIT));",
                         "h.out.add(new Out(c.number(), amount, s.now + lastsMs / 2));",
                         EXPLORE + "PLACES"),
                 Arguments.of(
-                        "the silence after a restart is skipped",
+                        "a restarted voter doesn't abstain",
                         "Shared.java",
                         "return terms.termMs() * Terms.WAIT;",
                         "return 0;",
                         "whoHasJustStartedPromisesNothing"),
                 Arguments.of(
-                        "use in flight is not counted",
+                        "units in use are not counted",
                         "Divider.java",
                         "h.using = other ? 0 : Math.max(0, c.using());",
                         "h.using = 0;",
                         RANDOM),
                 Arguments.of(
-                        "the burst is not divided",
+                        "each process has the full burst",
                         "Share.java",
                         "1 + (budget.burst() - terms.largest()) * Math.min(rate, budget.whole()) / budget.whole()",
                         "budget.burst()",
                         RANDOM),
                 Arguments.of(
-                        "half of the voters are enough",
+                        "half of the voters are a majority",
                         "Terms.java",
                         "return voters.size() / 2 + 1;",
                         "return voters.size() / 2;",
                         RANDOM),
                 Arguments.of(
-                        "the largest whole that anybody tells counts",
+                        "the largest configured capacity applies",
                         "Divider.java",
                         "whole = Math.min(whole, h.whole);",
                         "whole = Math.max(whole, h.whole);",
                         "aLargerWholeCountsWhenAllHaveIt"),
                 Arguments.of(
-                        "a lease is counted from when its grant comes",
+                        "a lease counts from the arrival of its grant",
                         "Holder.java",
                         "return ask.atMs;",
                         "return s.now;",
                         RANDOM),
                 Arguments.of(
-                        "a new divider doesn't wait",
+                        "a new coordinator skips the recovery wait",
                         "Divider.java",
                         "return fromMs + b.leaseMs() * Terms.WAIT;",
                         "return fromMs;",
                         EXPLORE + "PLACES"),
                 Arguments.of(
-                        "reports from before a term count as of it",
+                        "reports from before an epoch count in it",
                         "Divider.java",
                         "boolean fresh = ask.heard() == term || s.now >= waitsUntilMs(b);",
                         "boolean fresh = true;",
                         "aReportFromBeforeATermDoesntCount"),
                 Arguments.of(
-                        "a grant of an earlier ask is taken",
+                        "a grant of an earlier request is applied",
                         "Holder.java",
                         "share == null || g.number() <= share.took ? Double.NaN",
                         "share == null ? Double.NaN",
                         EXPLORE + "PLACES"),
                 Arguments.of(
-                        "asks of each life are numbered from one",
+                        "sequence numbers start at one after a restart",
                         "Holder.java",
                         "number = s.random.nextLong() >>> FIRST_NUMBER_BITS;",
                         "number = 0;",
                         "aGrantOfAnEarlierLifeFitsNothing"),
                 Arguments.of(
-                        "a promise goes by its ballot alone",
+                        "a promise is identified by its ballot alone",
                         "Voter.java",
                         "ask.ballot() == ballot && from.equals(promised);",
                         "ask.ballot() == ballot;",
                         "aPromiseIsToOneCandidate"),
                 Arguments.of(
-                        "a voter promises two at once",
+                        "a voter promises its vote to two candidates at once",
                         "Voter.java",
                         "boolean yes = s.now >= untilMs || ask.ballot() == ballot && from.equals(promised);",
                         "boolean yes = true;",
                         RANDOM),
                 Arguments.of(
-                        "a term is counted from when the votes come",
+                        "a leader lease counts from the arrival of the votes",
                         "Candidate.java",
                         "confirmedMs.merge(from, sent, Math::max);",
                         "confirmedMs.merge(from, s.now + s.terms.termMs(), Math::max);",
                         RANDOM),
                 Arguments.of(
-                        "places are taken up to the end of the lease",
+                        "places are acquired up to the end of the lease",
                         "Share.java",
                         "return endMs - terms.slackMs() - (budget.kind() == Kind.PLACES ? terms.holdMs() : 0);",
                         "return endMs - terms.slackMs();",
                         "aHolderThatIsCutOffIsDoneWhenItsLeaseIsOver"),
                 Arguments.of(
-                        "floors are not set aside",
+                        "floors are not reserved",
                         "Divider.java",
                         "long divided = whole - Math.min(b.floor(), whole / s.terms.largest()) * s.terms.largest();",
                         "long divided = whole;",
                         RANDOM),
                 Arguments.of(
-                        "a smaller share is believed before it is taken",
+                        "a smaller lease is assumed before the holder has applied it",
                         "Divider.java",
                         "h.out.add(new Out(c.number(), amount, s.now + lastsMs * Terms.WAIT));",
                         "h.out.clear(); h.out.add(new Out(c.number(), amount, s.now + lastsMs * Terms.WAIT));",
                         RANDOM),
                 Arguments.of(
-                        "anybody's release frees a promise",
+                        "any release frees a promise",
                         "Voter.java",
                         "if (r.ballot() == ballot && from.equals(promised)) {",
                         "if (ballot != 0) {",
                         RANDOM),
                 Arguments.of(
-                        "an amount is opened before the wait is over",
+                        "an amount is opened during the recovery wait",
                         "Divider.java",
                         "if (pool.opening == 0 && s.now >= waitsUntilMs(b)) {",
                         "if (pool.opening == 0) {",
                         "anAmountIsNotOpenedAnewByTheNextDivider"),
                 Arguments.of(
-                        "what is claimed to be in use is believed",
+                        "the reported use is not capped",
                         "Divider.java",
                         "h.using = Math.min(h.using, Math.max(h.most, c.held()));",
                         "",
                         "aLiarIsBoundedByItsWeight"),
                 Arguments.of(
-                        "other terms are listened to",
+                        "requests with another configuration are accepted",
                         "Budgets.java",
                         "if (ask.terms() != s.digest) {",
                         "if (ask.terms() == 0) {",
                         "otherTermsGetNothing"),
                 Arguments.of(
-                        "all get what they ask for",
+                        "all get their demand",
                         "Divider.java",
                         "long amount = Math.max(0, Math.min(h.target, limit - others));",
                         "long amount = h.wants;",
                         RANDOM));
     }
 
-    /** Guards: the way that wrong versions are made: the right one, compiled so, passes. */
+    /** The unchanged source, compiled in the same way as the mutants, passes the checks. */
     @Test
     void theRightVersionPasses() throws Exception {
         ClassLoader right =
@@ -179,7 +179,7 @@
         assertEquals(
                 2,
                 Files.readString(SOURCES.resolve(file)).split(Pattern.quote(from), -1).length,
-                "stands once: " + from);
+                "occurs once in the source: " + from);
         ClassLoader wrong = WrongVersion.loader(folder, SOURCES, "barleyspur.budget.", file, from, to);
         assertThrows(AssertionError.class, () -> check(wrong, by));
     }
@@ -208,7 +208,7 @@
         }
     }
 
-    /** Called on the classes of a wrong version. */
+    /** Runs the exploration; called on the classes of a mutant. */
     static void explore(String kind) {
         BudgetChecker.Result r = new BudgetChecker(Kind.valueOf(kind), 12).explore(2);
         assertEquals(null, r.broken());
