--- a/doorman/src/main/java/barleyspur/Node.java
+++ b/doorman/src/main/java/barleyspur/Node.java
@@ -3,8 +3,8 @@
 import barleyspur.admin.AdminServer;
 import barleyspur.admin.LifecycleCalls;
 import barleyspur.admin.Routes;
-import barleyspur.budget.net.BudgetPort;
-import barleyspur.budget.net.GuardedDepots;
+import barleyspur.budget.net.BudgetService;
+import barleyspur.budget.net.BudgetedDepots;
 import barleyspur.channel.CommandChannel;
 import barleyspur.channel.CommandReader;
 import barleyspur.config.Configuration;
@@ -106,7 +106,7 @@
     /** The view of the other doormans; null where the settings have no block for it. */
     private final Subsystem fleet;
     /** What the doormans may use together; null where the settings have no block for it. */
-    private final BudgetPort budgets;
+    private final BudgetService budgets;
 
     /** A doorman with what its own settings switch on; without any it is the platform's. */
     public Node(Configuration configuration, OwnSettings own) {
@@ -144,7 +144,7 @@
         fleet = port;
         budgets = own.budgets() == null
                 ? null
-                : new BudgetPort(port, clock, own.budgets().terms(), configuration.name(), life + 1);
+                : new BudgetService(port, clock, own.budgets().terms(), configuration.name(), life + 1);
         doorman = new Doorman(
                 settings,
                 limits.maxOpen(),
@@ -152,7 +152,7 @@
                 clock,
                 budgets == null
                         ? depots
-                        : new GuardedDepots(
+                        : new BudgetedDepots(
                                 depots,
                                 budgets,
                                 clock,
@@ -184,7 +184,7 @@
                 fleet.addTo(routes);
             }
             if (budgets != null) {
-                budgets.addTo(routes);
+                budgets.addRoutes(routes);
             }
             admin = new AdminServer(group, clock, routes.build());
             handOff = new HandOffNote(configuration.scratch(), configuration.listen());
@@ -272,7 +272,7 @@
                     LOG.atWarn(), "reload: changes that count from the next start on", "keys", String.join(",", fixed));
         }
         if (budgets != null && next.budgets() != null) {
-            budgets.retune(next.budgets().terms());
+            budgets.reconfigure(next.budgets().terms());
         }
     }
 
--- a/doorman/src/main/java/barleyspur/budget/Terms.java
+++ b/doorman/src/main/java/barleyspur/budget/BudgetConfig.java
@@ -10,61 +10,67 @@
  *
  * @param voters addresses of the doormans that elect the coordinator by majority; one process at a time uses each
  *     address
- * @param largest the maximum number of processes that run at once: as many floors are reserved
- * @param termMs how long the promise of a voter lasts
- * @param holdMs the longest time for which a place is in use after it was acquired
- * @param slackMs the longest tolerated pause between acquiring a unit and sending the guarded operation
+ * @param maxDoormans the maximum number of processes that run at once: as many floors are reserved
+ * @param leaderLeaseMs how long the promise of a voter lasts
+ * @param maxHoldMs the longest time for which a place is in use after it was acquired
+ * @param sendSlackMs the longest tolerated pause between acquiring a unit and sending the guarded operation
  * @param budgets by name
  */
-public record Terms(
-        List<String> voters, int largest, double termMs, double holdMs, double slackMs, Map<String, Budget> budgets) {
+public record BudgetConfig(
+        List<String> voters,
+        int maxDoormans,
+        double leaderLeaseMs,
+        double maxHoldMs,
+        double sendSlackMs,
+        Map<String, Budget> budgets) {
 
     /** Bound on the clock drift: the rate by which a clock may run fast or slow. */
-    public static final double DRIFT = 0.01;
+    public static final double MAX_CLOCK_DRIFT = 0.01;
     /** Factor for waiting until a duration has passed on another process's clock, given the drift bound. */
-    static final double WAIT = (1 + DRIFT) / (1 - DRIFT);
+    static final double DRIFT_MARGIN = (1 + MAX_CLOCK_DRIFT) / (1 - MAX_CLOCK_DRIFT);
     /** Lower bound on the weight of a doorman; the default is 1. */
-    public static final double LEAST_WEIGHT = 0.1;
+    public static final double MIN_WEIGHT = 0.1;
     /** Upper bound on the weight of a doorman; the default is 1. */
-    public static final double MOST_WEIGHT = 10;
+    public static final double MAX_WEIGHT = 10;
 
     /**
      * Configuration of one budget; it also applies to each subject {@code NAME:SUBJECT} of the budget {@code NAME}.
      *
-     * @param whole what all doormans together may use: units per second, units at once, or units in all
+     * @param capacity what all doormans together may use: units per second, units at once, or units in all
      * @param burst of a rate: total size of the token buckets of all doormans
      * @param floor amount that each doorman may use without a lease; reserved from the capacity
      * @param weight of this doorman if the demand exceeds the capacity
      * @param leaseMs how long a lease lasts without a renewal
      */
-    public record Budget(String name, Kind kind, long whole, double burst, long floor, double weight, double leaseMs) {
+    public record Budget(
+            String name, BudgetKind kind, long capacity, double burst, long floor, double weight, double leaseMs) {
 
         /** Returns a copy with those values of another configuration that can change at run time. */
-        Budget retuned(Budget next) {
-            return new Budget(name, kind, next.whole, next.burst, floor, next.weight, leaseMs);
+        Budget withRuntimeChanges(Budget next) {
+            return new Budget(name, kind, next.capacity, next.burst, floor, next.weight, leaseMs);
         }
 
         /** Returns a copy with another capacity. */
-        public Budget whole(long other) {
-            return new Budget(name, kind, other, burst, floor, weight, leaseMs);
+        public Budget whole(long otherCapacity) {
+            return new Budget(name, kind, otherCapacity, burst, floor, weight, leaseMs);
         }
     }
 
     /** Copies the collections to make the record immutable. */
-    public Terms {
+    public BudgetConfig {
         voters = List.copyOf(voters);
         budgets = Map.copyOf(budgets);
     }
 
     /** Returns the name of the budget that a subject belongs to. */
-    static String root(String name) {
-        int at = name.indexOf(':');
-        return at < 0 ? name : name.substring(0, at);
+    static String budgetName(String name) {
+        int colon = name.indexOf(':');
+        return colon < 0 ? name : name.substring(0, colon);
     }
 
     /** Returns the configuration of a budget or subject, or null. */
-    public Budget of(String name) {
-        return budgets.get(root(name));
+    public Budget budgetFor(String name) {
+        return budgets.get(budgetName(name));
     }
 
     /** Returns the number of voters that make a majority of all configured ones, reachable or not. */
@@ -77,7 +83,7 @@
      * accepted. Capacities and weights may differ.
      */
     public long digest() {
-        StringBuilder text = new StringBuilder(voters + " " + largest + " " + termMs + " " + holdMs);
+        StringBuilder text = new StringBuilder(voters + " " + maxDoormans + " " + leaderLeaseMs + " " + maxHoldMs);
         new TreeMap<>(budgets).values().forEach(b -> text.append(' ')
                 .append(b.name)
                 .append(b.kind)
--- a/doorman/src/main/java/barleyspur/budget/Kind.java
+++ b/doorman/src/main/java/barleyspur/budget/BudgetKind.java
@@ -1,7 +1,7 @@
 package barleyspur.budget;
 
 /** The quantity that a budget limits. */
-public enum Kind {
+public enum BudgetKind {
     /** Units per second, with a burst. */
     RATE,
     /** Units in use at the same time. */
--- a/doorman/src/main/java/barleyspur/budget/Voter.java
+++ b/doorman/src/main/java/barleyspur/budget/Voter.java
@@ -6,54 +6,58 @@
  */
 final class Voter {
 
-    private final Shared s;
-    private final double silentUntilMs;
-    private long ballot;
-    private String promised = "";
-    private double untilMs = Double.NEGATIVE_INFINITY;
-    private long released;
-    private boolean left;
-
-    Voter(Shared s) {
-        this.s = s;
-        silentUntilMs = s.now + s.silenceMs();
+    private final AgentContext context;
+    private final double abstainUntilMs;
+    private long promisedBallot;
+    private String promisedTo = "";
+    private double promiseEndMs = Double.NEGATIVE_INFINITY;
+    private long releasedBallot;
+    private boolean resigned;
+
+    Voter(AgentContext context) {
+        this.context = context;
+        abstainUntilMs = context.nowMs + context.abstentionMs();
     }
 
-    boolean isSilent() {
-        return s.now < silentUntilMs;
+    boolean isAbstaining() {
+        return context.nowMs < abstainUntilMs;
     }
 
     /** Returns the address that the vote is promised to, or empty. */
-    String promised() {
-        return s.now < untilMs ? promised : "";
+    String promisedTo() {
+        return context.nowMs < promiseEndMs ? promisedTo : "";
     }
 
     /** Returns the time since which, or from which on, the vote is free. */
     double freeSinceMs() {
-        return Math.max(silentUntilMs, untilMs);
+        return Math.max(abstainUntilMs, promiseEndMs);
     }
 
-    void onAsk(String from, Word.VoteAsk ask) {
-        if (left || isSilent() || ask.terms() != s.digest || ask.ballot() == released) {
+    void onVoteRequest(String from, BudgetMessage.VoteRequest request) {
+        if (resigned
+                || isAbstaining()
+                || request.configDigest() != context.configDigest
+                || request.ballot() == releasedBallot) {
             return;
         }
-        boolean yes = s.now >= untilMs || ask.ballot() == ballot && from.equals(promised);
-        if (yes) {
-            ballot = ask.ballot();
-            promised = from;
-            untilMs = s.now + s.terms.termMs() * Terms.WAIT;
+        boolean granted =
+                context.nowMs >= promiseEndMs || request.ballot() == promisedBallot && from.equals(promisedTo);
+        if (granted) {
+            promisedBallot = request.ballot();
+            promisedTo = from;
+            promiseEndMs = context.nowMs + context.config.leaderLeaseMs() * BudgetConfig.DRIFT_MARGIN;
         }
-        s.send(from, new Word.Vote(ask.ballot(), ask.number(), yes, promised()));
+        context.send(from, new BudgetMessage.VoteReply(request.ballot(), request.sequence(), granted, promisedTo()));
     }
 
-    void onRelease(String from, Word.Release r) {
-        released = r.ballot();
-        if (r.ballot() == ballot && from.equals(promised)) {
-            untilMs = Math.min(untilMs, s.now);
+    void onRelease(String from, BudgetMessage.VoteRelease release) {
+        releasedBallot = release.ballot();
+        if (release.ballot() == promisedBallot && from.equals(promisedTo)) {
+            promiseEndMs = Math.min(promiseEndMs, context.nowMs);
         }
     }
 
-    void leave() {
-        left = true;
+    void resign() {
+        resigned = true;
     }
 }
--- a/doorman/src/main/java/barleyspur/config/BudgetSettings.java
+++ b/doorman/src/main/java/barleyspur/config/BudgetSettings.java
@@ -1,7 +1,7 @@
 package barleyspur.config;
 
-import barleyspur.budget.Kind;
-import barleyspur.budget.Terms;
+import barleyspur.budget.BudgetConfig;
+import barleyspur.budget.BudgetKind;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
@@ -13,7 +13,7 @@
  *
  * @param guards which budgets count attempts at nodes, by the budgets' names
  */
-public record BudgetSettings(Terms terms, Map<String, Guard> guards) {
+public record BudgetSettings(BudgetConfig terms, Map<String, Guard> guards) {
 
     /**
      * Attempts at nodes of a model take from a budget that each such node has: {@code NAME:UID}.
@@ -50,10 +50,10 @@
         double hold = FleetSettings.time(common, "hold", 2 * SECOND, 10, 30 * SECOND);
         double slack = FleetSettings.time(common, "slack", 50, 1, SECOND);
         common.close(List.of());
-        Map<String, Terms.Budget> budgets = new TreeMap<>();
+        Map<String, BudgetConfig.Budget> budgets = new TreeMap<>();
         Map<String, Guard> guards = new TreeMap<>();
         for (Hcl.Block b : blocks) {
-            Terms.Budget budget = budget(b, largest, hold + slack);
+            BudgetConfig.Budget budget = budget(b, largest, hold + slack);
             if (budgets.put(budget.name(), budget) != null) {
                 throw b.invalid("stands twice: " + budget.name());
             }
@@ -66,7 +66,7 @@
         if (budgets.isEmpty()) {
             throw common.invalid("stands without any block budget \"NAME\" { ... }");
         }
-        return new BudgetSettings(new Terms(voters, largest, term, hold, slack, budgets), Map.copyOf(guards));
+        return new BudgetSettings(new BudgetConfig(voters, largest, term, hold, slack, budgets), Map.copyOf(guards));
     }
 
     /**
@@ -75,15 +75,15 @@
      * @param largest the most processes there ever are at once
      * @param restMs  of a lease in which no place may be taken any more
      */
-    public static Terms.Budget budget(Hcl.Block b, int largest, double restMs) throws Hcl.Invalid {
+    public static BudgetConfig.Budget budget(Hcl.Block b, int largest, double restMs) throws Hcl.Invalid {
         String name = b.label();
         if (!name.matches("[a-z0-9._-]{1," + LONGEST_NAME + "}")) {
             throw b.invalid(
                     "has a name that is not 1 to " + LONGEST_NAME + " of a-z, 0-9, '.', '_' and '-': \"" + name + "\"");
         }
         Hcl.Value kindAt = FleetSettings.required(b, "kind");
-        Kind kind = null;
-        for (Kind k : Kind.values()) {
+        BudgetKind kind = null;
+        for (BudgetKind k : BudgetKind.values()) {
             kind = k.name().toLowerCase(Locale.ROOT).equals(kindAt.text()) ? k : kind;
         }
         if (kind == null) {
@@ -97,27 +97,27 @@
             throw floorAt.invalid(
                     "is " + floor + ": times the largest fleet of " + largest + " that is over the whole of " + whole);
         }
-        if (floor > 0 && kind == Kind.AMOUNT) {
+        if (floor > 0 && kind == BudgetKind.AMOUNT) {
             throw floorAt.invalid("can't be set aside from an amount: who starts anew doesn't know what was spent");
         }
         Hcl.Value burstAt = b.value("burst");
         double burst = b.number("burst", Math.max(whole, largest), 1, MOST_WHOLE);
-        if (kind == Kind.RATE && burst < largest) {
+        if (kind == BudgetKind.RATE && burst < largest) {
             throw (burstAt == null ? wholeAt : burstAt)
                     .invalid("makes a burst of " + burst + ", under one unit for each of " + largest + " doormans");
         }
-        if (burstAt != null && kind != Kind.RATE) {
+        if (burstAt != null && kind != BudgetKind.RATE) {
             throw burstAt.invalid("is a rate's, not of " + kindAt.text());
         }
-        double weight = b.number("weight", 1, Terms.LEAST_WEIGHT, Terms.MOST_WEIGHT);
+        double weight = b.number("weight", 1, BudgetConfig.MIN_WEIGHT, BudgetConfig.MAX_WEIGHT);
         double lease = FleetSettings.time(b, "lease", 5 * SECOND, 500, 60 * SECOND);
-        if (kind == Kind.PLACES && lease < 2 * restMs) {
+        if (kind == BudgetKind.PLACES && lease < 2 * restMs) {
             throw (b.value("lease") == null ? kindAt : b.value("lease"))
                     .invalid("makes a lease of " + lease
                             + " ms, under twice the time that a place may be held and the slack: " + 2 * restMs
                             + " ms");
         }
-        return new Terms.Budget(name, kind, whole, burst, floor, weight, lease);
+        return new BudgetConfig.Budget(name, kind, whole, burst, floor, weight, lease);
     }
 
     /** Turns down guards of models that the platform's configuration doesn't have. */
@@ -144,7 +144,7 @@
             return List.of("budgets");
         }
         List<String> fixed = new ArrayList<>();
-        if (next.terms.digest() != terms.digest() || next.terms.slackMs() != terms.slackMs()) {
+        if (next.terms.digest() != terms.digest() || next.terms.sendSlackMs() != terms.sendSlackMs()) {
             fixed.add("budgets");
         }
         next.guards.forEach((name, guard) -> {
--- a/doorman/src/main/java/barleyspur/tier/PartTable.java
+++ b/doorman/src/main/java/barleyspur/tier/PartTable.java
@@ -6,12 +6,12 @@
  */
 final class PartTable {
 
-    private static final int FIRST_SLOTS = 64;
+    private static final int INITIAL_SLOTS = 64;
 
-    private long[] objects = new long[FIRST_SLOTS];
-    private int[] parts = new int[FIRST_SLOTS];
+    private long[] objects = new long[INITIAL_SLOTS];
+    private int[] parts = new int[INITIAL_SLOTS];
     /** In KB; 0 for a free slot. */
-    private int[] sizes = new int[FIRST_SLOTS];
+    private int[] sizesKb = new int[INITIAL_SLOTS];
 
     private int count;
 
@@ -27,25 +27,25 @@
         return parts[slot];
     }
 
-    int kb(int slot) {
-        return sizes[slot];
+    int sizeKb(int slot) {
+        return sizesKb[slot];
     }
 
-    private int home(long object, int part) {
-        return (int) History.mix(object * 31 + part) & objects.length - 1;
+    private int homeSlot(long object, int part) {
+        return (int) RequestHistory.mix(object * 31 + part) & objects.length - 1;
     }
 
     /** Returns the slot of a part, or the free slot to insert it at. */
-    private int slot(long object, int part) {
-        int at = home(object, part);
-        while (sizes[at] != 0 && (objects[at] != object || parts[at] != part)) {
-            at = at + 1 & objects.length - 1;
+    private int findSlot(long object, int part) {
+        int slot = homeSlot(object, part);
+        while (sizesKb[slot] != 0 && (objects[slot] != object || parts[slot] != part)) {
+            slot = slot + 1 & objects.length - 1;
         }
-        return at;
+        return slot;
     }
 
-    boolean holds(long object, int part) {
-        return sizes[slot(object, part)] != 0;
+    boolean contains(long object, int part) {
+        return sizesKb[findSlot(object, part)] != 0;
     }
 
     /** Inserts a part that is not in the table; {@code kb} is at least 1. */
@@ -53,45 +53,45 @@
         if (count * 4 >= objects.length * 3) {
             grow();
         }
-        int at = slot(object, part);
-        objects[at] = object;
-        parts[at] = part;
-        sizes[at] = kb;
+        int slot = findSlot(object, part);
+        objects[slot] = object;
+        parts[slot] = part;
+        sizesKb[slot] = kb;
         count++;
     }
 
     private void grow() {
         long[] oldObjects = objects;
         int[] oldParts = parts;
-        int[] oldSizes = sizes;
+        int[] oldSizesKb = sizesKb;
         objects = new long[oldObjects.length * 2];
         parts = new int[objects.length];
-        sizes = new int[objects.length];
+        sizesKb = new int[objects.length];
         count = 0;
-        for (int i = 0; i < oldSizes.length; i++) {
-            if (oldSizes[i] != 0) {
-                put(oldObjects[i], oldParts[i], oldSizes[i]);
+        for (int i = 0; i < oldSizesKb.length; i++) {
+            if (oldSizesKb[i] != 0) {
+                put(oldObjects[i], oldParts[i], oldSizesKb[i]);
             }
         }
     }
 
     /** Removes a part; returns its size, or 0 if it was not in the table. */
     int remove(long object, int part) {
-        int gap = slot(object, part);
-        int kb = sizes[gap];
+        int gap = findSlot(object, part);
+        int kb = sizesKb[gap];
         if (kb == 0) {
             return 0;
         }
         int mask = objects.length - 1;
-        for (int at = gap + 1 & mask; sizes[at] != 0; at = at + 1 & mask) {
-            if ((at - home(objects[at], parts[at]) & mask) >= (at - gap & mask)) {
-                objects[gap] = objects[at];
-                parts[gap] = parts[at];
-                sizes[gap] = sizes[at];
-                gap = at;
+        for (int slot = gap + 1 & mask; sizesKb[slot] != 0; slot = slot + 1 & mask) {
+            if ((slot - homeSlot(objects[slot], parts[slot]) & mask) >= (slot - gap & mask)) {
+                objects[gap] = objects[slot];
+                parts[gap] = parts[slot];
+                sizesKb[gap] = sizesKb[slot];
+                gap = slot;
             }
         }
-        sizes[gap] = 0;
+        sizesKb[gap] = 0;
         count--;
         return kb;
     }
@@ -100,11 +100,11 @@
      * Samples a used slot: the first one at or after a random position. Slots behind a run of free ones are sampled
      * more often, which evens out as the table changes. The table must not be empty.
      */
-    int draw(long random) {
-        int at = (int) random & objects.length - 1;
-        while (sizes[at] == 0) {
-            at = at + 1 & objects.length - 1;
+    int sampleSlot(long random) {
+        int slot = (int) random & objects.length - 1;
+        while (sizesKb[slot] == 0) {
+            slot = slot + 1 & objects.length - 1;
         }
-        return at;
+        return slot;
     }
 }
--- a/doorman/src/test/java/barleyspur/config/BudgetSettingsTest.java
+++ b/doorman/src/test/java/barleyspur/config/BudgetSettingsTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import barleyspur.budget.Kind;
-import barleyspur.budget.Terms;
+import barleyspur.budget.BudgetConfig;
+import barleyspur.budget.BudgetKind;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -56,8 +56,8 @@
         BudgetSettings s =
                 read(budget("kind = \"places\"\nwhole = 3\nat = \"cache\"")).budgets();
         assertEquals(
-                new Terms.Budget("b", Kind.PLACES, 3, 16, 0, 1, 5_000),
-                s.terms().of("b:s-1"));
+                new BudgetConfig.Budget("b", BudgetKind.PLACES, 3, 16, 0, 1, 5_000),
+                s.terms().budgetFor("b:s-1"));
         assertEquals(List.of("127.0.0.1:7101"), s.terms().voters());
         assertEquals(0, s.guarded(List.of("cache", "parent")).get("b"));
     }
--- a/lab/src/main/java/barleyspur/lab/BudgetScale.java
+++ b/lab/src/main/java/barleyspur/lab/BudgetScale.java
@@ -1,9 +1,9 @@
 package barleyspur.lab;
 
-import barleyspur.budget.Budgets;
-import barleyspur.budget.Kind;
-import barleyspur.budget.Share;
-import barleyspur.budget.Terms;
+import barleyspur.budget.BudgetAgent;
+import barleyspur.budget.BudgetConfig;
+import barleyspur.budget.BudgetKind;
+import barleyspur.budget.BudgetLimiter;
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
@@ -29,33 +29,33 @@
     @Param({"10", "1000", "5000"})
     int budgets;
 
-    private Budgets doorman;
-    private Share[] places;
+    private BudgetAgent doorman;
+    private BudgetLimiter[] places;
     private double now;
     private int next;
 
     /** Makes the shares that are measured. */
     @Setup
     public void start() {
-        Terms terms = new Terms(
+        BudgetConfig terms = new BudgetConfig(
                 List.of("127.0.0.1:1"),
                 16,
                 1_500,
                 500,
                 50,
-                Map.of("p", new Terms.Budget("p", Kind.PLACES, 1_000, 16, 0, 1, LEASE_MS)));
-        doorman = new Budgets(terms, "d1", "127.0.0.1:1", 1, 1, 0, a -> {});
-        places = new Share[budgets];
+                Map.of("p", new BudgetConfig.Budget("p", BudgetKind.PLACES, 1_000, 16, 0, 1, LEASE_MS)));
+        doorman = new BudgetAgent(terms, "d1", "127.0.0.1:1", 1, 1, 0, a -> {});
+        places = new BudgetLimiter[budgets];
         for (int i = 0; i < budgets; i++) {
-            places[i] = doorman.share(0, "p:s" + i);
-            places[i].take(0);
+            places[i] = doorman.limiter(0, "p:s" + i);
+            places[i].tryAcquire(0);
         }
         // One voter is a majority of one: this doorman divides for itself.
         for (now = 0; now < WARM_MS; now += STEP_MS) {
             doorman.tick(now);
         }
-        for (Share s : places) {
-            if (s.allowed(now) < 1) {
+        for (BudgetLimiter s : places) {
+            if (s.limit(now) < 1) {
                 throw new IllegalStateException(s.name() + " holds nothing");
             }
         }
@@ -64,9 +64,9 @@
     /** A take and the return of the place, each of another budget. */
     @Benchmark
     public boolean takeAndRelease() {
-        Share s = places[next];
+        BudgetLimiter s = places[next];
         next = next + 1 == places.length ? 0 : next + 1;
-        boolean good = s.take(now);
+        boolean good = s.tryAcquire(now);
         s.release(now, now);
         return good;
     }
@@ -79,8 +79,8 @@
                 doorman.tick(now);
             }
         }
-        for (Share s : places) {
-            s.take(now);
+        for (BudgetLimiter s : places) {
+            s.tryAcquire(now);
             s.release(now, now);
         }
         return now;
--- a/lab/src/main/java/barleyspur/lab/Keepers.java
+++ b/lab/src/main/java/barleyspur/lab/Keepers.java
@@ -1,6 +1,6 @@
 package barleyspur.lab;
 
-import barleyspur.tier.Keeper;
+import barleyspur.tier.RetentionPolicy;
 import com.github.benmanes.caffeine.cache.Cache;
 import com.github.benmanes.caffeine.cache.Caffeine;
 import java.util.ArrayDeque;
@@ -19,7 +19,7 @@
     private Keepers() {}
 
     /** Least recently used: the baseline. */
-    static final class Lru implements Keeper {
+    static final class Lru implements RetentionPolicy {
         private final LinkedHashMap<Part, Integer> held = new LinkedHashMap<>(16, 0.75f, true);
         private final long mostKb;
         private long keptKb;
@@ -29,12 +29,12 @@
         }
 
         @Override
-        public boolean asked(long object, int part, int kb, double nowMs) {
+        public boolean recordRequest(long object, int part, int kb, double nowMs) {
             return held.get(new Part(object, part)) != null;
         }
 
         @Override
-        public boolean offered(long object, int part, int kb, double nowMs, Dropped dropped) {
+        public boolean admit(long object, int part, int kb, double nowMs, EvictionListener dropped) {
             if (kb > mostKb) {
                 return false;
             }
@@ -42,7 +42,7 @@
                 Map.Entry<Part, Integer> eldest = held.entrySet().iterator().next();
                 held.remove(eldest.getKey());
                 keptKb -= eldest.getValue();
-                dropped.part(eldest.getKey().object(), eldest.getKey().part());
+                dropped.onEviction(eldest.getKey().object(), eldest.getKey().part());
             }
             held.put(new Part(object, part), kb);
             keptKb += kb;
@@ -50,7 +50,7 @@
         }
 
         @Override
-        public boolean removed(long object, int part) {
+        public boolean remove(long object, int part) {
             Integer kb = held.remove(new Part(object, part));
             keptKb -= kb == null ? 0 : kb;
             return kb != null;
@@ -63,7 +63,7 @@
     }
 
     /** Least frequently used of a sample, with counts that halve over time; no memory of what is not kept. */
-    static final class AgedLfu implements Keeper {
+    static final class AgedLfu implements RetentionPolicy {
         private static final int SAMPLE = 24;
         private static final double HALF_LIFE_MS = 6 * 3_600_000;
 
@@ -95,7 +95,7 @@
         }
 
         @Override
-        public boolean asked(long object, int part, int kb, double nowMs) {
+        public boolean recordRequest(long object, int part, int kb, double nowMs) {
             Held h = held.get(new Part(object, part));
             if (h != null) {
                 h.count = h.count(nowMs) + 1;
@@ -105,7 +105,7 @@
         }
 
         @Override
-        public boolean offered(long object, int part, int kb, double nowMs, Dropped dropped) {
+        public boolean admit(long object, int part, int kb, double nowMs, EvictionListener dropped) {
             if (kb > mostKb) {
                 return false;
             }
@@ -116,7 +116,7 @@
                     least = least == null || h.count(nowMs) < least.count(nowMs) ? h : least;
                 }
                 drop(least);
-                dropped.part(least.part.object(), least.part.part());
+                dropped.onEviction(least.part.object(), least.part.part());
             }
             Held h = new Held(new Part(object, part), kb);
             h.count = 1;
@@ -139,7 +139,7 @@
         }
 
         @Override
-        public boolean removed(long object, int part) {
+        public boolean remove(long object, int part) {
             Held h = held.get(new Part(object, part));
             if (h != null) {
                 drop(h);
@@ -154,7 +154,7 @@
     }
 
     /** S3-FIFO (Yang et al. 2023): a small queue for newcomers, a main one, and ghosts of what left the small one. */
-    static final class S3Fifo implements Keeper {
+    static final class S3Fifo implements RetentionPolicy {
         private static final int MOST_FREQUENCY = 3;
 
         private static final class Held {
@@ -183,7 +183,7 @@
         }
 
         @Override
-        public boolean asked(long object, int part, int kb, double nowMs) {
+        public boolean recordRequest(long object, int part, int kb, double nowMs) {
             Held h = held.get(new Part(object, part));
             if (h != null) {
                 h.frequency = Math.min(MOST_FREQUENCY, h.frequency + 1);
@@ -192,7 +192,7 @@
         }
 
         @Override
-        public boolean offered(long object, int part, int kb, double nowMs, Dropped dropped) {
+        public boolean admit(long object, int part, int kb, double nowMs, EvictionListener dropped) {
             if (kb > mostKb) {
                 return false;
             }
@@ -217,7 +217,7 @@
             return true;
         }
 
-        private void evictSmall(Dropped dropped) {
+        private void evictSmall(EvictionListener dropped) {
             Held h = small.poll();
             smallKb -= h.gone ? 0 : h.kb;
             if (h.gone) {
@@ -230,7 +230,7 @@
                 return;
             }
             held.remove(h.part);
-            dropped.part(h.part.object(), h.part.part());
+            dropped.onEviction(h.part.object(), h.part.part());
             ghosts.put(h.part, h.kb);
             ghostKb += h.kb;
             while (ghostKb > mostKb) {
@@ -240,7 +240,7 @@
             }
         }
 
-        private void evictMain(Dropped dropped) {
+        private void evictMain(EvictionListener dropped) {
             Held h = main.poll();
             if (h.gone) {
                 return;
@@ -252,11 +252,11 @@
             }
             mainKb -= h.kb;
             held.remove(h.part);
-            dropped.part(h.part.object(), h.part.part());
+            dropped.onEviction(h.part.object(), h.part.part());
         }
 
         @Override
-        public boolean removed(long object, int part) {
+        public boolean remove(long object, int part) {
             Held h = held.remove(new Part(object, part));
             if (h != null) {
                 h.gone = true;
@@ -274,7 +274,7 @@
     }
 
     /** W-TinyLFU as Caffeine has it (Einziger et al. 2017). */
-    static final class Tiny implements Keeper {
+    static final class Tiny implements RetentionPolicy {
         private final Cache<Part, Integer> cache;
 
         Tiny(long mostKb) {
@@ -286,18 +286,18 @@
         }
 
         @Override
-        public boolean asked(long object, int part, int kb, double nowMs) {
+        public boolean recordRequest(long object, int part, int kb, double nowMs) {
             return cache.getIfPresent(new Part(object, part)) != null;
         }
 
         @Override
-        public boolean offered(long object, int part, int kb, double nowMs, Dropped dropped) {
+        public boolean admit(long object, int part, int kb, double nowMs, EvictionListener dropped) {
             cache.put(new Part(object, part), kb);
             return true;
         }
 
         @Override
-        public boolean removed(long object, int part) {
+        public boolean remove(long object, int part) {
             return cache.asMap().remove(new Part(object, part)) != null;
         }
 
--- a/lab/src/main/java/barleyspur/lab/TierReplay.java
+++ b/lab/src/main/java/barleyspur/lab/TierReplay.java
@@ -1,7 +1,7 @@
 package barleyspur.lab;
 
-import barleyspur.tier.Keeper;
-import barleyspur.tier.RecurrentKeeper;
+import barleyspur.tier.RecurrencePolicy;
+import barleyspur.tier.RetentionPolicy;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -29,23 +29,23 @@
 
     private TierReplay() {}
 
-    static Map<String, LongFunction<Keeper>> policies() {
-        Map<String, LongFunction<Keeper>> policies = new LinkedHashMap<>();
+    static Map<String, LongFunction<RetentionPolicy>> policies() {
+        Map<String, LongFunction<RetentionPolicy>> policies = new LinkedHashMap<>();
         policies.put("lru", Keepers.Lru::new);
         policies.put("aged lfu", Keepers.AgedLfu::new);
         policies.put("s3-fifo", Keepers.S3Fifo::new);
         policies.put("w-tinylfu", Keepers.Tiny::new);
-        policies.put("recurrent", kb -> new RecurrentKeeper(kb, HISTORY, 5));
+        policies.put("recurrent", kb -> new RecurrencePolicy(kb, HISTORY, 5));
         return policies;
     }
 
     /** What one policy serves of a trace. */
-    static Ratio replay(TierTrace t, Keeper keeper) {
+    static Ratio replay(TierTrace t, RetentionPolicy keeper) {
         Count count = new Count();
         for (int i = 0; i < t.size(); i++) {
-            boolean hit = keeper.asked(t.object[i], t.part[i], t.kb[i], t.atMs[i]);
+            boolean hit = keeper.recordRequest(t.object[i], t.part[i], t.kb[i], t.atMs[i]);
             if (!hit) {
-                keeper.offered(t.object[i], t.part[i], t.kb[i], t.atMs[i], (object, part) -> {});
+                keeper.admit(t.object[i], t.part[i], t.kb[i], t.atMs[i], (object, part) -> {});
             }
             count.add(t, i, hit);
         }
@@ -128,7 +128,7 @@
         System.out.println("MB     policy      hits by requests  by bytes  of the mornings  us a request");
         Map<String, List<Double>> lines = new LinkedHashMap<>();
         for (int mb : sizesMb) {
-            for (Map.Entry<String, LongFunction<Keeper>> p : policies().entrySet()) {
+            for (Map.Entry<String, LongFunction<RetentionPolicy>> p : policies().entrySet()) {
                 long start = System.nanoTime();
                 Ratio r = replay(t, p.getValue().apply(mb * 1_000L));
                 print(mb, p.getKey(), r, (System.nanoTime() - start) / 1e3 / t.size());
--- a/lab/src/main/java/barleyspur/lab/fleet/BudgetChecker.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/BudgetChecker.java
@@ -1,12 +1,12 @@
 package barleyspur.lab.fleet;
 
-import barleyspur.budget.Action;
-import barleyspur.budget.Budgets;
-import barleyspur.budget.Kind;
-import barleyspur.budget.Ledger;
-import barleyspur.budget.Share;
-import barleyspur.budget.Terms;
-import barleyspur.budget.Word;
+import barleyspur.budget.BudgetAction;
+import barleyspur.budget.BudgetAgent;
+import barleyspur.budget.BudgetConfig;
+import barleyspur.budget.BudgetKind;
+import barleyspur.budget.BudgetLimiter;
+import barleyspur.budget.BudgetMessage;
+import barleyspur.budget.BudgetSnapshot;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -84,29 +84,29 @@
     private static final int AMOUNT_STEPS = 14;
 
     private static final int AMOUNT_FROM = 30;
-    private static final double[] RATES = {1, 1 + Terms.DRIFT, 1 - Terms.DRIFT};
+    private static final double[] RATES = {1, 1 + BudgetConfig.MAX_CLOCK_DRIFT, 1 - BudgetConfig.MAX_CLOCK_DRIFT};
 
-    private final Terms terms;
+    private final BudgetConfig terms;
     private final int steps;
 
-    BudgetChecker(Kind kind, int steps) {
+    BudgetChecker(BudgetKind kind, int steps) {
         this.steps = steps;
-        double lease = kind == Kind.AMOUNT ? AMOUNT_STEPS * STEP_MS : LEASE_MS;
-        terms = new Terms(
+        double lease = kind == BudgetKind.AMOUNT ? AMOUNT_STEPS * STEP_MS : LEASE_MS;
+        terms = new BudgetConfig(
                 BudgetWorld.voters(DOORMANS),
                 DOORMANS,
                 TERM_MS,
                 HOLD_MS,
                 1,
-                Map.of("b", new Terms.Budget("b", kind, 2, DOORMANS, 0, 1, lease)));
+                Map.of("b", new BudgetConfig.Budget("b", kind, 2, DOORMANS, 0, 1, lease)));
     }
 
-    private record Flying(int atStep, int from, int to, Word word) {}
+    private record Flying(int atStep, int from, int to, BudgetMessage word) {}
 
     /** The world, played from its beginning for each schedule. */
     private final class World {
-        private final Budgets[] budgets = new Budgets[DOORMANS];
-        private final Share[] shares = new Share[DOORMANS];
+        private final BudgetAgent[] budgets = new BudgetAgent[DOORMANS];
+        private final BudgetLimiter[] shares = new BudgetLimiter[DOORMANS];
         private final long[] nonces = new long[DOORMANS];
         private final int[] frozenTo = new int[DOORMANS];
         private final int[] cutTo = new int[DOORMANS];
@@ -134,28 +134,29 @@
             int self = i;
             nonces[i] = ++lives;
             frozenTo[i] = 0;
-            budgets[i] = new Budgets(terms, "d" + (i + 1), BudgetWorld.address(i), nonces[i], lives, clock(i), a -> {
-                if (a instanceof Action.Send s) {
-                    sentNow.add(new Flying(
-                            step + 1, self, Integer.parseInt(s.address().substring(8, 9)) - 1, s.word()));
-                }
-            });
+            budgets[i] =
+                    new BudgetAgent(terms, "d" + (i + 1), BudgetWorld.address(i), nonces[i], lives, clock(i), a -> {
+                        if (a instanceof BudgetAction.SendMessage s) {
+                            sentNow.add(new Flying(
+                                    step + 1, self, Integer.parseInt(s.address().substring(8, 9)) - 1, s.message()));
+                        }
+                    });
             Set<String> others = new HashSet<>(terms.voters());
             others.remove(BudgetWorld.address(i));
-            budgets[i].there(others);
+            budgets[i].setReachable(others);
         }
 
         private void kill(int i) {
-            if (kind() == Kind.AMOUNT && shares[i] != null) {
-                spentByDead += shares[i].using();
+            if (kind() == BudgetKind.AMOUNT && shares[i] != null) {
+                spentByDead += shares[i].inUse();
             }
             inUse.forEach(u -> u[2] = u[0] == i ? 0 : u[2]);
             budgets[i] = null;
             shares[i] = null;
         }
 
-        private Kind kind() {
-            return terms.of("b").kind();
+        private BudgetKind kind() {
+            return terms.budgetFor("b").kind();
         }
 
         private boolean runs(int i) {
@@ -187,7 +188,8 @@
                 for (int i = 0; i < DOORMANS; i++) {
                     if (runs(i)) {
                         budgets[i].tick(clock(i));
-                        if (kind() != Kind.AMOUNT || step >= AMOUNT_FROM && step < AMOUNT_FROM + AMOUNT_STEPS - 1) {
+                        if (kind() != BudgetKind.AMOUNT
+                                || step >= AMOUNT_FROM && step < AMOUNT_FROM + AMOUNT_STEPS - 1) {
                             use(i);
                         }
                     }
@@ -198,7 +200,7 @@
 
         private void use(int i) {
             // A share that was forgotten for want of use is a new one.
-            shares[i] = budgets[i].share(clock(i), "b");
+            shares[i] = budgets[i].limiter(clock(i), "b");
             inUse.removeIf(u -> {
                 boolean done = u[0] == i && u[2] == 1 && clock(i) - u[1] >= HOLD_MS * 0.8;
                 if (done) {
@@ -206,12 +208,12 @@
                 }
                 return done;
             });
-            while (shares[i].take(clock(i))) {
-                if (kind() == Kind.PLACES) {
+            while (shares[i].tryAcquire(clock(i))) {
+                if (kind() == BudgetKind.PLACES) {
                     inUse.add(new double[] {i, clock(i), 1, step});
                 }
             }
-            budgets[i].wantsMore(clock(i), shares[i]);
+            budgets[i].requestMoreSoon(clock(i), shares[i]);
         }
 
         private void strike(Placed f, List<Flying> now) {
@@ -257,14 +259,15 @@
                     using += u[0] == i && u[2] == 1 && (step - u[3]) * STEP_MS < HOLD_MS ? 1 : 0;
                 }
                 if (shares[i] != null) {
-                    sum += Math.max(shares[i].allowed(clock(i)), kind() == Kind.AMOUNT ? shares[i].using() : using);
+                    sum += Math.max(shares[i].limit(clock(i)), kind() == BudgetKind.AMOUNT ? shares[i].inUse() : using);
                 }
             }
             for (double[] u : inUse) {
                 sum += u[2] == 0 && (step - u[3]) * STEP_MS < HOLD_MS ? 1 : 0;
             }
-            if (sum > terms.of("b").whole() && broken == null) {
-                broken = "in step " + step + " " + sum + " of " + terms.of("b").whole() + " could be used";
+            if (sum > terms.budgetFor("b").capacity() && broken == null) {
+                broken = "in step " + step + " " + sum + " of "
+                        + terms.budgetFor("b").capacity() + " could be used";
             }
         }
 
@@ -276,16 +279,16 @@
                     text.append("-;");
                     continue;
                 }
-                Ledger l = budgets[i].ledger(clock(i));
+                BudgetSnapshot l = budgets[i].snapshot(clock(i));
                 text.append(step - frozenTo[i] < 0 ? frozenTo[i] - step : 0)
                         .append(',')
                         .append(cutTo[i] - step < 0 ? 0 : cutTo[i] - step)
-                        .append(l.divides())
-                        .append(Math.round(l.termLeftMs()))
-                        .append(l.divider())
-                        .append(l.silent())
-                        .append(l.own())
-                        .append(l.rows())
+                        .append(l.coordinating())
+                        .append(Math.round(l.epochRemainingMs()))
+                        .append(l.coordinatorAddress())
+                        .append(l.abstaining())
+                        .append(l.ownLeases())
+                        .append(l.allocations())
                         .append(Math.round(budgets[i].dueMs() - clock(i)))
                         .append(';');
             }
@@ -309,16 +312,16 @@
         world.play(List.of(), WARM_UP);
         long sum = 0;
         for (int i = 0; i < DOORMANS; i++) {
-            Share share = world.shares[i];
+            BudgetLimiter share = world.shares[i];
             sum += share == null
                     ? 0
-                    : Math.max(share.allowed(world.clock(i)), kind() == Kind.AMOUNT ? share.using() : 0);
+                    : Math.max(share.limit(world.clock(i)), kind() == BudgetKind.AMOUNT ? share.inUse() : 0);
         }
-        return sum == terms.of("b").whole();
+        return sum == terms.budgetFor("b").capacity();
     }
 
-    private Kind kind() {
-        return terms.of("b").kind();
+    private BudgetKind kind() {
+        return terms.budgetFor("b").kind();
     }
 
     /** All ways to place up to so many faults; ends with the first that breaks the promise. */
--- a/lab/src/main/java/barleyspur/lab/fleet/BudgetFleet.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/BudgetFleet.java
@@ -1,7 +1,7 @@
 package barleyspur.lab.fleet;
 
-import barleyspur.budget.Kind;
-import barleyspur.budget.Terms;
+import barleyspur.budget.BudgetConfig;
+import barleyspur.budget.BudgetKind;
 import barleyspur.lab.stand.NodeList;
 import barleyspur.lab.stand.StandBoxes;
 import barleyspur.lab.stand.StandChannel;
@@ -66,9 +66,9 @@
         String network =
                 "127." + (20 + ProcessHandle.current().pid() % 200) + "." + (252 - PLAYS.getAndIncrement() % 40) + ".";
         double[] rates = new double[StandBoxes.Kind.values().length];
-        for (Terms.Budget b : use.terms().budgets().values()) {
-            if (b.kind() == Kind.RATE) {
-                rates[kind(use.at().get(b.name())).ordinal()] = b.whole();
+        for (BudgetConfig.Budget b : use.terms().budgets().values()) {
+            if (b.kind() == BudgetKind.RATE) {
+                rates[kind(use.at().get(b.name())).ordinal()] = b.capacity();
             }
         }
         StandBoxes boxes = new StandBoxes(group, "record", (int) use.hitMs(), rates);
@@ -98,7 +98,7 @@
         Map<String, Tally> tallies = new TreeMap<>();
         addresses.forEach((uid, at) -> tallies.put(uid, boxes.tally(at)));
         try (RealFleet fleet = new RealFleet(schedule, views, jar, folder, progress)) {
-            Terms terms = use.terms(fleet.advertised());
+            BudgetConfig terms = use.terms(fleet.advertised());
             shares = new BudgetWatch(terms);
             fleet.budgets(settings(terms, use), shares);
             fleet.configure(json -> {
@@ -136,9 +136,13 @@
                     // Less has to hold once what was given of more must be over, and everybody has read its settings.
                     shares.whole(
                             w.budget(),
-                            w.whole() > (before == null ? terms.of(w.budget()).whole() : before)
+                            w.whole()
+                                            > (before == null
+                                                    ? terms.budgetFor(w.budget())
+                                                            .capacity()
+                                                    : before)
                                     ? s.atMs()
-                                    : s.atMs() + terms.of(w.budget()).leaseMs() + RELOAD_MS,
+                                    : s.atMs() + terms.budgetFor(w.budget()).leaseMs() + RELOAD_MS,
                             w.whole());
                 }
             }
@@ -159,17 +163,17 @@
     }
 
     /** Waits until all that is divided for good is held again; one that can't be shared out changes hands now and then. */
-    private static double untilAnew(RealFleet fleet, BudgetWatch shares, Terms terms)
+    private static double untilAnew(RealFleet fleet, BudgetWatch shares, BudgetConfig terms)
             throws IOException, InterruptedException {
         double from = fleet.nowMs();
         while (fleet.nowMs() - from < PATIENCE_MS) {
             fleet.pause(100);
             double now = fleet.nowMs();
             boolean all = now - from >= ANEW_OVER_MS;
-            for (Terms.Budget b : terms.budgets().values()) {
-                if (b.kind() != Kind.AMOUNT) {
+            for (BudgetConfig.Budget b : terms.budgets().values()) {
+                if (b.kind() != BudgetKind.AMOUNT) {
                     double part = shares.held(b.name(), now - ANEW_OVER_MS, now);
-                    all &= b.whole() < terms.largest() ? part > 0 : part >= ANEW;
+                    all &= b.capacity() < terms.maxDoormans() ? part > 0 : part >= ANEW;
                 }
             }
             if (all) {
@@ -186,13 +190,13 @@
     /** How long a box that has just started is young: as long as an amount lasts. */
     private static double youngMs(Schedule.Use use) {
         return use.terms().budgets().values().stream()
-                .filter(b -> b.kind() == Kind.AMOUNT)
-                .mapToDouble(Terms.Budget::leaseMs)
+                .filter(b -> b.kind() == BudgetKind.AMOUNT)
+                .mapToDouble(BudgetConfig.Budget::leaseMs)
                 .min()
                 .orElse(0);
     }
 
-    private static String settings(Terms terms, Schedule.Use use) {
+    private static String settings(BudgetConfig terms, Schedule.Use use) {
         StringBuilder out = new StringBuilder("budgets {\n  voters = [");
         for (int i = 0; i < terms.voters().size(); i++) {
             out.append(i > 0 ? ", " : "")
@@ -203,10 +207,10 @@
         out.append(String.format(
                 Locale.ROOT,
                 "]%n  largest = %d%n  term = \"%.0fms\"%n  hold = \"%.0fms\"%n  slack = " + "\"%.0fms\"%n}%n",
-                terms.largest(),
-                terms.termMs(),
-                terms.holdMs(),
-                terms.slackMs()));
+                terms.maxDoormans(),
+                terms.leaderLeaseMs(),
+                terms.maxHoldMs(),
+                terms.sendSlackMs()));
         new TreeMap<>(terms.budgets())
                 .values()
                 .forEach(b -> out.append(ScenarioFile.budget(b, use.at().get(b.name()), "")));
@@ -215,7 +219,7 @@
 
     /** What the boxes counted, against the wholes; a whole that was changed is judged by its largest. */
     private static void judge(Schedule.Use use, Map<String, Tally> tallies, long young, List<String> broken) {
-        for (Terms.Budget b : use.terms().budgets().values()) {
+        for (BudgetConfig.Budget b : use.terms().budgets().values()) {
             for (Map.Entry<String, Tally> e : tallies.entrySet()) {
                 int at = Integer.parseInt(e.getKey().substring(2));
                 String model = at < use.caches() ? "cache" : at < use.caches() + PARENTS ? "parent" : "origin";
@@ -223,13 +227,13 @@
                 if (!model.equals(use.at().get(b.name()))) {
                     continue;
                 }
-                if (b.kind() == Kind.PLACES && t.mostAtOnce() > b.whole()) {
-                    broken.add("at the box: " + e.getKey() + " had " + t.mostAtOnce() + " at once of " + b.whole());
-                } else if (b.kind() == Kind.RATE && t.mostSurelyOverRate() > b.burst() + 1e-6) {
+                if (b.kind() == BudgetKind.PLACES && t.mostAtOnce() > b.capacity()) {
+                    broken.add("at the box: " + e.getKey() + " had " + t.mostAtOnce() + " at once of " + b.capacity());
+                } else if (b.kind() == BudgetKind.RATE && t.mostSurelyOverRate() > b.burst() + 1e-6) {
                     broken.add("at the box: " + e.getKey() + " got " + t.mostSurelyOverRate()
                             + " over its rate, the burst is " + b.burst());
-                } else if (b.kind() == Kind.AMOUNT && at == 0 && young > b.whole()) {
-                    broken.add("at the box: " + e.getKey() + " got " + young + " while young of " + b.whole());
+                } else if (b.kind() == BudgetKind.AMOUNT && at == 0 && young > b.capacity()) {
+                    broken.add("at the box: " + e.getKey() + " got " + young + " while young of " + b.capacity());
                 }
             }
         }
--- a/lab/src/main/java/barleyspur/lab/fleet/BudgetLab.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/BudgetLab.java
@@ -1,6 +1,6 @@
 package barleyspur.lab.fleet;
 
-import barleyspur.budget.Kind;
+import barleyspur.budget.BudgetKind;
 import barleyspur.config.Hcl;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -186,7 +186,7 @@
      */
     public static boolean check(int steps, int faults, String replay) {
         boolean good = true;
-        for (Kind kind : Kind.values()) {
+        for (BudgetKind kind : BudgetKind.values()) {
             BudgetChecker checker = new BudgetChecker(kind, steps);
             if (replay != null) {
                 String broken = checker.play(BudgetChecker.parse(replay));
--- a/lab/src/main/java/barleyspur/lab/fleet/BudgetMeasure.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/BudgetMeasure.java
@@ -1,7 +1,7 @@
 package barleyspur.lab.fleet;
 
-import barleyspur.budget.Kind;
-import barleyspur.budget.Terms;
+import barleyspur.budget.BudgetConfig;
+import barleyspur.budget.BudgetKind;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
@@ -19,7 +19,7 @@
     private BudgetMeasure() {}
 
     private static BudgetWorld world(int doormans, long whole, BudgetWorld.Demand demand) {
-        Terms terms = new Terms(
+        BudgetConfig terms = new BudgetConfig(
                 BudgetWorld.voters(Math.min(3, doormans)),
                 doormans,
                 TERM_MS,
@@ -27,7 +27,8 @@
                 50,
                 Map.of(
                         "calls",
-                        new Terms.Budget("calls", Kind.RATE, whole, Math.max(doormans, whole), 0, 1, LEASE_MS)));
+                        new BudgetConfig.Budget(
+                                "calls", BudgetKind.RATE, whole, Math.max(doormans, whole), 0, 1, LEASE_MS)));
         Schedule schedule = new Schedule("measure", doormans, doormans, List.of(0), 500, List.of(), 0, 1);
         return new BudgetWorld(schedule, terms, BudgetLab.DRIFT, List.of("calls:s0"), demand);
     }
--- a/lab/src/main/java/barleyspur/lab/fleet/BudgetWatch.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/BudgetWatch.java
@@ -1,6 +1,6 @@
 package barleyspur.lab.fleet;
 
-import barleyspur.budget.Terms;
+import barleyspur.budget.BudgetConfig;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -21,14 +21,14 @@
     /** Two readings of a clock lie between what is told of a moment and what was meant. */
     private static final double TOLERANCE_MS = 1;
 
-    private final Terms terms;
+    private final BudgetConfig terms;
     private final List<Told> told = new ArrayList<>();
     /** Wholes that were lowered or raised, with the time from which less has to hold. */
     private final Map<String, TreeMap<Double, Long>> wholes = new HashMap<>();
 
     private int dividers;
 
-    BudgetWatch(Terms terms) {
+    BudgetWatch(BudgetConfig terms) {
         this.terms = terms;
     }
 
@@ -62,10 +62,10 @@
     }
 
     private long whole(String subject, double atMs) {
-        Terms.Budget b = terms.of(subject);
+        BudgetConfig.Budget b = terms.budgetFor(subject);
         Map.Entry<Double, Long> entry =
                 wholes.getOrDefault(b.name(), new TreeMap<>()).floorEntry(atMs);
-        return entry == null ? b.whole() : entry.getValue();
+        return entry == null ? b.capacity() : entry.getValue();
     }
 
     /** Instants over the whole: none, or they are told. */
@@ -97,8 +97,8 @@
         Map<String, Told> last = new HashMap<>();
         Set<String> asked = new HashSet<>();
         for (Told t : told) {
-            if (terms.of(t.budget).name().equals(budget)) {
-                if (t.atMs >= fromMs - terms.of(budget).leaseMs() && t.atMs < toMs) {
+            if (terms.budgetFor(t.budget).name().equals(budget)) {
+                if (t.atMs >= fromMs - terms.budgetFor(budget).leaseMs() && t.atMs < toMs) {
                     asked.add(t.budget);
                 }
                 Told before = last.put(t.budget + "/" + t.process, t);
@@ -108,7 +108,7 @@
         last.values().forEach(t -> area.merge(t.budget, area(t, t.untilMs, fromMs, toMs), Double::sum));
         area.keySet().retainAll(asked);
         return area.values().stream()
-                .mapToDouble(a -> a / (toMs - fromMs) / terms.of(budget).whole())
+                .mapToDouble(a -> a / (toMs - fromMs) / terms.budgetFor(budget).capacity())
                 .average()
                 .orElse(Double.NaN);
     }
--- a/lab/src/main/java/barleyspur/lab/fleet/BudgetWorld.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/BudgetWorld.java
@@ -1,11 +1,11 @@
 package barleyspur.lab.fleet;
 
-import barleyspur.budget.Action;
-import barleyspur.budget.Budgets;
-import barleyspur.budget.Kind;
-import barleyspur.budget.Share;
-import barleyspur.budget.Terms;
-import barleyspur.budget.Word;
+import barleyspur.budget.BudgetAction;
+import barleyspur.budget.BudgetAgent;
+import barleyspur.budget.BudgetConfig;
+import barleyspur.budget.BudgetKind;
+import barleyspur.budget.BudgetLimiter;
+import barleyspur.budget.BudgetMessage;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashSet;
@@ -44,7 +44,7 @@
         final int slot;
         final String address;
         final long nonce = random.nextLong() >>> 12;
-        final Budgets budgets;
+        final BudgetAgent budgets;
         private final double offsetMs;
         private final double rate;
         boolean frozen;
@@ -52,14 +52,15 @@
         boolean gone;
         private double tickAtMs = Double.POSITIVE_INFINITY;
         private final List<Runnable> unread = new ArrayList<>();
-        final TreeMap<String, Share> shares = new TreeMap<>();
+        final TreeMap<String, BudgetLimiter> shares = new TreeMap<>();
 
         Process(int slot) {
             this.slot = slot;
             this.address = address(slot);
             offsetMs = random.nextDouble() * 1e6;
             rate = 1 + (random.nextDouble() * 2 - 1) * drift;
-            budgets = new Budgets(terms, "d" + (slot + 1), address, nonce, random.nextLong(), clock(), this::carryOut);
+            budgets = new BudgetAgent(
+                    terms, "d" + (slot + 1), address, nonce, random.nextLong(), clock(), this::carryOut);
         }
 
         /** The time on this process's own clock. */
@@ -71,10 +72,10 @@
             return (ms - offsetMs) / rate;
         }
 
-        private void carryOut(Action action) {
-            if (action instanceof Action.Send s) {
-                send(this, s.address(), s.word());
-            } else if (action instanceof Action.Warn w) {
+        private void carryOut(BudgetAction action) {
+            if (action instanceof BudgetAction.SendMessage s) {
+                send(this, s.address(), s.message());
+            } else if (action instanceof BudgetAction.LogWarning w) {
                 warnings.merge(w.event(), 1, Integer::sum);
             }
             log.accept("d" + (slot + 1), action);
@@ -84,8 +85,8 @@
             return !gone && !frozen;
         }
 
-        Share share(String budget) {
-            Share share = budgets.share(clock(), budget);
+        BudgetLimiter share(String budget) {
+            BudgetLimiter share = budgets.limiter(clock(), budget);
             shares.put(budget, share);
             return share;
         }
@@ -94,7 +95,7 @@
     private record Event(double atMs, long order, Runnable what) {}
 
     final Schedule schedule;
-    final Terms terms;
+    final BudgetConfig terms;
     private final double drift;
     private final SplittableRandom random;
     private final Links links;
@@ -109,7 +110,7 @@
     /** Told what each process does, and each fault: for a trace. */
     BiConsumer<String, Object> log = (who, what) -> {};
     /** Changes words on their way from this slot; a null result is not sent. */
-    UnaryOperator<Word> tampering;
+    UnaryOperator<BudgetMessage> tampering;
 
     int tamperedSlot = -1;
     private long order;
@@ -119,7 +120,7 @@
     /** What a box or a parent sees: counts of its own, whatever the doormans say. */
     final class Box {
         private final String name;
-        final Terms.Budget budget;
+        final BudgetConfig.Budget budget;
         final TreeMap<Process, Integer> inFlight = new TreeMap<>(Comparator.comparingLong(p -> p.nonce));
         int atOnce;
         int most;
@@ -131,17 +132,17 @@
 
         Box(String name) {
             this.name = name;
-            this.budget = terms.of(name);
+            this.budget = terms.budgetFor(name);
         }
 
         void arrives(Process from) {
             arrived++;
             bySlot.merge(from.slot, 1L, Long::sum);
-            if (budget.kind() == Kind.PLACES) {
+            if (budget.kind() == BudgetKind.PLACES) {
                 atOnce++;
                 most = Math.max(most, atOnce);
                 inFlight.merge(from, 1, Integer::sum);
-                double serviceMs = random.nextDouble() * terms.holdMs() * 0.9;
+                double serviceMs = random.nextDouble() * terms.maxHoldMs() * 0.9;
                 double takenMs = from.clock();
                 at(nowMs + serviceMs, () -> {
                     atOnce--;
@@ -158,7 +159,7 @@
                 if (atOnce > whole(budget)) {
                     broken("at the box", name + " has " + atOnce + " at once");
                 }
-            } else if (budget.kind() == Kind.RATE) {
+            } else if (budget.kind() == BudgetKind.RATE) {
                 level = Math.max(0, level - whole(budget) * (nowMs - levelMs) / 1e3) + 1;
                 levelMs = nowMs;
                 mostLevel = Math.max(mostLevel, level);
@@ -174,15 +175,15 @@
     /** The whole at this moment; a schedule's player may lower it. */
     private final TreeMap<String, Long> wholes = new TreeMap<>();
 
-    private long whole(Terms.Budget b) {
-        return wholes.getOrDefault(b.name(), b.whole());
+    private long whole(BudgetConfig.Budget b) {
+        return wholes.getOrDefault(b.name(), b.capacity());
     }
 
     /**
      * @param drift    by which each clock's rate may differ from the true one
      * @param subjects names of budgets that are used
      */
-    BudgetWorld(Schedule schedule, Terms terms, double drift, List<String> subjects, Demand demand) {
+    BudgetWorld(Schedule schedule, BudgetConfig terms, double drift, List<String> subjects, Demand demand) {
         this.schedule = schedule;
         this.terms = terms;
         this.drift = drift;
@@ -199,22 +200,22 @@
     /** A schedule's own budgets and load: each has one subject, and demand of its nodes' part of the requests. */
     static BudgetWorld of(Schedule schedule, double drift) {
         Schedule.Use use = schedule.use();
-        Terms terms = use.terms(voters(use.voters()));
+        BudgetConfig terms = use.terms(voters(use.voters()));
         double young = terms.budgets().values().stream()
-                .mapToDouble(Terms.Budget::leaseMs)
+                .mapToDouble(BudgetConfig.Budget::leaseMs)
                 .max()
                 .orElse(0);
         // After all silences and waits, and for less than a lease, as a young box is.
-        double fromMs = terms.termMs() + 3 * young;
+        double fromMs = terms.leaderLeaseMs() + 3 * young;
         return new BudgetWorld(
                 schedule,
                 terms,
                 drift,
                 new ArrayList<>(new TreeMap<>(terms.budgets()).keySet()),
-                (budget, slot, now) ->
-                        terms.of(budget).kind() == Kind.AMOUNT && (now < fromMs || now > fromMs + young * 0.9)
-                                ? 0
-                                : use.perS(slot, schedule.started(), now) / 3);
+                (budget, slot, now) -> terms.budgetFor(budget).kind() == BudgetKind.AMOUNT
+                                && (now < fromMs || now > fromMs + young * 0.9)
+                        ? 0
+                        : use.perS(slot, schedule.started(), now) / 3);
     }
 
     static String address(int slot) {
@@ -286,28 +287,28 @@
             long sum = 0;
             for (Process p : running) {
                 if (p != null) {
-                    Share share = p.shares.get(subject);
-                    long allowed = share == null || p.leaving ? 0 : share.allowed(p.clock());
+                    BudgetLimiter share = p.shares.get(subject);
+                    long allowed = share == null || p.leaving ? 0 : share.limit(p.clock());
                     long using =
                             switch (box.budget.kind()) {
                                 case RATE -> 0;
                                 // Of a frozen process the box knows better.
                                 case PLACES -> box.inFlight.getOrDefault(p, 0);
-                                case AMOUNT -> share == null ? 0 : share.using();
+                                case AMOUNT -> share == null ? 0 : share.inUse();
                             };
                     sum += Math.max(allowed, using);
                 }
             }
-            if (box.budget.kind() == Kind.PLACES) {
+            if (box.budget.kind() == BudgetKind.PLACES) {
                 for (var e : box.inFlight.entrySet()) {
                     sum += e.getKey().gone ? e.getValue() : 0;
                 }
-            } else if (box.budget.kind() == Kind.AMOUNT) {
+            } else if (box.budget.kind() == BudgetKind.AMOUNT) {
                 long live = 0;
                 for (Process p : running) {
                     live += p == null || p.shares.get(subject) == null
                             ? 0
-                            : p.shares.get(subject).using();
+                            : p.shares.get(subject).inUse();
                 }
                 sum += Math.max(0, box.arrived - live);
             }
@@ -322,16 +323,16 @@
     private String detail(String subject) {
         StringBuilder text = new StringBuilder();
         for (Process p : running) {
-            Share share = p == null ? null : p.shares.get(subject);
+            BudgetLimiter share = p == null ? null : p.shares.get(subject);
             if (share != null) {
                 text.append(" d")
                         .append(p.slot + 1)
                         .append(p.frozen ? " frozen" : "")
                         .append(p.leaving ? " leaving" : "")
                         .append(" may take ")
-                        .append(share.allowed(p.clock()))
+                        .append(share.limit(p.clock()))
                         .append(", uses ")
-                        .append(share.using());
+                        .append(share.inUse());
             }
         }
         return text.toString();
@@ -342,10 +343,10 @@
         double sum = 0;
         for (Process p : running) {
             if (p != null && p.runs() && !p.leaving && p.shares.get(subject) != null) {
-                sum += p.shares.get(subject).allowed(p.clock());
+                sum += p.shares.get(subject).limit(p.clock());
             }
         }
-        return sum / whole(terms.of(subject));
+        return sum / whole(terms.budgetFor(subject));
     }
 
     void start(int slot) {
@@ -381,7 +382,7 @@
                     there.add(q.address);
                 }
             }
-            p.budgets.there(there);
+            p.budgets.setReachable(there);
         }
         at(nowMs + VIEW_MS * (0.5 + random.nextDouble()), () -> view(p));
     }
@@ -400,11 +401,11 @@
     }
 
     private void use(Process p, String subject) {
-        Share share = p.share(subject);
-        if (share.take(p.clock())) {
+        BudgetLimiter share = p.share(subject);
+        if (share.tryAcquire(p.clock())) {
             boxes.get(subject).arrives(p);
         } else {
-            p.budgets.wantsMore(p.clock(), share);
+            p.budgets.requestMoreSoon(p.clock(), share);
             arm(p);
         }
     }
@@ -430,9 +431,9 @@
         }
     }
 
-    private void send(Process from, String address, Word spoken) {
+    private void send(Process from, String address, BudgetMessage spoken) {
         int to = slot(address);
-        Word word = from.slot == tamperedSlot ? tampering.apply(spoken) : spoken;
+        BudgetMessage word = from.slot == tamperedSlot ? tampering.apply(spoken) : spoken;
         sent++;
         if (word == null || to >= running.length) {
             return;
@@ -462,7 +463,7 @@
     void lower(String budget, long whole) {
         for (Process p : running) {
             if (p != null) {
-                p.budgets.retune(p.clock(), terms.of(budget).whole(whole));
+                p.budgets.reconfigure(p.clock(), terms.budgetFor(budget).whole(whole));
                 arm(p);
             }
         }
@@ -508,7 +509,7 @@
                         if (p.runs()) {
                             p.leaving = true;
                             p.budgets.leave(p.clock());
-                            at(nowMs + terms.holdMs(), () -> gone(p));
+                            at(nowMs + terms.maxHoldMs(), () -> gone(p));
                         } else {
                             gone(p);
                         }
--- a/lab/src/main/java/barleyspur/lab/fleet/ScenarioFile.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/ScenarioFile.java
@@ -1,7 +1,7 @@
 package barleyspur.lab.fleet;
 
-import barleyspur.budget.Kind;
-import barleyspur.budget.Terms;
+import barleyspur.budget.BudgetConfig;
+import barleyspur.budget.BudgetKind;
 import barleyspur.config.BudgetSettings;
 import barleyspur.config.Hcl;
 import java.io.IOException;
@@ -95,17 +95,17 @@
         double term = time(load, "term", 2_000, 500, 30_000);
         double hold = time(load, "hold", 500, 10, 30_000);
         double slack = time(load, "slack", 50, 1, 1_000);
-        Map<String, Terms.Budget> budgets = new TreeMap<>();
+        Map<String, BudgetConfig.Budget> budgets = new TreeMap<>();
         Map<String, String> at = new TreeMap<>();
         for (Hcl.Block each : b.blocks("budget")) {
-            Terms.Budget budget = BudgetSettings.budget(each, largest, hold + slack);
+            BudgetConfig.Budget budget = BudgetSettings.budget(each, largest, hold + slack);
             Hcl.Value model = each.value("at");
             at.put(budget.name(), model == null ? "cache" : model.text());
             budgets.put(budget.name(), budget);
             each.close(List.of());
         }
         Schedule.Use use = new Schedule.Use(
-                new Terms(List.of(), largest, term, hold, slack, budgets),
+                new BudgetConfig(List.of(), largest, term, hold, slack, budgets),
                 voters,
                 at,
                 (int) load.number("caches", 3, 1, 200),
@@ -266,23 +266,24 @@
         if (u == null) {
             return "";
         }
-        Terms t = u.terms();
+        BudgetConfig t = u.terms();
         StringBuilder out = new StringBuilder("  load {\n    caches = " + u.caches() + "\n    per_s = " + u.perS()
                 + "\n    jump = " + ms(u.jumpMs()) + "\n    hit = " + ms(u.hitMs()) + "\n    cold = " + ms(u.coldMs())
-                + "\n    voters = " + u.voters() + "\n    largest = " + t.largest() + "\n    term = " + ms(t.termMs())
-                + "\n    hold = " + ms(t.holdMs()) + "\n    slack = " + ms(t.slackMs()) + "\n  }\n");
+                + "\n    voters = " + u.voters() + "\n    largest = " + t.maxDoormans() + "\n    term = "
+                + ms(t.leaderLeaseMs())
+                + "\n    hold = " + ms(t.maxHoldMs()) + "\n    slack = " + ms(t.sendSlackMs()) + "\n  }\n");
         t.budgets().values().stream()
-                .sorted(Comparator.comparing(Terms.Budget::name))
+                .sorted(Comparator.comparing(BudgetConfig.Budget::name))
                 .forEach(b -> out.append(budget(b, u.at().get(b.name()), "  ")));
         return out.toString();
     }
 
     /** A budget's block, as scenarios and our own settings have it. */
-    static String budget(Terms.Budget b, String at, String indent) {
+    static String budget(BudgetConfig.Budget b, String at, String indent) {
         return indent + "budget \"" + b.name() + "\" {\n" + indent + "  kind = \""
                 + b.kind().name().toLowerCase(Locale.ROOT)
-                + "\"\n" + indent + "  whole = " + b.whole() + "\n"
-                + (b.kind() == Kind.RATE ? indent + "  burst = " + b.burst() + "\n" : "") + indent + "  floor = "
+                + "\"\n" + indent + "  whole = " + b.capacity() + "\n"
+                + (b.kind() == BudgetKind.RATE ? indent + "  burst = " + b.burst() + "\n" : "") + indent + "  floor = "
                 + b.floor() + "\n" + indent + "  lease = " + ms(b.leaseMs()) + "\n" + indent
                 + "  at = \"" + at + "\"\n" + indent + "}\n";
     }
--- a/lab/src/main/java/barleyspur/lab/fleet/Schedule.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/Schedule.java
@@ -1,6 +1,6 @@
 package barleyspur.lab.fleet;
 
-import barleyspur.budget.Terms;
+import barleyspur.budget.BudgetConfig;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -58,7 +58,7 @@
      * @param coldMs when the first cache starts, so that amounts count for it from then on; 0: long ago
      */
     public record Use(
-            Terms terms,
+            BudgetConfig terms,
             int voters,
             Map<String, String> at,
             int caches,
@@ -67,13 +67,13 @@
             double hitMs,
             double coldMs) {
 
-        Terms terms(List<String> addresses) {
-            return new Terms(
+        BudgetConfig terms(List<String> addresses) {
+            return new BudgetConfig(
                     addresses.subList(0, voters),
-                    terms.largest(),
-                    terms.termMs(),
-                    terms.holdMs(),
-                    terms.slackMs(),
+                    terms.maxDoormans(),
+                    terms.leaderLeaseMs(),
+                    terms.maxHoldMs(),
+                    terms.sendSlackMs(),
                     terms.budgets());
         }
 
--- a/lab/src/test/java/barleyspur/lab/fleet/BudgetProcessesTest.java
+++ b/lab/src/test/java/barleyspur/lab/fleet/BudgetProcessesTest.java
@@ -40,7 +40,7 @@
      * killed at once.
      */
     @Test
-    void holdersThatAreLostUseNothingTwice() throws Exception {
+    void leasesOfLostHoldersAreNotReused() throws Exception {
         BudgetFleet.Result result = play("holders.hcl");
         assertTrue(result.boxes().get("s-0").mostAtOnce() > 0, "the box got no requests");
     }
@@ -50,7 +50,7 @@
      * minority.
      */
     @Test
-    void dividersThatAreLostAreReplacedOneAtATime() throws Exception {
+    void lostCoordinatorsAreReplacedOneAtATime() throws Exception {
         assertTrue(play("dividers.hcl").shares().dividers() >= 3);
     }
 
@@ -59,7 +59,7 @@
      * late.
      */
     @Test
-    void partsNeverUseMoreThanTheWhole() throws Exception {
+    void partitionsNeverExceedTheCapacity() throws Exception {
         play("parts.hcl");
     }
 
@@ -67,40 +67,40 @@
      * In a rolling restart a leaving process returns its leases at once, and those of others survive a new coordinator.
      */
     @Test
-    void aRollingRestartKeepsTheWholeInUse() throws Exception {
+    void rollingRestartKeepsTheCapacityInUse() throws Exception {
         assertTrue(play("rolling.hcl").shares().dividers() >= 2);
     }
 
     /** A capacity halved by a reload is kept once the larger leases have expired, and can be raised again. */
     @Test
-    void aWholeThatIsHalvedHolds() throws Exception {
+    void halvedCapacityIsKept() throws Exception {
         BudgetFleet.Result result = play("whole.hcl");
-        double lowered = result.struck().stream()
+        double reducedMs = result.struck().stream()
                 .filter(s -> s.fault() instanceof Fault.Whole)
                 .findFirst()
                 .orElseThrow()
                 .atMs();
-        long before = result.shares().all().stream()
-                .filter(t -> t.atMs() < lowered)
+        long maxLeasedBefore = result.shares().all().stream()
+                .filter(t -> t.atMs() < reducedMs)
                 .mapToLong(BudgetWatch.Told::amount)
                 .max()
                 .orElse(0);
-        assertTrue(before >= 3, "a quarter of the twelve should have been leased before: " + before);
+        assertTrue(maxLeasedBefore >= 3, "a quarter of the twelve should have been leased before: " + maxLeasedBefore);
     }
 
     /** A single place among 14 processes is never used twice at once, and doesn't stay with one of them. */
     @Test
-    void onePlaceAmongFourteenChangesHands() throws Exception {
-        Set<Integer> had = play("one.hcl").shares().all().stream()
+    void onePlaceRotatesAmongFourteen() throws Exception {
+        Set<Integer> holders = play("one.hcl").shares().all().stream()
                 .filter(t -> t.budget().startsWith("calls:") && t.amount() > 0)
                 .map(BudgetWatch.Told::slot)
                 .collect(Collectors.toSet());
-        assertTrue(had.size() > 1, "one place stayed with " + had);
+        assertTrue(holders.size() > 1, "one place stayed with " + holders);
     }
 
     /** The total that may be sent to a young box isn't granted again when a coordinator dies. */
     @Test
-    void anAmountIsSpentOnce() throws Exception {
+    void amountIsSpentOnce() throws Exception {
         assertTrue(play("cold.hcl").boxes().get("s-0").arrived() > 0, "the box got no requests");
     }
 }
