--- a/doorman/src/main/java/barleyspur/budget/AgentContext.java
+++ b/doorman/src/main/java/barleyspur/budget/AgentContext.java
@@ -50,8 +50,8 @@
     }
 
     /** Returns the current configuration of a budget, or null. */
-    BudgetConfig.Budget budgetFor(String name) {
-        return budgets.get(BudgetConfig.budgetName(name));
+    BudgetConfig.Budget budgetFor(String subject) {
+        return budgets.get(BudgetConfig.budgetName(subject));
     }
 
     void setReachable(Set<String> addresses) {
--- a/doorman/src/main/java/barleyspur/budget/BudgetConfig.java
+++ b/doorman/src/main/java/barleyspur/budget/BudgetConfig.java
@@ -46,12 +46,12 @@
             String name, BudgetKind kind, long capacity, double burst, long floor, double weight, double leaseMs) {
 
         /** Returns a copy with those values of another configuration that can change at run time. */
-        Budget withRuntimeChanges(Budget next) {
-            return new Budget(name, kind, next.capacity, next.burst, floor, next.weight, leaseMs);
+        Budget withRuntimeChanges(Budget changed) {
+            return new Budget(name, kind, changed.capacity, changed.burst, floor, changed.weight, leaseMs);
         }
 
         /** Returns a copy with another capacity. */
-        public Budget whole(long otherCapacity) {
+        public Budget withCapacity(long otherCapacity) {
             return new Budget(name, kind, otherCapacity, burst, floor, weight, leaseMs);
         }
     }
@@ -63,14 +63,14 @@
     }
 
     /** Returns the name of the budget that a subject belongs to. */
-    static String budgetName(String name) {
-        int colon = name.indexOf(':');
-        return colon < 0 ? name : name.substring(0, colon);
+    static String budgetName(String subject) {
+        int colon = subject.indexOf(':');
+        return colon < 0 ? subject : subject.substring(0, colon);
     }
 
     /** Returns the configuration of a budget or subject, or null. */
-    public Budget budgetFor(String name) {
-        return budgets.get(budgetName(name));
+    public Budget budgetFor(String subject) {
+        return budgets.get(budgetName(subject));
     }
 
     /** Returns the number of voters that make a majority of all configured ones, reachable or not. */
@@ -84,12 +84,12 @@
      */
     public long digest() {
         StringBuilder text = new StringBuilder(voters + " " + maxDoormans + " " + leaderLeaseMs + " " + maxHoldMs);
-        new TreeMap<>(budgets).values().forEach(b -> text.append(' ')
-                .append(b.name)
-                .append(b.kind)
-                .append(b.floor)
+        new TreeMap<>(budgets).values().forEach(budget -> text.append(' ')
+                .append(budget.name)
+                .append(budget.kind)
+                .append(budget.floor)
                 .append(' ')
-                .append(b.leaseMs));
+                .append(budget.leaseMs));
         return LongHashFunction.xx3().hashChars(text) >>> 12;
     }
 }
--- a/doorman/src/main/java/barleyspur/budget/net/BudgetMessageCodec.java
+++ b/doorman/src/main/java/barleyspur/budget/net/BudgetMessageCodec.java
@@ -60,7 +60,7 @@
                         generator.writeNumber((long) w.sentAtMs());
                         writeItems(generator, items);
                     },
-                    c -> generator -> claim(generator, c));
+                    item -> generator -> claim(generator, item));
         } else if (message instanceof BudgetMessage.LeaseGrants w) {
             return split(
                     w.grants(),
@@ -71,7 +71,7 @@
                         generator.writeNumber(w.epoch());
                         writeItems(generator, items);
                     },
-                    c -> generator -> grant(generator, c));
+                    item -> generator -> grant(generator, item));
         }
         return List.of(toBytes(generator -> {
             if (message instanceof BudgetMessage.VoteRequest w) {
--- a/doorman/src/main/java/barleyspur/budget/net/BudgetService.java
+++ b/doorman/src/main/java/barleyspur/budget/net/BudgetService.java
@@ -101,15 +101,15 @@
 
     /** Applies the capacity, burst and weight of reloaded settings to the budgets that exist since the start. */
     public void reconfigure(BudgetConfig changed) {
-        changed.budgets().forEach((name, budget) -> {
-            changedBudgets.put(name, budget);
-            if (agent != null && config.budgets().containsKey(name)) {
+        changed.budgets().forEach((budgetName, budget) -> {
+            changedBudgets.put(budgetName, budget);
+            if (agent != null && config.budgets().containsKey(budgetName)) {
                 agent.reconfigure(clock.nowMs(), budget);
                 LogEvent.log(
                         LOG.atInfo(),
                         "budget retuned",
                         "budget",
-                        name,
+                        budgetName,
                         "whole",
                         budget.capacity(),
                         "weight",
--- a/lab/src/main/java/barleyspur/lab/fleet/BudgetWorld.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/BudgetWorld.java
@@ -463,7 +463,7 @@
     void lower(String budget, long whole) {
         for (Process p : running) {
             if (p != null) {
-                p.budgets.reconfigure(p.clock(), terms.budgetFor(budget).whole(whole));
+                p.budgets.reconfigure(p.clock(), terms.budgetFor(budget).withCapacity(whole));
                 arm(p);
             }
         }
--- a/lab/src/test/java/barleyspur/lab/fleet/BudgetSimulationTest.java
+++ b/lab/src/test/java/barleyspur/lab/fleet/BudgetSimulationTest.java
@@ -161,7 +161,7 @@
                 .budgets
                 .reconfigure(
                         simulation.in(0).clock(),
-                        simulation.terms.budgetFor("calls").whole(40));
+                        simulation.terms.budgetFor("calls").withCapacity(40));
         simulation.playTo(simulation.nowMs + 5_000);
         assertEquals(List.of(), simulation.broken());
         simulation.judgeBy("calls", 40);
