--- a/doorman/src/main/java/barleyspur/budget/BudgetAgent.java
+++ b/doorman/src/main/java/barleyspur/budget/BudgetAgent.java
@@ -118,7 +118,7 @@
         }
         if (coordinator != null) {
             coordinator = null;
-            context.emit(new BudgetAction.CoordinatorChanged(false, 0, "leaving"));
+            context.emit(new BudgetAction.CoordinatorChanged(false, 0, "leaves"));
         }
     }
 
@@ -146,26 +146,26 @@
     }
 
     private void dispatch(String from, String fromName, long fromNonce, BudgetMessage message) {
-        if (message instanceof BudgetMessage.LeaseGrants w) {
-            holder.onGrants(from, w);
-        } else if (message instanceof BudgetMessage.Redirect w) {
-            holder.onRedirect(from, w);
+        if (message instanceof BudgetMessage.LeaseGrants grants) {
+            holder.onGrants(from, grants);
+        } else if (message instanceof BudgetMessage.Redirect redirect) {
+            holder.onRedirect(from, redirect);
         } else if (voter == null) {
             if (message instanceof BudgetMessage.LeaseRequest) {
                 context.send(from, new BudgetMessage.Redirect(""));
             }
-        } else if (message instanceof BudgetMessage.VoteRequest w) {
-            voter.onVoteRequest(from, w);
-        } else if (message instanceof BudgetMessage.VoteRelease w) {
-            voter.onRelease(from, w);
-        } else if (message instanceof BudgetMessage.VoteReply w) {
-            if (election.onVote(from, w)) {
+        } else if (message instanceof BudgetMessage.VoteRequest request) {
+            voter.onVoteRequest(from, request);
+        } else if (message instanceof BudgetMessage.VoteRelease release) {
+            voter.onRelease(from, release);
+        } else if (message instanceof BudgetMessage.VoteReply vote) {
+            if (election.onVote(from, vote)) {
                 coordinator = new LeaseCoordinator(context, election.epoch());
                 context.emit(new BudgetAction.CoordinatorChanged(
                         true, election.epoch(), "elected by a majority of the voters"));
             }
-        } else if (message instanceof BudgetMessage.LeaseRequest w) {
-            onLeaseRequest(from, fromName, fromNonce, w);
+        } else if (message instanceof BudgetMessage.LeaseRequest request) {
+            onLeaseRequest(from, fromName, fromNonce, request);
         }
     }
 
--- a/doorman/src/main/java/barleyspur/budget/BudgetLimiter.java
+++ b/doorman/src/main/java/barleyspur/budget/BudgetLimiter.java
@@ -1,8 +1,8 @@
 package barleyspur.budget;
 
 /**
- * Limits the local use of one budget to the floor and the leased amount. {@link #tryAcquire} is a local operation without any
- * communication. Not thread-safe.
+ * Limits the local use of one budget to the floor and the leased amount. {@link #tryAcquire} is a local operation
+ * without any communication. Not thread-safe.
  */
 public final class BudgetLimiter {
 
@@ -103,7 +103,9 @@
         return acquired;
     }
 
-    /** Records the sending of the guarded operation; counts pauses after {@link #tryAcquire} that exceeded the slack. */
+    /**
+     * Records the sending of the guarded operation; counts pauses after {@link #tryAcquire} that exceeded the slack.
+     */
     public void recordSend(double acquiredMs, double nowMs) {
         if (nowMs - acquiredMs > config.sendSlackMs()) {
             lateSends++;
--- a/doorman/src/main/java/barleyspur/budget/BudgetSnapshot.java
+++ b/doorman/src/main/java/barleyspur/budget/BudgetSnapshot.java
@@ -5,9 +5,9 @@
 /**
  * The state of the budgets as one doorman knows it at one time.
  *
- * @param coordinating whether this doorman is the coordinator; {@code rows} is empty otherwise
- * @param coordinatorAddress where this doorman sends its requests or whom it voted for; empty if unknown or if it has requested
- *     nothing
+ * @param coordinating whether this doorman is the coordinator; {@code allocations} is empty otherwise
+ * @param coordinatorAddress where this doorman sends its requests or whom it voted for; empty if unknown or if it has
+ *     requested nothing
  * @param coordinatorLost whether it sends requests and no coordinator has answered for twice the expected time
  * @param abstaining whether it may not vote yet because it has just started
  * @param ownLeases the leases of this doorman
--- a/doorman/src/main/java/barleyspur/budget/MaxMinAllocation.java
+++ b/doorman/src/main/java/barleyspur/budget/MaxMinAllocation.java
@@ -12,10 +12,10 @@
     /**
      * Allocates {@code total} whole units.
      *
-     * @param fairShares fair share of each holder with fractional units, by {@link #fairShares}
-     * @param demands demands in units, at least 0
+     * @param fairShares of the holders in fractional units, by {@link #fairShares}
+     * @param demands in units, at least 0
      * @param weights above 0
-     * @param priorities priorities for the units left over by rounding down: the largest comes first
+     * @param priorities for the units left over by rounding down: the largest comes first
      */
     static long[] allocate(long total, double[] fairShares, long[] demands, double[] weights, double[] priorities) {
         int count = demands.length;
--- a/doorman/src/main/java/barleyspur/budget/net/BudgetMessageCodec.java
+++ b/doorman/src/main/java/barleyspur/budget/net/BudgetMessageCodec.java
@@ -47,50 +47,50 @@
 
     private final CBORFactory factory = new CBORFactory();
 
-    /** Encodes a message as one or more of at most {@code room} bytes; items that are too long are left out. */
-    List<byte[]> encode(BudgetMessage message, int room) {
-        if (message instanceof BudgetMessage.LeaseRequest w) {
+    /** Encodes a message as one or more of at most {@code maxBytes} bytes; items that are too long are left out. */
+    List<byte[]> encode(BudgetMessage message, int maxBytes) {
+        if (message instanceof BudgetMessage.LeaseRequest request) {
             return split(
-                    w.reports(),
-                    room,
+                    request.reports(),
+                    maxBytes,
                     items -> generator -> {
                         writeHeader(generator, 6, LEASE_REQUEST);
-                        generator.writeNumber(w.configDigest());
-                        generator.writeNumber(w.lastEpoch());
-                        generator.writeNumber((long) w.sentAtMs());
+                        generator.writeNumber(request.configDigest());
+                        generator.writeNumber(request.lastEpoch());
+                        generator.writeNumber((long) request.sentAtMs());
                         writeItems(generator, items);
                     },
-                    item -> generator -> claim(generator, item));
-        } else if (message instanceof BudgetMessage.LeaseGrants w) {
+                    report -> generator -> writeReport(generator, report));
+        } else if (message instanceof BudgetMessage.LeaseGrants grants) {
             return split(
-                    w.grants(),
-                    room,
+                    grants.grants(),
+                    maxBytes,
                     items -> generator -> {
                         writeHeader(generator, 5, LEASE_GRANTS);
-                        generator.writeNumber(w.configDigest());
-                        generator.writeNumber(w.epoch());
+                        generator.writeNumber(grants.configDigest());
+                        generator.writeNumber(grants.epoch());
                         writeItems(generator, items);
                     },
-                    item -> generator -> grant(generator, item));
+                    grant -> generator -> writeGrant(generator, grant));
         }
         return List.of(toBytes(generator -> {
-            if (message instanceof BudgetMessage.VoteRequest w) {
+            if (message instanceof BudgetMessage.VoteRequest request) {
                 writeHeader(generator, 5, VOTE_REQUEST);
-                generator.writeNumber(w.configDigest());
-                generator.writeNumber(w.ballot());
-                generator.writeNumber(w.sequence());
-            } else if (message instanceof BudgetMessage.VoteReply w) {
+                generator.writeNumber(request.configDigest());
+                generator.writeNumber(request.ballot());
+                generator.writeNumber(request.sequence());
+            } else if (message instanceof BudgetMessage.VoteReply vote) {
                 writeHeader(generator, 6, VOTE_REPLY);
-                generator.writeNumber(w.ballot());
-                generator.writeNumber(w.sequence());
-                generator.writeBoolean(w.granted());
-                generator.writeString(w.promisedTo());
-            } else if (message instanceof BudgetMessage.VoteRelease w) {
+                generator.writeNumber(vote.ballot());
+                generator.writeNumber(vote.sequence());
+                generator.writeBoolean(vote.granted());
+                generator.writeString(vote.promisedTo());
+            } else if (message instanceof BudgetMessage.VoteRelease release) {
                 writeHeader(generator, 3, VOTE_RELEASE);
-                generator.writeNumber(w.ballot());
-            } else if (message instanceof BudgetMessage.Redirect w) {
+                generator.writeNumber(release.ballot());
+            } else if (message instanceof BudgetMessage.Redirect redirect) {
                 writeHeader(generator, 3, REDIRECT);
-                generator.writeString(w.address());
+                generator.writeString(redirect.address());
             }
             generator.writeEndArray();
         }));
@@ -104,18 +104,19 @@
         CborPart encode(T item);
     }
 
-    private <T> List<byte[]> split(List<T> items, int room, MessageEncoder messageEncoder, ItemEncoder<T> itemEncoder) {
+    private <T> List<byte[]> split(
+            List<T> items, int maxBytes, MessageEncoder messageEncoder, ItemEncoder<T> itemEncoder) {
         List<byte[]> messages = new ArrayList<>();
         List<byte[]> batch = new ArrayList<>();
         int size = MESSAGE_OVERHEAD_BYTES;
         for (T item : items) {
             byte[] bytes = toBytes(itemEncoder.encode(item));
-            if (size + bytes.length > room && !batch.isEmpty()) {
+            if (size + bytes.length > maxBytes && !batch.isEmpty()) {
                 messages.add(toBytes(messageEncoder.encode(batch)));
                 batch = new ArrayList<>();
                 size = MESSAGE_OVERHEAD_BYTES;
             }
-            if (size + bytes.length <= room) {
+            if (size + bytes.length <= maxBytes) {
                 batch.add(bytes);
                 size += bytes.length;
             }
@@ -131,7 +132,7 @@
         try (CBORGenerator generator = factory.createGenerator(out)) {
             part.writeTo(generator);
         } catch (IOException e) {
-            throw new IllegalStateException("writing to memory can't fail", e);
+            throw new IllegalStateException("writing to a byte array failed", e);
         }
         return out.toByteArray();
     }
@@ -151,7 +152,7 @@
         generator.writeEndArray();
     }
 
-    private static void claim(CBORGenerator generator, BudgetMessage.HolderReport report) throws IOException {
+    private static void writeReport(CBORGenerator generator, BudgetMessage.HolderReport report) throws IOException {
         generator.writeStartArray(null, 11);
         generator.writeString(report.budget());
         generator.writeNumber(report.sequence());
@@ -167,7 +168,7 @@
         generator.writeEndArray();
     }
 
-    private static void grant(CBORGenerator generator, BudgetMessage.LeaseGrant grant) throws IOException {
+    private static void writeGrant(CBORGenerator generator, BudgetMessage.LeaseGrant grant) throws IOException {
         generator.writeStartArray(null, 5);
         generator.writeString(grant.budget());
         generator.writeNumber(grant.sequence());
@@ -196,10 +197,13 @@
                 case VOTE_RELEASE -> new BudgetMessage.VoteRelease(readNumber(parser));
                 case LEASE_REQUEST ->
                     new BudgetMessage.LeaseRequest(
-                            readNumber(parser), readNumber(parser), readNumber(parser), readItems(parser, this::claim));
+                            readNumber(parser),
+                            readNumber(parser),
+                            readNumber(parser),
+                            readItems(parser, this::readReport));
                 case LEASE_GRANTS ->
                     new BudgetMessage.LeaseGrants(
-                            readNumber(parser), readNumber(parser), readItems(parser, this::grant));
+                            readNumber(parser), readNumber(parser), readItems(parser, this::readGrant));
                 case REDIRECT -> new BudgetMessage.Redirect(readText(parser));
                 default -> null;
             };
@@ -230,7 +234,7 @@
         return List.copyOf(items);
     }
 
-    private BudgetMessage.HolderReport claim(JsonParser parser) throws IOException, DecodeException {
+    private BudgetMessage.HolderReport readReport(JsonParser parser) throws IOException, DecodeException {
         return new BudgetMessage.HolderReport(
                 readText(parser),
                 readUnsigned(parser),
@@ -245,7 +249,7 @@
                 readUnsigned(parser));
     }
 
-    private BudgetMessage.LeaseGrant grant(JsonParser parser) throws IOException, DecodeException {
+    private BudgetMessage.LeaseGrant readGrant(JsonParser parser) throws IOException, DecodeException {
         return new BudgetMessage.LeaseGrant(
                 readText(parser), readUnsigned(parser), readUnsigned(parser), readUnsigned(parser), readNumber(parser));
     }
--- a/doorman/src/main/java/barleyspur/budget/net/BudgetService.java
+++ b/doorman/src/main/java/barleyspur/budget/net/BudgetService.java
@@ -48,7 +48,11 @@
     private double timerAtMs = Double.POSITIVE_INFINITY;
     private boolean hasLeft;
 
-    /** @param name of this doorman */
+    /**
+     * Registers the budgets with the fleet view, which starts them as soon as this process can be reached.
+     *
+     * @param name of this doorman
+     */
     public BudgetService(FleetPort fleet, Clock clock, BudgetConfig config, String name, long seed) {
         this.fleet = fleet;
         this.clock = clock;
@@ -189,39 +193,39 @@
 
     private void execute(BudgetAction action) {
         double monotonicMs = System.nanoTime() / NANOS_PER_MS;
-        if (action instanceof BudgetAction.SendMessage a) {
-            for (byte[] body : codec.encode(a.message(), fleet.room())) {
+        if (action instanceof BudgetAction.SendMessage send) {
+            for (byte[] body : codec.encode(send.message(), fleet.room())) {
                 sentMessagesCounter.increment();
-                fleet.carry(a.address(), body);
+                fleet.carry(send.address(), body);
             }
-        } else if (action instanceof BudgetAction.LeaseChanged a) {
+        } else if (action instanceof BudgetAction.LeaseChanged lease) {
             LogEvent.log(
                     LOG.atDebug(),
                     "share",
                     "mono",
                     monotonicMs,
                     "budget",
-                    a.budget(),
+                    lease.budget(),
                     "amount",
-                    a.amount(),
+                    lease.amount(),
                     "until",
-                    monotonicMs + a.expiryMs() - clock.nowMs(),
+                    monotonicMs + lease.expiryMs() - clock.nowMs(),
                     "using",
-                    a.inUse(),
+                    lease.inUse(),
                     "term",
-                    a.epoch());
-        } else if (action instanceof BudgetAction.CoordinatorChanged a) {
+                    lease.epoch());
+        } else if (action instanceof BudgetAction.CoordinatorChanged change) {
             LogEvent.log(
                     LOG.atInfo(),
-                    a.coordinating() ? "divides" : "stopped dividing",
+                    change.coordinating() ? "divides" : "stopped dividing",
                     "mono",
                     monotonicMs,
                     "term",
-                    a.epoch(),
+                    change.epoch(),
                     "why",
-                    a.reason());
-        } else if (action instanceof BudgetAction.LogWarning a) {
-            cappedLog.warn(a.event(), "budget", a.budget(), "detail", a.detail());
+                    change.reason());
+        } else if (action instanceof BudgetAction.LogWarning warning) {
+            cappedLog.warn(warning.event(), "budget", warning.budget(), "detail", warning.detail());
         }
     }
 }
--- a/doorman/src/main/java/barleyspur/budget/net/BudgetStatusJson.java
+++ b/doorman/src/main/java/barleyspur/budget/net/BudgetStatusJson.java
@@ -10,7 +10,11 @@
 
     private BudgetStatusJson() {}
 
-    /** @param snapshot null if this process has no address in its fleet yet */
+    /**
+     * Converts a snapshot to JSON.
+     *
+     * @param snapshot null if this process has no address in its fleet yet
+     */
     static JSONObject toJson(String name, BudgetSnapshot snapshot) {
         JSONObject json = new JSONObject().put("self", name).put("ready", snapshot != null);
         if (snapshot == null) {
--- a/doorman/src/main/java/barleyspur/budget/net/BudgetedDepots.java
+++ b/doorman/src/main/java/barleyspur/budget/net/BudgetedDepots.java
@@ -25,13 +25,17 @@
     private final BudgetService service;
     private final Clock clock;
     private final double maxHoldMs;
-    /** Those that limit places come first, as only places can be returned. */
+    /** Budgets of kind places come first, as only places can be returned. */
     private final List<BudgetConfig.Budget> budgets = new ArrayList<>();
 
     private final Map<String, Integer> nodeKindByBudget;
     private final Map<Long, NodeListing> listings = new HashMap<>();
 
-    /** @param nodeKindByBudget the kind of nodes whose attempts each budget limits, by the budget's name */
+    /**
+     * Limits the attempts of other depots.
+     *
+     * @param nodeKindByBudget the kind of nodes whose attempts each budget limits, by the budget's name
+     */
     public BudgetedDepots(
             Depots delegate,
             BudgetService service,
@@ -45,8 +49,8 @@
         maxHoldMs = config.maxHoldMs();
         config.budgets().values().stream()
                 .filter(budget -> nodeKindByBudget.containsKey(budget.name()))
-                .sorted((a, budget) ->
-                        Boolean.compare(budget.kind() == BudgetKind.PLACES, a.kind() == BudgetKind.PLACES))
+                .sorted((first, second) ->
+                        Boolean.compare(second.kind() == BudgetKind.PLACES, first.kind() == BudgetKind.PLACES))
                 .forEach(budgets::add);
     }
 
--- a/doorman/src/main/java/barleyspur/tier/RecurrencePolicy.java
+++ b/doorman/src/main/java/barleyspur/tier/RecurrencePolicy.java
@@ -90,7 +90,7 @@
     }
 
     private Victim leastValuable(List<Victim> excluded, double nowMs) {
-        Victim least = null;
+        Victim leastValuable = null;
         double leastValue = Double.POSITIVE_INFINITY;
         for (int i = 0; i < SAMPLE_SIZE && keptParts.count() > 0; i++) {
             randomState += 0x9E3779B97F4A7C15L;
@@ -99,12 +99,12 @@
             if (value < leastValue) {
                 Victim sampled = new Victim(keptParts.object(slot), keptParts.part(slot), keptParts.sizeKb(slot));
                 if (!excluded.contains(sampled)) {
-                    least = sampled;
+                    leastValuable = sampled;
                     leastValue = value;
                 }
             }
         }
-        return least;
+        return leastValuable;
     }
 
     @Override
--- a/doorman/src/main/java/barleyspur/tier/RequestHistory.java
+++ b/doorman/src/main/java/barleyspur/tier/RequestHistory.java
@@ -28,7 +28,7 @@
 
     private final long[] objectHashes;
     private final int[] lastRequestMin;
-    /** Per object: days (8 bits, the lowest is the day of lastMin), bin (8 bits), frequency (16 bits). */
+    /** Per object: days (8 bits, the lowest is the day of lastRequestMin), bin (8 bits), frequency (16 bits). */
     private final int[] packedStatistics;
 
     private final int mask;
@@ -36,7 +36,7 @@
     private int size;
     private long randomState = 0x9E3779B97F4A7C15L;
 
-    /** Creates a history of at most {@code most} objects, or of 16 if that is less. */
+    /** Creates a history of at most {@code maxObjects} objects, or of 16 if that is less. */
     RequestHistory(int maxObjects) {
         int slots = Integer.highestOneBit(Math.max(16, maxObjects) * 4 / 3 - 1) << 1;
         this.maxObjects = maxObjects;
@@ -124,7 +124,7 @@
         }
         int minute = (int) (nowMs / MINUTE_MS);
         // In a steady state the mean count is the request rate times the half-life over ln 2.
-        double perMinute = decayedCount(slot, minute) / COUNT_SCALE * Math.log(2) / HALF_LIFE_MIN;
+        double requestsPerMinute = decayedCount(slot, minute) / COUNT_SCALE * Math.log(2) / HALF_LIFE_MIN;
         int daysSince = minute / DAY_MIN - lastRequestMin[slot] / DAY_MIN;
         int daysSeen = daysSince > 7 ? 0 : (packedStatistics[slot] >>> 24) << daysSince;
         // Counts the three days before the current one: a request of today is already part of the frequency.
@@ -132,8 +132,8 @@
         int bin = packedStatistics[slot] >>> 16 & 0xFF;
         int minutesUntilBin = Math.floorMod(bin - minute % DAY_MIN / BIN_MIN, BINS) * BIN_MIN;
         // An object already requested today in this bin is next expected tomorrow.
-        boolean doneToday = (daysSeen & 1) != 0 && minutesUntilBin == 0;
-        return new ObjectStatistics(perMinute, dailyFraction, doneToday ? DAY_MIN : minutesUntilBin);
+        boolean requestedToday = (daysSeen & 1) != 0 && minutesUntilBin == 0;
+        return new ObjectStatistics(requestsPerMinute, dailyFraction, requestedToday ? DAY_MIN : minutesUntilBin);
     }
 
     /** Evicts one of a few sampled objects: the one with the oldest last request, a day more for each day seen. */
--- a/doorman/src/main/java/barleyspur/tier/RetentionPolicy.java
+++ b/doorman/src/main/java/barleyspur/tier/RetentionPolicy.java
@@ -5,7 +5,7 @@
 
     /** Receives the parts that are evicted. */
     interface EvictionListener {
-        /** Evicts one part of an object. */
+        /** Reports the eviction of one part of an object. */
         void onEviction(long object, int part);
     }
 
@@ -14,7 +14,7 @@
 
     /**
      * Offers a part that was not kept and has been fetched. Returns whether it is kept from now on; the parts evicted
-     * to make room for it are passed to {@code dropped}.
+     * to make room for it are passed to {@code evictions}.
      */
     boolean admit(long object, int part, int kb, double nowMs, EvictionListener evictions);
 
--- a/lab/src/test/java/barleyspur/lab/fleet/BudgetMutationTest.java
+++ b/lab/src/test/java/barleyspur/lab/fleet/BudgetMutationTest.java
@@ -21,7 +21,7 @@
 class BudgetMutationTest {
 
     private static final Path SOURCES = Path.of("..", "doorman", "src", "main", "java", "barleyspur", "budget");
-    private static final String RANDOM = "playRandom";
+    private static final String RANDOM = "random";
     private static final String EXPLORE = "explore ";
 
     @TempDir
--- a/lab/src/test/java/barleyspur/lab/fleet/BudgetProcessesTest.java
+++ b/lab/src/test/java/barleyspur/lab/fleet/BudgetProcessesTest.java
@@ -76,12 +76,12 @@
     void halvedCapacityIsKept() throws Exception {
         BudgetFleet.Result result = play("whole.hcl");
         double reducedMs = result.struck().stream()
-                .filter(s -> s.fault() instanceof Fault.Whole)
+                .filter(step -> step.fault() instanceof Fault.Whole)
                 .findFirst()
                 .orElseThrow()
                 .atMs();
         long maxLeasedBefore = result.shares().all().stream()
-                .filter(t -> t.atMs() < reducedMs)
+                .filter(lease -> lease.atMs() < reducedMs)
                 .mapToLong(BudgetWatch.Told::amount)
                 .max()
                 .orElse(0);
@@ -92,7 +92,7 @@
     @Test
     void onePlaceRotatesAmongFourteen() throws Exception {
         Set<Integer> holders = play("one.hcl").shares().all().stream()
-                .filter(t -> t.budget().startsWith("calls:") && t.amount() > 0)
+                .filter(lease -> lease.budget().startsWith("calls:") && lease.amount() > 0)
                 .map(BudgetWatch.Told::slot)
                 .collect(Collectors.toSet());
         assertTrue(holders.size() > 1, "one place stayed with " + holders);
--- a/lab/src/test/java/barleyspur/lab/fleet/BudgetSimulationTest.java
+++ b/lab/src/test/java/barleyspur/lab/fleet/BudgetSimulationTest.java
@@ -175,26 +175,26 @@
     void falseReportsAreBoundedByWeight() {
         BudgetWorld simulation = startedWithoutFaults(4, config(4, 3), List.of("calls"));
         simulation.tamperedSlot = 3;
-        simulation.tampering = w -> w instanceof BudgetMessage.LeaseRequest a
+        simulation.tampering = message -> message instanceof BudgetMessage.LeaseRequest request
                 ? new BudgetMessage.LeaseRequest(
-                        a.configDigest(),
-                        a.lastEpoch(),
-                        a.sentAtMs(),
-                        a.reports().stream()
-                                .map(c -> new BudgetMessage.HolderReport(
-                                        c.budget(),
-                                        c.sequence(),
-                                        c.acceptedSequence(),
-                                        c.epoch(),
-                                        c.leasedAmount(),
+                        request.configDigest(),
+                        request.lastEpoch(),
+                        request.sentAtMs(),
+                        request.reports().stream()
+                                .map(report -> new BudgetMessage.HolderReport(
+                                        report.budget(),
+                                        report.sequence(),
+                                        report.acceptedSequence(),
+                                        report.epoch(),
+                                        report.leasedAmount(),
                                         1_000,
                                         1_000_000,
                                         1,
-                                        c.capacity(),
-                                        c.periodId(),
-                                        c.remainingMs()))
+                                        report.capacity(),
+                                        report.periodId(),
+                                        report.remainingMs()))
                                 .toList())
-                : w;
+                : message;
         double others = 0;
         for (int i = 0; i < 200; i++) {
             simulation.playTo(simulation.nowMs + 50);
@@ -254,15 +254,17 @@
                 BudgetKind.RATE,
                 500,
                 3_000,
-                (b, slot, nowMs) ->
+                (budget, slot, nowMs) ->
                         slot == 0 ? 10 : slot == 3 && nowMs < 8_000 || slot == 4 && nowMs >= 8_000 ? 60 : 0);
         List<BudgetMessage> oldRequests = new ArrayList<>();
         simulation.tamperedSlot = 3;
-        simulation.tampering = w -> {
-            if (w instanceof BudgetMessage.LeaseRequest a && simulation.nowMs > 7_000 && simulation.nowMs < 8_000) {
-                oldRequests.add(a);
+        simulation.tampering = message -> {
+            if (message instanceof BudgetMessage.LeaseRequest request
+                    && simulation.nowMs > 7_000
+                    && simulation.nowMs < 8_000) {
+                oldRequests.add(request);
             }
-            return w;
+            return message;
         };
         simulation.playTo(12_000);
         simulation.apply(new Fault.Freeze(Set.of(0)));
@@ -284,7 +286,7 @@
     /** Restarted voters must not vote while the coordinator they may have voted for is cut off. */
     @Test
     void restartedVotersAbstain() {
-        BudgetWorld simulation = startedWithFastLeases(BudgetKind.RATE, 1_000, 1_000, (b, slot, nowMs) -> 20);
+        BudgetWorld simulation = startedWithFastLeases(BudgetKind.RATE, 1_000, 1_000, (budget, slot, nowMs) -> 20);
         simulation.playTo(8_000);
         simulation.apply(new Fault.Cut(Set.of(0), Set.of(1, 2, 3, 4), false));
         simulation.apply(new Fault.Cut(Set.of(1, 2, 3, 4), Set.of(0), false));
@@ -302,7 +304,7 @@
                 BudgetKind.PLACES,
                 500,
                 3_000,
-                (b, slot, nowMs) -> slot == 4 ? 150 : slot == 3 && nowMs > 9_000 ? 150 : 0);
+                (budget, slot, nowMs) -> slot == 4 ? 150 : slot == 3 && nowMs > 9_000 ? 150 : 0);
         simulation.playTo(9_000);
         simulation.apply(new Fault.Split(List.of(Set.of(4), Set.of(0, 1, 2, 3))));
         simulation.playTo(16_000);
@@ -316,9 +318,10 @@
         BudgetConfig config = config(3, 3);
         List<BudgetMessage.LeaseRequest> requests = new ArrayList<>();
         for (int run = 1; run <= 2; run++) {
-            BudgetAgent holder = new BudgetAgent(config, "d9", BudgetWorld.address(8), run, run, 0, a -> {
-                if (a instanceof BudgetAction.SendMessage s && s.message() instanceof BudgetMessage.LeaseRequest ask) {
-                    requests.add(ask);
+            BudgetAgent holder = new BudgetAgent(config, "d9", BudgetWorld.address(8), run, run, 0, action -> {
+                if (action instanceof BudgetAction.SendMessage send
+                        && send.message() instanceof BudgetMessage.LeaseRequest request) {
+                    requests.add(request);
                 }
             });
             BudgetLimiter limiter = holder.limiter(1, "rate");
@@ -338,9 +341,9 @@
     void promiseIsToOneCandidate() {
         List<BudgetMessage> sentMessages = new ArrayList<>();
         BudgetConfig config = config(3, 3);
-        BudgetAgent voter = new BudgetAgent(config, "d3", BudgetWorld.address(2), 3, 3, 0, a -> {
-            if (a instanceof BudgetAction.SendMessage s && s.message() instanceof BudgetMessage.VoteReply) {
-                sentMessages.add(s.message());
+        BudgetAgent voter = new BudgetAgent(config, "d3", BudgetWorld.address(2), 3, 3, 0, action -> {
+            if (action instanceof BudgetAction.SendMessage send && send.message() instanceof BudgetMessage.VoteReply) {
+                sentMessages.add(send.message());
             }
         });
         voter.receive(2_000, BudgetWorld.address(0), "d1", 1, new BudgetMessage.VoteRequest(config.digest(), 7, 1));
@@ -362,7 +365,7 @@
                 BudgetKind.AMOUNT,
                 500,
                 3_000,
-                (b, slot, nowMs) -> slot == 0 && nowMs > 9_000 && nowMs < 9_500
+                (budget, slot, nowMs) -> slot == 0 && nowMs > 9_000 && nowMs < 9_500
                         ? 200
                         : slot == 4 && nowMs > 10_500 && nowMs < 11_800 ? 50 : 0);
         simulation.playTo(9_600);
@@ -383,12 +386,12 @@
                 config(30, 3),
                 BudgetLab.DRIFT,
                 List.of("calls"),
-                (b, slot, nowMs) -> 5);
+                (budget, slot, nowMs) -> 5);
         Map<Long, Integer> byMs = new TreeMap<>();
         simulation.log = (who, what) -> {
             if (simulation.nowMs > 8_000
-                    && what instanceof BudgetAction.SendMessage s
-                    && s.message() instanceof BudgetMessage.LeaseRequest) {
+                    && what instanceof BudgetAction.SendMessage send
+                    && send.message() instanceof BudgetMessage.LeaseRequest) {
                 byMs.merge((long) simulation.nowMs, 1, Integer::sum);
             }
         };
@@ -406,7 +409,7 @@
                 config(5, 3),
                 0.2,
                 List.of("calls"),
-                (b, slot, nowMs) -> 20);
+                (budget, slot, nowMs) -> 20);
         simulation.begin();
         simulation.playTo(60_000);
         assertTrue(
@@ -419,9 +422,10 @@
     void otherConfigurationsGetNothing() {
         BudgetWorld simulation = startedWithoutFaults(3, config(3, 3), List.of("calls"));
         simulation.tamperedSlot = 2;
-        simulation.tampering = w -> w instanceof BudgetMessage.LeaseRequest a
-                ? new BudgetMessage.LeaseRequest(a.configDigest() + 1, a.lastEpoch(), a.sentAtMs(), a.reports())
-                : w;
+        simulation.tampering = message -> message instanceof BudgetMessage.LeaseRequest request
+                ? new BudgetMessage.LeaseRequest(
+                        request.configDigest() + 1, request.lastEpoch(), request.sentAtMs(), request.reports())
+                : message;
         simulation.playTo(simulation.nowMs + 5_000);
         assertEquals(0, simulation.in(2).share("calls").limit(simulation.in(2).clock()));
         assertTrue(simulation.warnings.containsKey("a doorman goes by other terms of budgets: it gets nothing"));
