--- a/doorman/src/main/java/barleyspur/DoormanServer.java
+++ b/doorman/src/main/java/barleyspur/DoormanServer.java
@@ -3,8 +3,8 @@
 import barleyspur.admin.AdminServer;
 import barleyspur.admin.LifecycleRoutes;
 import barleyspur.admin.Routes;
-import barleyspur.budget.net.BudgetPort;
-import barleyspur.budget.net.GuardedDepots;
+import barleyspur.budget.net.BudgetService;
+import barleyspur.budget.net.BudgetedDepots;
 import barleyspur.channel.CommandChannel;
 import barleyspur.channel.CommandReader;
 import barleyspur.config.Configuration;
@@ -115,7 +115,7 @@
     /** The view of the other doormans; null without a fleet block in the settings. */
     private final Subsystem fleet;
     /** The budgets shared by all doormans; null without a budgets block in the settings. */
-    private final BudgetPort budgets;
+    private final BudgetService budgets;
 
     /**
      * Creates a doorman with the optional components that its own settings enable; with empty settings it only does
@@ -160,7 +160,7 @@
         fleet = fleetPort;
         budgets = ownSettings.budgets() == null
                 ? null
-                : new BudgetPort(
+                : new BudgetService(
                         fleetPort, clock, ownSettings.budgets().terms(), configuration.name(), incarnation + 1);
         doorman = new Doorman(
                 settings,
@@ -169,7 +169,7 @@
                 clock,
                 budgets == null
                         ? depots
-                        : new GuardedDepots(
+                        : new BudgetedDepots(
                                 depots,
                                 budgets,
                                 clock,
@@ -208,7 +208,7 @@
                 fleet.addTo(routes);
             }
             if (budgets != null) {
-                budgets.addTo(routes);
+                budgets.addRoutes(routes);
             }
             admin = new AdminServer(eventLoops, clock, routes.build());
             listenerPidFile = new ListenerPidFile(configuration.scratch(), configuration.listen());
@@ -302,7 +302,7 @@
                     String.join(",", restartKeys));
         }
         if (budgets != null && next.budgets() != null) {
-            budgets.retune(next.budgets().terms());
+            budgets.reconfigure(next.budgets().terms());
         }
     }
 
--- a/doorman/src/main/java/barleyspur/budget/Voter.java
+++ b/doorman/src/main/java/barleyspur/budget/Voter.java
@@ -1,60 +1,63 @@
 package barleyspur.budget;
 
 /**
- * One voter's word: it promises one ballot at a time that no other will have its vote before the promise is over. It
- * remembers nothing over a restart, so whoever has just started promises nothing until every promise that was made from
- * here before must be over.
+ * Promises its vote to one ballot at a time until the promise expires. Keeps no state over a restart, so a voter that
+ * has just started abstains until every promise that it may have made before must have expired.
  */
 final class Voter {
 
-    private final Shared s;
-    private final double silentUntilMs;
-    private long ballot;
-    private String promised = "";
-    private double untilMs = Double.NEGATIVE_INFINITY;
-    private long released;
-    private boolean left;
-
-    Voter(Shared s) {
-        this.s = s;
-        silentUntilMs = s.now + s.silenceMs();
+    private final AgentContext context;
+    private final double abstainUntilMs;
+    private long promisedBallot;
+    private String promisedTo = "";
+    private double promiseEndMs = Double.NEGATIVE_INFINITY;
+    private long releasedBallot;
+    private boolean resigned;
+
+    Voter(AgentContext context) {
+        this.context = context;
+        abstainUntilMs = context.nowMs + context.abstentionMs();
     }
 
-    boolean isSilent() {
-        return s.now < silentUntilMs;
+    boolean isAbstaining() {
+        return context.nowMs < abstainUntilMs;
     }
 
-    /** Whom it has promised to, as an address; empty: nobody. */
-    String promised() {
-        return s.now < untilMs ? promised : "";
+    /** Returns the address that the vote is promised to, or empty. */
+    String promisedTo() {
+        return context.nowMs < promiseEndMs ? promisedTo : "";
     }
 
-    /** Since when it could have promised to somebody, or when it will. */
+    /** Returns the time since which, or from which on, the vote is free. */
     double freeSinceMs() {
-        return Math.max(silentUntilMs, untilMs);
+        return Math.max(abstainUntilMs, promiseEndMs);
     }
 
-    void onAsk(String from, Word.VoteAsk ask) {
-        if (left || isSilent() || ask.terms() != s.digest || ask.ballot() == released) {
+    void onVoteRequest(String from, BudgetMessage.VoteRequest request) {
+        if (resigned
+                || isAbstaining()
+                || request.configDigest() != context.configDigest
+                || request.ballot() == releasedBallot) {
             return;
         }
-        boolean yes = s.now >= untilMs || ask.ballot() == ballot && from.equals(promised);
-        if (yes) {
-            ballot = ask.ballot();
-            promised = from;
-            untilMs = s.now + s.terms.termMs() * Terms.WAIT;
+        boolean granted =
+                context.nowMs >= promiseEndMs || request.ballot() == promisedBallot && from.equals(promisedTo);
+        if (granted) {
+            promisedBallot = request.ballot();
+            promisedTo = from;
+            promiseEndMs = context.nowMs + context.config.leaderLeaseMs() * BudgetConfig.DRIFT_MARGIN;
         }
-        s.send(from, new Word.Vote(ask.ballot(), ask.number(), yes, promised()));
+        context.send(from, new BudgetMessage.VoteReply(request.ballot(), request.sequence(), granted, promisedTo()));
     }
 
-    void onRelease(String from, Word.Release r) {
-        released = r.ballot();
-        if (r.ballot() == ballot && from.equals(promised)) {
-            untilMs = Math.min(untilMs, s.now);
+    void onRelease(String from, BudgetMessage.VoteRelease release) {
+        releasedBallot = release.ballot();
+        if (release.ballot() == promisedBallot && from.equals(promisedTo)) {
+            promiseEndMs = Math.min(promiseEndMs, context.nowMs);
         }
     }
 
-    void leave() {
-        left = true;
+    void resign() {
+        resigned = true;
     }
 }
