--- a/doorman/src/main/java/barleyspur/Node.java
+++ b/doorman/src/main/java/barleyspur/Node.java
@@ -16,7 +16,7 @@
 import barleyspur.doorman.Doorman;
 import barleyspur.doorman.LoopClock;
 import barleyspur.doorman.SocketPolls;
-import barleyspur.fleet.net.FleetPort;
+import barleyspur.fleet.net.FleetService;
 import barleyspur.front.thrift.ThriftFront;
 import barleyspur.lifecycle.Lifecycle;
 import barleyspur.log.LogEvent;
@@ -128,9 +128,9 @@
         Director director = new Decide(settings, configuration.seed());
         // Not the configuration's seed: doormans, and lives of one, may have it alike, and must be told apart.
         long life = own.fleet() == null ? 0 : new SecureRandom().nextLong();
-        FleetPort port = own.fleet() == null
+        FleetService port = own.fleet() == null
                 ? null
-                : new FleetPort(
+                : new FleetService(
                         group,
                         clock,
                         own.fleet(),
--- a/doorman/src/main/java/barleyspur/budget/net/BudgetPort.java
+++ b/doorman/src/main/java/barleyspur/budget/net/BudgetPort.java
@@ -9,9 +9,9 @@
 import barleyspur.budget.Word;
 import barleyspur.doorman.CappedLog;
 import barleyspur.doorman.Clock;
-import barleyspur.fleet.Saying;
-import barleyspur.fleet.net.FleetPort;
-import barleyspur.fleet.net.Passenger;
+import barleyspur.fleet.MembershipRecord;
+import barleyspur.fleet.net.FleetService;
+import barleyspur.fleet.net.PayloadListener;
 import barleyspur.log.LogEvent;
 import io.micrometer.core.instrument.Counter;
 import io.micrometer.core.instrument.MeterRegistry;
@@ -22,13 +22,13 @@
 import org.slf4j.LoggerFactory;
 
 /** One doorman's budgets on the fleet's datagrams and its event loop. */
-public final class BudgetPort implements Passenger {
+public final class BudgetPort implements PayloadListener {
 
     private static final Logger LOG = LoggerFactory.getLogger("budget");
     private static final double NANOS_PER_MS = 1e6;
     private static final int OK = 200;
 
-    private final FleetPort fleet;
+    private final FleetService fleet;
     private final Clock clock;
     private final Terms terms;
     private final String name;
@@ -49,18 +49,18 @@
     private boolean left;
 
     /** @param name of this doorman */
-    public BudgetPort(FleetPort fleet, Clock clock, Terms terms, String name, long seed) {
+    public BudgetPort(FleetService fleet, Clock clock, Terms terms, String name, long seed) {
         this.fleet = fleet;
         this.clock = clock;
         this.terms = terms;
         this.name = name;
         this.seed = seed;
         capped = new CappedLog(LOG, clock);
-        metrics = fleet.metrics();
+        metrics = fleet.meterRegistry();
         taken = metrics.counter("budget.taken");
         turnedAway = metrics.counter("budget.turned.away");
         sentWords = metrics.counter("budget.words", "way", "sent");
-        fleet.board(this);
+        fleet.setPayloadListener(this);
     }
 
     /** Adds its call to the second address's. */
@@ -114,14 +114,14 @@
     // ---- the fleet's calls -----------------------------------------------------------------------------
 
     @Override
-    public void start() {
+    public void onStart() {
         budgets = new Budgets(terms, name, fleet.address(), fleet.nonce(), seed, clock.nowMs(), this::carryOut);
         retuned.values().forEach(b -> budgets.retune(clock.nowMs(), b));
         schedule();
     }
 
     @Override
-    public void received(Saying sender, byte[] body) {
+    public void onPayload(MembershipRecord sender, byte[] body) {
         Word word;
         try {
             word = codec.decode(body);
@@ -131,20 +131,20 @@
             return;
         }
         if (word != null && budgets != null) {
-            budgets.receive(clock.nowMs(), sender.about().address(), sender.name(), sender.nonce(), word);
+            budgets.receive(clock.nowMs(), sender.metadata().address(), sender.name(), sender.nonce(), word);
             schedule();
         }
     }
 
     @Override
-    public void there(Set<String> addresses) {
+    public void onPeersChanged(Set<String> addresses) {
         if (budgets != null) {
             budgets.there(addresses);
         }
     }
 
     @Override
-    public void leaving() {
+    public void onLeavePending() {
         if (budgets != null) {
             budgets.resign(clock.nowMs());
             schedule();
@@ -152,7 +152,7 @@
     }
 
     @Override
-    public void leave() {
+    public void onLeave() {
         if (budgets != null) {
             budgets.leave(clock.nowMs());
         }
@@ -183,9 +183,9 @@
     private void carryOut(Action action) {
         double mono = System.nanoTime() / NANOS_PER_MS;
         if (action instanceof Action.Send a) {
-            for (byte[] body : codec.encode(a.word(), fleet.room())) {
+            for (byte[] body : codec.encode(a.word(), fleet.maxPayloadBytes())) {
                 sentWords.increment();
-                fleet.carry(a.address(), body);
+                fleet.sendPayload(a.address(), body);
             }
         } else if (action instanceof Action.Holds a) {
             LogEvent.log(
--- a/doorman/src/main/java/barleyspur/config/FleetSettings.java
+++ b/doorman/src/main/java/barleyspur/config/FleetSettings.java
@@ -1,7 +1,7 @@
 package barleyspur.config;
 
-import barleyspur.fleet.About;
-import barleyspur.fleet.Sizes;
+import barleyspur.fleet.DatagramSizes;
+import barleyspur.fleet.MemberMetadata;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
@@ -41,8 +41,8 @@
 
     static FleetSettings read(Path file, Hcl.Block b) throws Hcl.Invalid {
         String name = b.label();
-        if (name.isBlank() || name.length() > Sizes.LONGEST_TEXT) {
-            throw b.invalid("has a name that is empty or longer than " + Sizes.LONGEST_TEXT + " characters");
+        if (name.isBlank() || name.length() > DatagramSizes.MAX_TEXT_LENGTH) {
+            throw b.invalid("has a name that is empty or longer than " + DatagramSizes.MAX_TEXT_LENGTH + " characters");
         }
         Hcl.Value listen = required(b, "listen");
         InetSocketAddress at = addressOf(listen, listen.text());
@@ -53,7 +53,7 @@
         byte[] key = key(file, required(b, "key_file"));
         double period = time(b, "period", 500, 100, 10 * SECOND);
         double remember = time(b, "remember", 600 * SECOND, 10 * SECOND, 86_400 * SECOND);
-        int format = (int) b.number("format", About.NEWEST_FORMAT, 1, About.NEWEST_FORMAT);
+        int format = (int) b.number("format", MemberMetadata.NEWEST_FORMAT, 1, MemberMetadata.NEWEST_FORMAT);
         double offset = time(b, "clock_offset", 0, -86_400 * SECOND, 86_400 * SECOND);
         b.close(List.of());
         return new FleetSettings(name, at, advertise, seeds, key, period, remember, format, offset);
@@ -98,7 +98,7 @@
 
     private static InetSocketAddress addressOf(Hcl.Value v, String text) throws Hcl.Invalid {
         InetSocketAddress address = address(text);
-        if (address == null || text.length() > Sizes.LONGEST_TEXT) {
+        if (address == null || text.length() > DatagramSizes.MAX_TEXT_LENGTH) {
             throw v.invalid("is not an address with a port: '" + text + "'");
         }
         return address;
--- a/doorman/src/main/java/barleyspur/fleet/Action.java
+++ b/doorman/src/main/java/barleyspur/fleet/Action.java
@@ -7,10 +7,10 @@
     record Send(String address, Datagram datagram) implements Action {}
 
     /** Hand over what a member sent for another part of the program. */
-    record Deliver(Saying sender, byte[] body) implements Action {}
+    record Deliver(MembershipRecord sender, byte[] payload) implements Action {}
 
     /** Tell those who follow the view. */
-    record Tell(Change change) implements Action {}
+    record Notify(Change change) implements Action {}
 
     /** Log an event that operators should see; the text is the same for all of a kind. */
     record Warn(String event, String member, String detail) implements Action {}
--- a/doorman/src/main/java/barleyspur/fleet/Why.java
+++ b/doorman/src/main/java/barleyspur/fleet/ChangeReason.java
@@ -1,7 +1,7 @@
 package barleyspur.fleet;
 
 /** What a change of a member's standing in a view rests on. */
-public enum Why {
+public enum ChangeReason {
     /** It told so itself, in a datagram of its own. */
     TOLD_ITSELF,
     /** Another member passed it on. */
--- a/doorman/src/main/java/barleyspur/fleet/Datagram.java
+++ b/doorman/src/main/java/barleyspur/fleet/Datagram.java
@@ -8,6 +8,6 @@
  * @param sender  what the sender says of itself
  * @param digest  of the sender's view
  * @param message what it is for
- * @param news    of other members
+ * @param gossip    of other members
  */
-public record Datagram(Saying sender, long digest, Message message, List<Saying> news) {}
+public record Datagram(MembershipRecord sender, long digest, Message message, List<MembershipRecord> gossip) {}
--- a/doorman/src/main/java/barleyspur/fleet/Entry.java
+++ b/doorman/src/main/java/barleyspur/fleet/MemberEntry.java
@@ -4,7 +4,7 @@
 import java.util.Set;
 
 /** What is known of one other member, or of one that was. */
-final class Entry {
+final class MemberEntry {
 
     /** A suspicion: who spoke it out, since when, and when it is over. */
     static final class Suspicion {
@@ -15,30 +15,30 @@
 
     final String name;
     final long nameHash;
-    Saying saying;
+    MembershipRecord record;
     /** Whether it is in the view; else it is remembered, to be told from older sayings and to be tried again. */
     boolean listed;
     /** Its place in the roster's order while it is listed. */
-    int place;
+    int index;
     /** Its part in the digest while it is listed. */
-    long hash;
+    long recordHash;
 
-    double sinceMs;
-    double heardMs = Double.NEGATIVE_INFINITY;
-    Why why;
-    String from;
+    double stateSinceMs;
+    double lastHeardMs = Double.NEGATIVE_INFINITY;
+    ChangeReason reason;
+    String source;
     /** While it is suspected. */
     Suspicion suspicion;
     /** Of what it said against others, how much they refuted lately, and since when that is counted. */
-    int refuted;
+    int refutedAccusations;
 
-    double refutedSinceMs;
+    double refutedCountStartMs;
     /** When it was last sent what others say of it. */
-    double noticedMs = Double.NEGATIVE_INFINITY;
+    double lastNotifiedMs = Double.NEGATIVE_INFINITY;
 
-    Entry(String name, long nameHash, Saying saying) {
+    MemberEntry(String name, long nameHash, MembershipRecord record) {
         this.name = name;
         this.nameHash = nameHash;
-        this.saying = saying;
+        this.record = record;
     }
 }
--- a/doorman/src/main/java/barleyspur/fleet/Standing.java
+++ b/doorman/src/main/java/barleyspur/fleet/MemberState.java
@@ -1,7 +1,7 @@
 package barleyspur.fleet;
 
 /** What is said of a member's life, in the order in which one saying replaces another of the same incarnation. */
-public enum Standing {
+public enum MemberState {
     /** It takes part. */
     ALIVE,
     /** It did not answer somebody, who waits whether it says otherwise. */
@@ -12,7 +12,7 @@
     LEFT;
 
     /** Whether it counts as a member. */
-    public boolean listed() {
+    public boolean isMember() {
         return this == ALIVE || this == SUSPECT;
     }
 }
--- a/doorman/src/main/java/barleyspur/fleet/Membership.java
+++ b/doorman/src/main/java/barleyspur/fleet/Membership.java
@@ -18,199 +18,206 @@
 public final class Membership {
 
     /** Confirmations that end a suspicion as soon as may be (Lifeguard's k). */
-    private static final int CONFIRMATIONS = 3;
+    private static final int MAX_CONFIRMATIONS = 3;
     /** About so many members ask a suspect for themselves, whatever the size of the fleet. */
-    private static final double CHECKERS = 5;
-    /** Refuted accusations within {@link #CREDIT_PERIODS} beyond which an accuser's word doesn't count. */
-    private static final int CREDIT = 5;
+    private static final double EXPECTED_CHECKERS = 5;
+    /** Refuted accusations within {@link #REFUTED_WINDOW_PERIODS} beyond which an accuser's word doesn't count. */
+    private static final int MAX_REFUTED_ACCUSATIONS = 5;
 
-    private static final double CREDIT_PERIODS = 20;
+    private static final double REFUTED_WINDOW_PERIODS = 20;
     /** Members that are told by datagrams of their own that this one goes. */
-    private static final int FAREWELLS = 32;
+    private static final int LEAVE_NOTICES = 32;
     /** Periods of doubt after a start or a standstill, if nobody answers or views stay different. */
     private static final double DOUBT_PERIODS = 4;
     /**
      * Members that get news in a round, one datagram each: 36 KB a second at most, whatever happens, so that news about
      * late answers can't make answers later. What a burst leaves over is made up for by comparisons.
      */
-    private static final int FANOUT = 3;
+    private static final int GOSSIP_FANOUT = 3;
 
-    private static final double FORGET_EVERY_PERIODS = 20;
+    private static final double FORGET_INTERVAL_PERIODS = 20;
 
-    private final Wording w;
-    private final Prober prober;
-    private final Meeting meeting;
-    private final List<Entry> suspects = new ArrayList<>();
+    private final ProtocolContext context;
+    private final FailureDetector failureDetector;
+    private final AntiEntropy antiEntropy;
+    private final List<MemberEntry> suspectedEntries = new ArrayList<>();
     private long version;
-    private double lastMs;
-    private double roundMs;
-    private double forgetMs;
-    private double doubtMs;
+    private double lastTimeMs;
+    private double nextRoundMs;
+    private double nextForgetMs;
+    private double doubtEndsMs;
     private boolean inDoubt = true;
     private boolean leaving;
-    private int stills;
-    private int raises;
+    private int pauses;
+    private int generationRaises;
     private int refutations;
     /** The newer process of this name, while this one gives way to it, and when it was last heard. */
-    private Saying givenWay;
+    private MembershipRecord newerProcess;
 
-    private double twinHeardMs;
-    private double twinWaitMs;
+    private double newerProcessHeardMs;
+    private double nameReclaimDelayMs;
     /** Another process of this name that was told of, and when it is taken for gone. */
-    private Saying rumour;
+    private MembershipRecord unverifiedProcess;
 
-    private double rumourMs;
+    private double unverifiedUntilMs;
 
     /**
-     * @param life  the number of this life of the name: the wall clock's, or any that tends to rise
+     * @param generation  the number of this life of the name: the wall clock's, or any that tends to rise
      * @param seeds addresses to look for others at, tried for as long as nobody of the view has them
-     * @param seed  of all that is drawn
+     * @param randomSeed  of all that is drawn
      */
     public Membership(
-            String name, long life, About about, Times times, List<String> seeds, long seed, Consumer<Action> out) {
-        w = new Wording(times, seed, out);
-        w.self = new Saying(name, life, w.random.nextLong() >>> 12, 0, Standing.ALIVE, "", about);
-        prober = new Prober(w, this::silent);
-        meeting = new Meeting(w, seeds);
+            String name,
+            long generation,
+            MemberMetadata metadata,
+            ProtocolTimings timings,
+            List<String> seeds,
+            long randomSeed,
+            Consumer<Action> actions) {
+        context = new ProtocolContext(timings, randomSeed, actions);
+        context.self = new MembershipRecord(
+                name, generation, context.random.nextLong() >>> 12, 0, MemberState.ALIVE, "", metadata);
+        failureDetector = new FailureDetector(context, this::onProbeFailed);
+        antiEntropy = new AntiEntropy(context, seeds);
     }
 
     // ---- calls -----------------------------------------------------------------------------------------
 
     /** Begins: looks for others at the seeds. */
     public void start(double nowMs) {
-        w.now = nowMs;
-        lastMs = nowMs;
-        w.heardMs = nowMs;
-        w.roster.self(w.self.name(), w.self);
-        prober.start();
-        roundMs = nowMs;
-        forgetMs = nowMs + FORGET_EVERY_PERIODS * w.times.periodMs();
-        doubtMs = nowMs + DOUBT_PERIODS * w.times.periodMs();
-        meeting.start();
-        tell(new Change.Doubt(++version, true));
+        context.nowMs = nowMs;
+        lastTimeMs = nowMs;
+        context.lastHeardMs = nowMs;
+        context.memberTable.setSelf(context.self.name(), context.self);
+        failureDetector.start();
+        nextRoundMs = nowMs;
+        nextForgetMs = nowMs + FORGET_INTERVAL_PERIODS * context.timings.periodMs();
+        doubtEndsMs = nowMs + DOUBT_PERIODS * context.timings.periodMs();
+        antiEntropy.start();
+        notifyChange(new Change.Doubt(++version, true));
     }
 
     /** When {@link #tick} is to be called next. */
-    public double dueMs() {
+    public double nextTickMs() {
         if (leaving) {
-            return Math.max(roundMs, lastMs);
+            return Math.max(nextRoundMs, lastTimeMs);
         }
-        double due = Math.min(meeting.dueMs(), forgetMs);
-        due = givenWay == null ? Math.min(due, prober.dueMs()) : due;
-        if (givenWay != null || !w.news.isEmpty()) {
-            due = Math.min(due, Math.max(roundMs, lastMs));
+        double earliestMs = Math.min(antiEntropy.nextTickMs(), nextForgetMs);
+        earliestMs = newerProcess == null ? Math.min(earliestMs, failureDetector.nextTickMs()) : earliestMs;
+        if (newerProcess != null || !context.gossipQueue.isEmpty()) {
+            earliestMs = Math.min(earliestMs, Math.max(nextRoundMs, lastTimeMs));
         }
-        for (Entry e : suspects) {
-            due = Math.min(due, e.suspicion.endsMs);
+        for (MemberEntry entry : suspectedEntries) {
+            earliestMs = Math.min(earliestMs, entry.suspicion.endsMs);
         }
-        due = rumour == null ? due : Math.min(due, rumourMs);
-        return inDoubt ? Math.min(due, doubtMs) : due;
+        earliestMs = unverifiedProcess == null ? earliestMs : Math.min(earliestMs, unverifiedUntilMs);
+        return inDoubt ? Math.min(earliestMs, doubtEndsMs) : earliestMs;
     }
 
     /** Does what is due by now. */
     public void tick(double nowMs) {
-        double lateMs = nowMs - dueMs();
-        if (enter(nowMs)) {
+        double lateMs = nowMs - nextTickMs();
+        if (advanceTime(nowMs)) {
             return;
         }
-        if (nowMs >= roundMs) {
-            round();
+        if (nowMs >= nextRoundMs) {
+            gossipRound();
         }
         if (leaving) {
             return;
         }
-        if (givenWay == null) {
-            prober.tick(lateMs);
+        if (newerProcess == null) {
+            failureDetector.tick(lateMs);
         }
-        suspicions(lateMs);
-        meeting.tick(inDoubt);
-        twins();
-        if (nowMs >= forgetMs) {
-            forget();
+        expireSuspicions(lateMs);
+        antiEntropy.tick(inDoubt);
+        checkNameConflict();
+        if (nowMs >= nextForgetMs) {
+            forgetExpired();
         }
-        if (inDoubt && nowMs >= doubtMs) {
-            settle();
+        if (inDoubt && nowMs >= doubtEndsMs) {
+            endDoubt();
         }
     }
 
     /** Takes in a datagram, which is known to be one of this fleet's. */
-    public void receive(double nowMs, Datagram d) {
-        enter(nowMs);
-        Saying sender = d.sender();
+    public void receive(double nowMs, Datagram datagram) {
+        advanceTime(nowMs);
+        MembershipRecord sender = datagram.sender();
         if (leaving) {
             return;
         }
-        if (sender.name().equals(w.self.name())) {
-            twin(sender);
+        if (sender.name().equals(context.self.name())) {
+            onNameConflict(sender);
         } else {
-            w.heardMs = nowMs;
+            context.lastHeardMs = nowMs;
             merge(sender, sender.name());
-            Entry e = w.roster.get(sender.name());
-            if (e != null && e.saying.sameLife(sender)) {
-                e.heardMs = nowMs;
+            MemberEntry entry = context.memberTable.get(sender.name());
+            if (entry != null && entry.record.isSameProcess(sender)) {
+                entry.lastHeardMs = nowMs;
             }
         }
-        for (Saying s : d.news()) {
-            if (!s.name().equals(sender.name())) {
-                merge(s, sender.name());
+        for (MembershipRecord record : datagram.gossip()) {
+            if (!record.name().equals(sender.name())) {
+                merge(record, sender.name());
             }
         }
-        Message m = d.message();
-        if (m instanceof Message.Ping p) {
-            prober.onPing(sender, p);
-        } else if (m instanceof Message.Ack a) {
-            prober.onAck(a);
-        } else if (m instanceof Message.PingFor p) {
-            prober.onPingFor(sender, p);
-        } else if (m instanceof Message.Nack n) {
-            prober.onNack(n);
-        } else if (m instanceof Message.Compare c) {
-            meeting.onCompare(sender, c);
-        } else if (m instanceof Message.Carried c) {
-            w.emit(new Action.Deliver(sender, c.body()));
-        }
-        if (!sender.name().equals(w.self.name())) {
-            meeting.onDigest(sender, d.digest(), inDoubt);
-            if (inDoubt && d.digest() == w.roster.digest()) {
-                settle();
+        Message message = datagram.message();
+        if (message instanceof Message.Ping p) {
+            failureDetector.onPing(sender, p);
+        } else if (message instanceof Message.Ack accuserEntry) {
+            failureDetector.onAck(accuserEntry);
+        } else if (message instanceof Message.PingRequest p) {
+            failureDetector.onPingRequest(sender, p);
+        } else if (message instanceof Message.Nack n) {
+            failureDetector.onNack(n);
+        } else if (message instanceof Message.DigestExchange c) {
+            antiEntropy.onDigestExchange(sender, c);
+        } else if (message instanceof Message.Payload c) {
+            context.emit(new Action.Deliver(sender, c.bytes()));
+        }
+        if (!sender.name().equals(context.self.name())) {
+            antiEntropy.onDigest(sender, datagram.digest(), inDoubt);
+            if (inDoubt && datagram.digest() == context.memberTable.digest()) {
+                endDoubt();
             }
         }
     }
 
     /** Sends another part's words to a member; they may be lost, come twice, late or out of order. */
-    public void carry(double nowMs, String address, byte[] body) {
-        enter(nowMs);
-        w.exactly(address, new Message.Carried(body), List.of());
+    public void sendPayload(double nowMs, String address, byte[] payload) {
+        advanceTime(nowMs);
+        context.sendExact(address, new Message.Payload(payload), List.of());
     }
 
     /** How many bytes such words may have. */
-    public int room() {
-        return Sizes.left(w.self, new Message.Carried(new byte[0]));
+    public int maxPayloadBytes() {
+        return DatagramSizes.gossipBytesLeft(context.self, new Message.Payload(new byte[0]));
     }
 
     /** Changes what this member tells of itself. */
-    public void about(double nowMs, About about) {
-        enter(nowMs);
-        if (!about.equals(w.self.about()) && !leaving) {
-            say(w.self.above(0, about));
+    public void updateMetadata(double nowMs, MemberMetadata metadata) {
+        advanceTime(nowMs);
+        if (!metadata.equals(context.self.metadata()) && !leaving) {
+            updateSelf(context.self.withIncarnationAbove(0, metadata));
         }
     }
 
     /** This member goes: it says so now and in the next rounds, for as long as it is still asked to tick. */
     public void leave(double nowMs) {
-        enter(nowMs);
+        advanceTime(nowMs);
         if (leaving) {
             return;
         }
         leaving = true;
-        w.self = w.self.standing(Standing.LEFT, "");
-        w.roster.self(w.self.name(), w.self);
-        farewell();
+        context.self = context.self.withState(MemberState.LEFT, "");
+        context.memberTable.setSelf(context.self.name(), context.self);
+        announceLeave();
     }
 
-    private void farewell() {
-        for (Entry e : w.roster.some(FAREWELLS, null)) {
-            w.exactly(e.saying.about().address(), new Message.News(), List.of());
+    private void announceLeave() {
+        for (MemberEntry entry : context.memberTable.randomListed(LEAVE_NOTICES, null)) {
+            context.sendExact(entry.record.metadata().address(), new Message.Gossip(), List.of());
         }
     }
 
@@ -220,410 +227,440 @@
      * Whether what the view says of others must not be acted on: since a start or standstill nobody has confirmed it.
      * To be asked with the time at which somebody wants to act, since the standstill may have ended just now.
      */
-    public boolean inDoubt(double nowMs) {
-        return inDoubt || nowMs - lastMs > w.times.stillMs();
+    public boolean isInDoubt(double nowMs) {
+        return inDoubt || nowMs - lastTimeMs > context.timings.pauseThresholdMs();
     }
 
     /** The view, with those that are remembered. */
     public View view(double nowMs) {
         List<View.Member> members = new ArrayList<>();
         members.add(new View.Member(
-                w.self, givenWay == null && w.self.standing().listed(), nowMs, nowMs, Why.TOLD_ITSELF, w.self.name()));
-        for (Entry e : w.roster.known()) {
-            members.add(new View.Member(e.saying, e.listed, e.sinceMs, e.heardMs, e.why, e.from));
+                context.self,
+                newerProcess == null && context.self.state().isMember(),
+                nowMs,
+                nowMs,
+                ChangeReason.TOLD_ITSELF,
+                context.self.name()));
+        for (MemberEntry entry : context.memberTable.entries()) {
+            members.add(new View.Member(
+                    entry.record, entry.listed, entry.stateSinceMs, entry.lastHeardMs, entry.reason, entry.source));
         }
-        members.sort(Comparator.comparing(m -> m.saying().name()));
-        return new View(version, w.roster.digest(), inDoubt(nowMs), givenWay != null, w.self, members);
+        members.sort(Comparator.comparing(m -> m.record().name()));
+        return new View(
+                version, context.memberTable.digest(), isInDoubt(nowMs), newerProcess != null, context.self, members);
     }
 
     /** What this process says of itself. */
-    public Saying self() {
-        return w.self;
+    public MembershipRecord self() {
+        return context.self;
     }
 
     /** The digest of the view. */
     public long digest() {
-        return w.roster.digest();
+        return context.memberTable.digest();
     }
 
     /** How many are in the view, this one among them. */
-    public int members() {
-        return w.members();
+    public int memberCount() {
+        return context.memberCount();
     }
 
     /** Where those of the view are, without this one. */
-    public Set<String> addresses() {
+    public Set<String> peerAddresses() {
         Set<String> addresses = new HashSet<>();
-        for (Entry e : w.roster.listed()) {
-            addresses.add(e.saying.about().address());
+        for (MemberEntry entry : context.memberTable.listed()) {
+            addresses.add(entry.record.metadata().address());
         }
         return addresses;
     }
 
     /** How often this process has stood still, raised its life above another's and refuted others, and its doubts. */
     public int[] counters() {
-        return new int[] {stills, raises, refutations, w.doubts};
+        return new int[] {pauses, generationRaises, refutations, context.localHealthScore};
     }
 
     // ---- what is said of others ------------------------------------------------------------------------
 
-    private void merge(Saying s, String from) {
-        if (s.name().equals(w.self.name())) {
-            ofMyself(s);
+    private void merge(MembershipRecord record, String source) {
+        if (record.name().equals(context.self.name())) {
+            onClaimAboutSelf(record);
             return;
         }
-        Entry e = w.roster.get(s.name());
-        boolean direct = from.equals(s.name());
-        Why why = direct ? Why.TOLD_ITSELF : Why.PASSED_ON;
-        if (e == null) {
-            e = w.roster.add(s);
-            e.sinceMs = w.now;
-            take(e, s, why, from);
+        MemberEntry entry = context.memberTable.get(record.name());
+        boolean direct = source.equals(record.name());
+        ChangeReason reason = direct ? ChangeReason.TOLD_ITSELF : ChangeReason.PASSED_ON;
+        if (entry == null) {
+            entry = context.memberTable.add(record);
+            entry.stateSinceMs = context.nowMs;
+            apply(entry, record, reason, source);
             return;
         }
-        int order = s.compareTo(e.saying);
+        int order = record.compareTo(entry.record);
         if (order < 0) {
             if (direct) {
                 // An earlier life's, or one that doesn't know what is said of it: it is told.
-                tellOf(e, e.saying, s.about().address());
+                sendClaim(entry, entry.record, record.metadata().address());
             }
         } else if (order == 0) {
-            if (!e.listed && s.standing().listed()) {
-                take(e, s, why, from);
-            } else if (s.standing() == Standing.SUSPECT && e.suspicion != null) {
-                confirm(e, s);
+            if (!entry.listed && record.state().isMember()) {
+                apply(entry, record, reason, source);
+            } else if (record.state() == MemberState.SUSPECT && entry.suspicion != null) {
+                confirmSuspicion(entry, record);
             }
-        } else if (accuses(s) && e.listed && s.sameLife(e.saying)) {
-            accused(e, s, from);
+        } else if (isAccusation(record) && entry.listed && record.isSameProcess(entry.record)) {
+            onAccusation(entry, record, source);
         } else {
-            take(e, s, why, from);
+            apply(entry, record, reason, source);
         }
     }
 
-    private static boolean accuses(Saying s) {
-        return s.standing() == Standing.SUSPECT || s.standing() == Standing.DEAD;
+    private static boolean isAccusation(MembershipRecord record) {
+        return record.state() == MemberState.SUSPECT || record.state() == MemberState.DEAD;
     }
 
     /** Somebody speaks against a member that this view holds. */
-    private void accused(Entry e, Saying s, String from) {
-        if (!credible(s.by())) {
+    private void onAccusation(MemberEntry entry, MembershipRecord record, String source) {
+        if (!isCredible(record.accuser())) {
             return;
         }
-        boolean newer = s.incarnation() > e.saying.incarnation();
-        if (s.standing() == Standing.SUSPECT) {
-            take(e, s, Why.PASSED_ON, from);
-            if (w.random.nextDouble() < CHECKERS / w.members()) {
-                prober.soon(e);
+        boolean newer = record.incarnation() > entry.record.incarnation();
+        if (record.state() == MemberState.SUSPECT) {
+            apply(entry, record, ChangeReason.PASSED_ON, source);
+            if (context.random.nextDouble() < EXPECTED_CHECKERS / context.memberCount()) {
+                failureDetector.probeSoon(entry);
             }
             return;
         }
-        if (!newer && e.suspicion != null && w.now - e.suspicion.sinceMs >= w.times.leastSuspicionMs(w.members())) {
-            take(e, s, Why.PASSED_ON, from);
-        } else if (!newer && e.suspicion != null) {
-            confirm(e, s);
+        if (!newer
+                && entry.suspicion != null
+                && context.nowMs - entry.suspicion.sinceMs >= context.timings.minSuspicionMs(context.memberCount())) {
+            apply(entry, record, ChangeReason.PASSED_ON, source);
+        } else if (!newer && entry.suspicion != null) {
+            confirmSuspicion(entry, record);
         } else {
             // Given up elsewhere, maybe behind a cut: it is told, and asked before others, but not given up.
-            prober.soon(e);
-            tellOf(e, s, e.saying.about().address());
+            failureDetector.probeSoon(entry);
+            sendClaim(entry, record, entry.record.metadata().address());
         }
     }
 
-    private boolean credible(String accuser) {
-        if (accuser.equals(w.self.name())) {
+    private boolean isCredible(String accuser) {
+        if (accuser.equals(context.self.name())) {
             return true;
         }
-        Entry a = w.roster.get(accuser);
-        if (a == null || !a.listed) {
+        MemberEntry accuserEntry = context.memberTable.get(accuser);
+        if (accuserEntry == null || !accuserEntry.listed) {
             return false;
         }
-        if (w.now - a.refutedSinceMs > CREDIT_PERIODS * w.times.periodMs()) {
-            a.refuted = 0;
+        if (context.nowMs - accuserEntry.refutedCountStartMs > REFUTED_WINDOW_PERIODS * context.timings.periodMs()) {
+            accuserEntry.refutedAccusations = 0;
         }
-        return a.refuted <= CREDIT;
+        return accuserEntry.refutedAccusations <= MAX_REFUTED_ACCUSATIONS;
     }
 
-    private void confirm(Entry e, Saying s) {
-        if (credible(s.by()) && e.suspicion.accusers.size() <= CONFIRMATIONS && e.suspicion.accusers.add(s.by())) {
-            e.suspicion.endsMs = e.suspicion.sinceMs + suspicionMs(e);
-            w.news.add(e.saying.standing(Standing.SUSPECT, s.by()));
+    private void confirmSuspicion(MemberEntry entry, MembershipRecord record) {
+        if (isCredible(record.accuser())
+                && entry.suspicion.accusers.size() <= MAX_CONFIRMATIONS
+                && entry.suspicion.accusers.add(record.accuser())) {
+            entry.suspicion.endsMs = entry.suspicion.sinceMs + suspicionMs(entry);
+            context.gossipQueue.add(entry.record.withState(MemberState.SUSPECT, record.accuser()));
         }
     }
 
-    private double suspicionMs(Entry e) {
-        int wanted = Math.min(CONFIRMATIONS, w.roster.listed().size() - suspects.size());
-        return w.times.suspicionMs(w.members(), e.suspicion.accusers.size() - 1, wanted);
+    private double suspicionMs(MemberEntry entry) {
+        int expectedConfirmations =
+                Math.min(MAX_CONFIRMATIONS, context.memberTable.listed().size() - suspectedEntries.size());
+        return context.timings.suspicionMs(
+                context.memberCount(), entry.suspicion.accusers.size() - 1, expectedConfirmations);
     }
 
     /** Who goes by a name is told what others say of it, so that it can say otherwise: once a period. */
-    private void tellOf(Entry e, Saying said, String address) {
-        if (w.now - e.noticedMs >= w.times.periodMs()) {
-            e.noticedMs = w.now;
-            w.exactly(address, new Message.News(), List.of(said));
+    private void sendClaim(MemberEntry entry, MembershipRecord claim, String address) {
+        if (context.nowMs - entry.lastNotifiedMs >= context.timings.periodMs()) {
+            entry.lastNotifiedMs = context.nowMs;
+            context.sendExact(address, new Message.Gossip(), List.of(claim));
         }
     }
 
     /** Takes a saying for what holds, and tells of what that changes. */
-    private void take(Entry e, Saying s, Why why, String from) {
-        Saying before = e.saying;
-        boolean was = e.listed;
-        boolean in = s.standing().listed();
-        if (s.standing() == Standing.ALIVE && e.suspicion != null) {
-            e.suspicion.accusers.forEach(this::refuted);
-        }
-        if (before.standing() != s.standing() || !before.sameLife(s) || was != in) {
-            e.sinceMs = w.now;
-        }
-        e.saying = s;
-        e.why = why;
-        e.from = from;
-        if (s.standing() == Standing.SUSPECT) {
-            suspect(e, s);
-        } else if (e.suspicion != null) {
-            e.suspicion = null;
-            suspects.remove(e);
-        }
-        w.roster.list(e, in);
-        if (in || was) {
-            meeting.changed();
-            w.news.add(s);
-        }
-        if (in && !was) {
-            tell(new Change.Joined(++version, s, why, from));
-        } else if (in) {
-            tell(
-                    before.sameLife(s)
-                            ? new Change.Updated(++version, s, before, why, from)
-                            : new Change.Joined(++version, s, why, from));
-        } else if (was) {
-            tell(new Change.Lost(++version, s, why, from));
-        }
-    }
-
-    private void suspect(Entry e, Saying s) {
-        if (e.suspicion == null) {
-            e.suspicion = new Entry.Suspicion();
-            suspects.add(e);
-        }
-        e.suspicion.accusers.clear();
-        e.suspicion.accusers.add(s.by());
-        e.suspicion.sinceMs = w.now;
-        e.suspicion.endsMs = w.now + suspicionMs(e);
-        if (suspects.size() >= w.roster.listed().size()) {
+    private void apply(MemberEntry entry, MembershipRecord record, ChangeReason reason, String source) {
+        MembershipRecord previous = entry.record;
+        boolean wasListed = entry.listed;
+        boolean isListed = record.state().isMember();
+        if (record.state() == MemberState.ALIVE && entry.suspicion != null) {
+            entry.suspicion.accusers.forEach(this::countRefutedAccusation);
+        }
+        if (previous.state() != record.state() || !previous.isSameProcess(record) || wasListed != isListed) {
+            entry.stateSinceMs = context.nowMs;
+        }
+        entry.record = record;
+        entry.reason = reason;
+        entry.source = source;
+        if (record.state() == MemberState.SUSPECT) {
+            startSuspicion(entry, record);
+        } else if (entry.suspicion != null) {
+            entry.suspicion = null;
+            suspectedEntries.remove(entry);
+        }
+        context.memberTable.setListed(entry, isListed);
+        if (isListed || wasListed) {
+            antiEntropy.onViewChanged();
+            context.gossipQueue.add(record);
+        }
+        if (isListed && !wasListed) {
+            notifyChange(new Change.Joined(++version, record, reason, source));
+        } else if (isListed) {
+            notifyChange(
+                    previous.isSameProcess(record)
+                            ? new Change.Updated(++version, record, previous, reason, source)
+                            : new Change.Joined(++version, record, reason, source));
+        } else if (wasListed) {
+            notifyChange(new Change.Lost(++version, record, reason, source));
+        }
+    }
+
+    private void startSuspicion(MemberEntry entry, MembershipRecord record) {
+        if (entry.suspicion == null) {
+            entry.suspicion = new MemberEntry.Suspicion();
+            suspectedEntries.add(entry);
+        }
+        entry.suspicion.accusers.clear();
+        entry.suspicion.accusers.add(record.accuser());
+        entry.suspicion.sinceMs = context.nowMs;
+        entry.suspicion.endsMs = context.nowMs + suspicionMs(entry);
+        if (suspectedEntries.size() >= context.memberTable.listed().size()) {
             // Nobody is left who could confirm.
-            for (Entry other : suspects) {
+            for (MemberEntry other : suspectedEntries) {
                 other.suspicion.endsMs = Math.min(other.suspicion.endsMs, other.suspicion.sinceMs + suspicionMs(other));
             }
         }
     }
 
-    private void refuted(String accuser) {
-        Entry a = w.roster.get(accuser);
-        if (a != null && a.refuted++ == 0) {
-            a.refutedSinceMs = w.now;
+    private void countRefutedAccusation(String accuser) {
+        MemberEntry accuserEntry = context.memberTable.get(accuser);
+        if (accuserEntry != null && accuserEntry.refutedAccusations++ == 0) {
+            accuserEntry.refutedCountStartMs = context.nowMs;
         }
     }
 
     /** A probe of ours had no answer. */
-    private void silent(Entry e) {
-        if (e.saying.standing() == Standing.ALIVE) {
-            take(e, e.saying.standing(Standing.SUSPECT, w.self.name()), Why.NO_ANSWER, w.self.name());
-        } else if (e.suspicion != null) {
-            confirm(e, e.saying.standing(Standing.SUSPECT, w.self.name()));
+    private void onProbeFailed(MemberEntry entry) {
+        if (entry.record.state() == MemberState.ALIVE) {
+            apply(
+                    entry,
+                    entry.record.withState(MemberState.SUSPECT, context.self.name()),
+                    ChangeReason.NO_ANSWER,
+                    context.self.name());
+        } else if (entry.suspicion != null) {
+            confirmSuspicion(entry, entry.record.withState(MemberState.SUSPECT, context.self.name()));
         }
     }
 
-    private void suspicions(double lateMs) {
-        for (Entry e : new ArrayList<>(suspects)) {
-            if (w.now < e.suspicion.endsMs) {
+    private void expireSuspicions(double lateMs) {
+        for (MemberEntry entry : new ArrayList<>(suspectedEntries)) {
+            if (context.nowMs < entry.suspicion.endsMs) {
                 continue;
             }
-            if (lateMs > w.times.roundMs() && e.suspicion.endsMs > w.now - lateMs - 1) {
+            if (lateMs > context.timings.gossipIntervalMs() && entry.suspicion.endsMs > context.nowMs - lateMs - 1) {
                 // Late by our own fault: what refutes it may lie unread.
-                e.suspicion.endsMs = w.now + w.times.roundMs();
+                entry.suspicion.endsMs = context.nowMs + context.timings.gossipIntervalMs();
             } else {
-                take(e, e.saying.standing(Standing.DEAD, w.self.name()), Why.SUSPICION_OVER, w.self.name());
+                apply(
+                        entry,
+                        entry.record.withState(MemberState.DEAD, context.self.name()),
+                        ChangeReason.SUSPICION_OVER,
+                        context.self.name());
             }
         }
     }
 
-    private void forget() {
-        forgetMs = w.now + FORGET_EVERY_PERIODS * w.times.periodMs();
-        List<Entry> old = new ArrayList<>();
-        for (Entry e : w.roster.known()) {
-            if (!e.listed && w.now - e.sinceMs > w.times.rememberMs()) {
-                old.add(e);
+    private void forgetExpired() {
+        nextForgetMs = context.nowMs + FORGET_INTERVAL_PERIODS * context.timings.periodMs();
+        List<MemberEntry> expired = new ArrayList<>();
+        for (MemberEntry entry : context.memberTable.entries()) {
+            if (!entry.listed && context.nowMs - entry.stateSinceMs > context.timings.deadRetentionMs()) {
+                expired.add(entry);
             }
         }
-        old.forEach(w.roster::forget);
+        expired.forEach(context.memberTable::remove);
     }
 
     // ---- what is said of this one ----------------------------------------------------------------------
 
-    private void say(Saying s) {
-        w.self = s;
-        w.roster.self(s.name(), givenWay == null ? s : null);
-        meeting.changed();
-        w.news.add(s);
+    private void updateSelf(MembershipRecord record) {
+        context.self = record;
+        context.memberTable.setSelf(record.name(), newerProcess == null ? record : null);
+        antiEntropy.onViewChanged();
+        context.gossipQueue.add(record);
     }
 
-    private void ofMyself(Saying s) {
+    private void onClaimAboutSelf(MembershipRecord record) {
         if (leaving) {
             return;
         }
-        if (s.nonce() == w.self.nonce() && s.life() == w.self.life()) {
-            if (s.incarnation() > w.self.incarnation()
-                    || s.incarnation() == w.self.incarnation() && s.standing() != Standing.ALIVE) {
+        if (record.nonce() == context.self.nonce() && record.generation() == context.self.generation()) {
+            if (record.incarnation() > context.self.incarnation()
+                    || record.incarnation() == context.self.incarnation() && record.state() != MemberState.ALIVE) {
                 refutations++;
-                w.doubt(1);
-                say(w.self.above(s.incarnation(), w.self.about()));
+                context.adjustLocalHealthScore(1);
+                updateSelf(context.self.withIncarnationAbove(record.incarnation(), context.self.metadata()));
             }
             return;
         }
-        if (givenWay != null || s.compareTo(w.self) <= 0) {
+        if (newerProcess != null || record.compareTo(context.self) <= 0) {
             return;
         }
-        boolean mine = s.about().address().equals(w.self.about().address());
-        if (mine || !s.standing().listed()) {
-            raiseAbove(s);
-        } else if (rumour == null || rumour.compareTo(s) < 0) {
+        boolean sameAddress =
+                record.metadata().address().equals(context.self.metadata().address());
+        if (sameAddress || !record.state().isMember()) {
+            raiseGenerationAbove(record);
+        } else if (unverifiedProcess == null || unverifiedProcess.compareTo(record) < 0) {
             // Maybe this name's earlier life, whose clock ran ahead; maybe a newer process: it is asked.
-            rumour = s;
-            rumourMs = w.now + 2 * w.times.periodMs();
-            w.exactly(s.about().address(), new Message.Ping(w.nextNumber(), s.name()), List.of(w.self));
-        }
-    }
-
-    private void raiseAbove(Saying s) {
-        raises++;
-        rumour = null;
-        say(new Saying(
-                w.self.name(),
-                Math.min(Saying.MOST, s.life() + 1),
-                w.self.nonce(),
+            unverifiedProcess = record;
+            unverifiedUntilMs = context.nowMs + 2 * context.timings.periodMs();
+            context.sendExact(
+                    record.metadata().address(),
+                    new Message.Ping(context.nextSequence(), record.name()),
+                    List.of(context.self));
+        }
+    }
+
+    private void raiseGenerationAbove(MembershipRecord record) {
+        generationRaises++;
+        unverifiedProcess = null;
+        updateSelf(new MembershipRecord(
+                context.self.name(),
+                Math.min(MembershipRecord.MAX_COUNTER, record.generation() + 1),
+                context.self.nonce(),
                 0,
-                Standing.ALIVE,
+                MemberState.ALIVE,
                 "",
-                w.self.about()));
+                context.self.metadata()));
     }
 
     /** A datagram of another process that goes by this name: the newer one has it. */
-    private void twin(Saying s) {
-        if (s.sameLife(w.self)) {
+    private void onNameConflict(MembershipRecord record) {
+        if (record.isSameProcess(context.self)) {
             return;
         }
-        if (s.compareTo(w.self) < 0) {
-            if (s.standing().listed()) {
-                w.exactly(s.about().address(), new Message.News(), List.of(w.self));
+        if (record.compareTo(context.self) < 0) {
+            if (record.state().isMember()) {
+                context.sendExact(record.metadata().address(), new Message.Gossip(), List.of(context.self));
             }
             return;
         }
-        if (!s.standing().listed()) {
-            ofMyself(s);
+        if (!record.state().isMember()) {
+            onClaimAboutSelf(record);
             return;
         }
-        twinHeardMs = w.now;
-        rumour = null;
-        if (givenWay == null) {
-            givenWay = s;
-            twinWaitMs = twinWaitMs == 0 ? 2 * w.times.mostSuspicionMs(w.members()) : 2 * twinWaitMs;
-            w.roster.self(w.self.name(), null);
-            w.news.clear();
-            w.emit(new Action.Warn(
+        newerProcessHeardMs = context.nowMs;
+        unverifiedProcess = null;
+        if (newerProcess == null) {
+            newerProcess = record;
+            nameReclaimDelayMs = nameReclaimDelayMs == 0
+                    ? 2 * context.timings.maxSuspicionMs(context.memberCount())
+                    : 2 * nameReclaimDelayMs;
+            context.memberTable.setSelf(context.self.name(), null);
+            context.gossipQueue.clear();
+            context.emit(new Action.Warn(
                     "another, newer process goes by this name: this one gives way",
-                    s.name(),
-                    s.about().address()));
-            tell(new Change.Name(++version, true, s));
+                    record.name(),
+                    record.metadata().address()));
+            notifyChange(new Change.Name(++version, true, record));
         }
-        givenWay = s;
+        newerProcess = record;
     }
 
-    private void twins() {
-        if (rumour != null && w.now >= rumourMs) {
-            raiseAbove(rumour);
+    private void checkNameConflict() {
+        if (unverifiedProcess != null && context.nowMs >= unverifiedUntilMs) {
+            raiseGenerationAbove(unverifiedProcess);
         }
-        if (givenWay != null && w.now - twinHeardMs > twinWaitMs) {
-            Saying other = givenWay;
-            givenWay = null;
-            w.emit(new Action.Warn(
+        if (newerProcess != null && context.nowMs - newerProcessHeardMs > nameReclaimDelayMs) {
+            MembershipRecord other = newerProcess;
+            newerProcess = null;
+            context.emit(new Action.Warn(
                     "the newer process of this name is gone: this one has it back",
                     other.name(),
-                    other.about().address()));
-            tell(new Change.Name(++version, false, other));
-            raiseAbove(other);
+                    other.metadata().address()));
+            notifyChange(new Change.Name(++version, false, other));
+            raiseGenerationAbove(other);
         }
     }
 
     // ---- time ------------------------------------------------------------------------------------------
 
     /** Notes the time, and true where this process has stood still, so that all timers begin anew. */
-    private boolean enter(double nowMs) {
-        double gap = nowMs - lastMs;
-        lastMs = nowMs;
-        w.now = nowMs;
-        if (gap <= w.times.stillMs()) {
+    private boolean advanceTime(double nowMs) {
+        double gapMs = nowMs - lastTimeMs;
+        lastTimeMs = nowMs;
+        context.nowMs = nowMs;
+        if (gapMs <= context.timings.pauseThresholdMs()) {
             return false;
         }
-        stills++;
-        w.doubt(1);
-        prober.reset();
-        boolean isVoid = gap >= w.times.leastSuspicionMs(w.members());
-        w.emit(new Action.Warn(
+        pauses++;
+        context.adjustLocalHealthScore(1);
+        failureDetector.reset();
+        boolean viewExpired = gapMs >= context.timings.minSuspicionMs(context.memberCount());
+        context.emit(new Action.Warn(
                 "this process stood still",
-                w.self.name(),
-                Math.round(gap) + " ms" + (isVoid ? ": its view is void" : "")));
+                context.self.name(),
+                Math.round(gapMs) + " ms" + (viewExpired ? ": its view is void" : "")));
         inDoubt = true;
-        w.heardMs = nowMs;
-        doubtMs = nowMs + DOUBT_PERIODS * w.times.periodMs();
-        tell(new Change.Doubt(++version, true));
-        for (Entry e : suspects) {
-            e.suspicion.endsMs += gap;
-        }
-        if (isVoid) {
-            for (Entry e : new ArrayList<>(w.roster.listed())) {
-                if (e.suspicion != null) {
-                    e.suspicion = null;
-                    suspects.remove(e);
+        context.lastHeardMs = nowMs;
+        doubtEndsMs = nowMs + DOUBT_PERIODS * context.timings.periodMs();
+        notifyChange(new Change.Doubt(++version, true));
+        for (MemberEntry entry : suspectedEntries) {
+            entry.suspicion.endsMs += gapMs;
+        }
+        if (viewExpired) {
+            for (MemberEntry entry : new ArrayList<>(context.memberTable.listed())) {
+                if (entry.suspicion != null) {
+                    entry.suspicion = null;
+                    suspectedEntries.remove(entry);
                 }
-                e.why = Why.STOOD_STILL;
-                e.from = w.self.name();
-                e.sinceMs = nowMs;
-                w.roster.list(e, false);
-                tell(new Change.Lost(++version, e.saying, Why.STOOD_STILL, w.self.name()));
+                entry.reason = ChangeReason.STOOD_STILL;
+                entry.source = context.self.name();
+                entry.stateSinceMs = nowMs;
+                context.memberTable.setListed(entry, false);
+                notifyChange(new Change.Lost(++version, entry.record, ChangeReason.STOOD_STILL, context.self.name()));
             }
-            w.news.clear();
+            context.gossipQueue.clear();
         }
         if (!leaving) {
-            say(w.self.above(0, w.self.about()));
+            updateSelf(context.self.withIncarnationAbove(0, context.self.metadata()));
         }
-        meeting.start();
-        roundMs = nowMs;
+        antiEntropy.start();
+        nextRoundMs = nowMs;
         return true;
     }
 
-    private void settle() {
+    private void endDoubt() {
         inDoubt = false;
-        tell(new Change.Doubt(++version, false));
+        notifyChange(new Change.Doubt(++version, false));
     }
 
-    private void round() {
-        roundMs = w.now + w.times.roundMs();
+    private void gossipRound() {
+        nextRoundMs = context.nowMs + context.timings.gossipIntervalMs();
         if (leaving) {
-            farewell();
+            announceLeave();
             return;
         }
-        if (givenWay != null) {
-            w.exactly(givenWay.about().address(), new Message.Ping(w.nextNumber(), w.self.name()), List.of());
+        if (newerProcess != null) {
+            context.sendExact(
+                    newerProcess.metadata().address(),
+                    new Message.Ping(context.nextSequence(), context.self.name()),
+                    List.of());
             return;
         }
-        if (w.news.isEmpty() || w.roster.listed().isEmpty()) {
+        if (context.gossipQueue.isEmpty() || context.memberTable.listed().isEmpty()) {
             return;
         }
-        for (Entry e : w.roster.some(FANOUT, null)) {
-            w.send(e, new Message.News());
+        for (MemberEntry entry : context.memberTable.randomListed(GOSSIP_FANOUT, null)) {
+            context.send(entry, new Message.Gossip());
         }
     }
 
-    private void tell(Change change) {
-        w.emit(new Action.Tell(change));
+    private void notifyChange(Change change) {
+        context.emit(new Action.Notify(change));
     }
 }
--- a/doorman/src/main/java/barleyspur/fleet/View.java
+++ b/doorman/src/main/java/barleyspur/fleet/View.java
@@ -11,19 +11,26 @@
  * @param nameGivenUp a newer process goes by this name
  * @param members in the order of their names, this one among them
  */
-public record View(long version, long digest, boolean inDoubt, boolean nameGivenUp, Saying self, List<Member> members) {
+public record View(
+        long version, long digest, boolean inDoubt, boolean nameGivenUp, MembershipRecord self, List<Member> members) {
 
     /**
      * One member, or one that was.
      *
-     * @param sinceMs when it came to this standing here, on this process's own clock
-     * @param heardMs when it was last heard of by a datagram of its own, or negative infinity
-     * @param from    who told
+     * @param stateSinceMs when it came to this standing here, on this process's own clock
+     * @param lastHeardMs when it was last heard of by a datagram of its own, or negative infinity
+     * @param source    who told
      */
-    public record Member(Saying saying, boolean listed, double sinceMs, double heardMs, Why why, String from) {}
+    public record Member(
+            MembershipRecord record,
+            boolean listed,
+            double stateSinceMs,
+            double lastHeardMs,
+            ChangeReason reason,
+            String source) {}
 
     /** How many are members. */
-    public long size() {
+    public long memberCount() {
         return members.stream().filter(Member::listed).count();
     }
 }
--- a/doorman/src/main/java/barleyspur/fleet/net/FleetMetrics.java
+++ b/doorman/src/main/java/barleyspur/fleet/net/FleetMetrics.java
@@ -18,39 +18,39 @@
     private final Counter received = registry.counter("fleet.datagrams", "way", "received");
     private final Counter receivedBytes = registry.counter("fleet.bytes", "way", "received");
 
-    void watch(Membership m, Clock clock) {
-        Gauge.builder("fleet.members", m, Membership::members).register(registry);
-        Gauge.builder("fleet.in.doubt", m, v -> v.inDoubt(clock.nowMs()) ? 1 : 0)
+    void registerGauges(Membership membership, Clock clock) {
+        Gauge.builder("fleet.members", membership, Membership::memberCount).register(registry);
+        Gauge.builder("fleet.in.doubt", membership, v -> v.isInDoubt(clock.nowMs()) ? 1 : 0)
                 .register(registry);
-        Gauge.builder("fleet.stood.still", m, v -> v.counters()[0]).register(registry);
-        Gauge.builder("fleet.refutations", m, v -> v.counters()[2]).register(registry);
-        Gauge.builder("fleet.own.doubts", m, v -> v.counters()[3]).register(registry);
+        Gauge.builder("fleet.stood.still", membership, v -> v.counters()[0]).register(registry);
+        Gauge.builder("fleet.refutations", membership, v -> v.counters()[2]).register(registry);
+        Gauge.builder("fleet.own.doubts", membership, v -> v.counters()[3]).register(registry);
     }
 
     MeterRegistry registry() {
         return registry;
     }
 
-    void sent(int bytes) {
+    void countSent(int bytes) {
         sent.increment();
         sentBytes.increment(bytes);
     }
 
-    void received(int bytes) {
+    void countReceived(int bytes) {
         received.increment();
         receivedBytes.increment(bytes);
     }
 
-    void refused(String cause) {
+    void countRejected(String cause) {
         registry.counter("fleet.datagrams.refused", "cause", cause).increment();
     }
 
-    void changed(Change change) {
+    void countChange(Change change) {
         registry.counter("fleet.changes", "kind", change.getClass().getSimpleName())
                 .increment();
     }
 
-    String text() {
+    String scrape() {
         return registry.scrape();
     }
 }
--- a/doorman/src/main/java/barleyspur/fleet/net/FleetPort.java
+++ b/doorman/src/main/java/barleyspur/fleet/net/FleetService.java
@@ -5,14 +5,14 @@
 import barleyspur.config.FleetSettings;
 import barleyspur.doorman.CappedLog;
 import barleyspur.doorman.Clock;
-import barleyspur.fleet.About;
 import barleyspur.fleet.Action;
 import barleyspur.fleet.Change;
 import barleyspur.fleet.Datagram;
+import barleyspur.fleet.DatagramSizes;
+import barleyspur.fleet.MemberMetadata;
 import barleyspur.fleet.Membership;
-import barleyspur.fleet.Saying;
-import barleyspur.fleet.Sizes;
-import barleyspur.fleet.Times;
+import barleyspur.fleet.MembershipRecord;
+import barleyspur.fleet.ProtocolTimings;
 import barleyspur.lifecycle.Lifecycle;
 import barleyspur.log.LogEvent;
 import io.micrometer.core.instrument.MeterRegistry;
@@ -41,12 +41,12 @@
  * membership asks for. The address may still be in use at a start beside an older process (an upgrade): then it is
  * tried again until it is free, and the doorman serves meanwhile.
  */
-public final class FleetPort implements Subsystem {
+public final class FleetService implements Subsystem {
 
     private static final Logger LOG = LoggerFactory.getLogger("fleet");
-    private static final double BIND_AGAIN_MS = 500;
+    private static final double BIND_RETRY_MS = 500;
     /** How long a leaving member goes on saying so: three rounds. */
-    private static final double FAREWELL_MS = 300;
+    private static final double LEAVE_ANNOUNCE_MS = 300;
 
     private static final int RECEIVE_BUFFER = 1 << 20;
     private static final double NANOS_PER_MS = 1e6;
@@ -55,86 +55,86 @@
     private final Clock clock;
     private final FleetSettings settings;
     private final Lifecycle lifecycle;
-    private final Codec codec;
+    private final DatagramCodec codec;
     private final Membership membership;
-    private final CappedLog capped;
+    private final CappedLog cappedLog;
     private final FleetMetrics metrics = new FleetMetrics();
-    private final Map<String, InetSocketAddress> addresses = new HashMap<>();
+    private final Map<String, InetSocketAddress> socketAddresses = new HashMap<>();
     /** What rides along; null: nothing. */
-    private Passenger passenger;
+    private PayloadListener payloadListener;
 
-    private long toldVersion = -1;
-    private long version;
+    private long notifiedVersion = -1;
+    private long viewVersion;
     /** What was last told of itself, besides its phase. */
-    private Counters counters = new Counters(0, 0);
+    private MemberCounters publishedCounters = new MemberCounters(0, 0);
 
     private Channel channel;
     private Clock.Timer timer;
-    private double timerAtMs = Double.POSITIVE_INFINITY;
+    private double timerDueMs = Double.POSITIVE_INFINITY;
     private boolean closed;
 
     /**
      * @param name    of this member
      * @param zone    the name of its zone
-     * @param program the program's version
-     * @param digest  of the platform's settings that it runs by
-     * @param wallMs  the wall clock's time, by which this life is numbered
+     * @param programVersion the program's version
+     * @param settingsDigest  of the platform's settings that it runs by
+     * @param wallClockMs  the wall clock's time, by which this life is numbered
      */
-    public FleetPort(
+    public FleetService(
             EventLoopGroup group,
             Clock clock,
             FleetSettings settings,
             Lifecycle lifecycle,
             String name,
             String zone,
-            String program,
-            long digest,
-            long wallMs,
-            long seed) {
+            String programVersion,
+            long settingsDigest,
+            long wallClockMs,
+            long randomSeed) {
         this.group = group;
         this.clock = clock;
         this.settings = settings;
         this.lifecycle = lifecycle;
-        codec = new Codec(settings.name(), settings.key());
-        capped = new CappedLog(LOG, clock);
+        codec = new DatagramCodec(settings.name(), settings.key());
+        cappedLog = new CappedLog(LOG, clock);
         membership = new Membership(
                 name,
-                Math.max(0, wallMs + (long) settings.clockOffsetMs()),
-                new About(
+                Math.max(0, wallClockMs + (long) settings.clockOffsetMs()),
+                new MemberMetadata(
                         settings.advertise(),
                         zone,
                         lifecycle.phase().word(),
-                        program,
-                        digest,
+                        programVersion,
+                        settingsDigest,
                         settings.format(),
-                        more()),
-                new Times(settings.periodMs(), settings.rememberMs()),
+                        encodedExtensions()),
+                new ProtocolTimings(settings.periodMs(), settings.rememberMs()),
                 settings.seeds(),
-                seed,
-                this::carryOut);
-        metrics.watch(membership, clock);
+                randomSeed,
+                this::execute);
+        metrics.registerGauges(membership, clock);
     }
 
     /** The counters as they ride along; nothing where an older format is spoken. */
-    private byte[] more() {
-        return settings.format() >= Counters.FORMAT ? counters.encode() : null;
+    private byte[] encodedExtensions() {
+        return settings.format() >= MemberCounters.MIN_FORMAT ? publishedCounters.encode() : null;
     }
 
     /** Carries another part's words from now on; called before the start. */
-    public void board(Passenger who) {
-        passenger = who;
+    public void setPayloadListener(PayloadListener listener) {
+        payloadListener = listener;
     }
 
     /** Sends a passenger's words to the member at an address. */
-    public void carry(String address, byte[] body) {
+    public void sendPayload(String address, byte[] payload) {
         if (channel != null && !closed) {
-            membership.carry(clock.nowMs(), address, body);
+            membership.sendPayload(clock.nowMs(), address, payload);
         }
     }
 
     /** How many bytes such words may have. */
-    public int room() {
-        return membership.room();
+    public int maxPayloadBytes() {
+        return membership.maxPayloadBytes();
     }
 
     /** Where this member is, as others know it. */
@@ -148,13 +148,13 @@
     }
 
     /** Where a passenger's figures are to stand, beside the view's own. */
-    public MeterRegistry metrics() {
+    public MeterRegistry meterRegistry() {
         return metrics.registry();
     }
 
     @Override
     public void addTo(Routes.Builder routes) {
-        new FleetCalls(membership, clock, settings.name(), metrics).addTo(routes);
+        new FleetAdminEndpoints(membership, clock, settings.name(), metrics).addTo(routes);
     }
 
     @Override
@@ -167,7 +167,9 @@
                 .group(group)
                 .channel(NioDatagramChannel.class)
                 .option(ChannelOption.SO_RCVBUF, RECEIVE_BUFFER)
-                .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(Sizes.MOST + 1))
+                .option(
+                        ChannelOption.RECVBUF_ALLOCATOR,
+                        new FixedRecvByteBufAllocator(DatagramSizes.MAX_DATAGRAM_BYTES + 1))
                 .handler(new SimpleChannelInboundHandler<DatagramPacket>() {
                     @Override
                     protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
@@ -177,7 +179,7 @@
                     @Override
                     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
                         // A port that nobody has answers by ICMP: that member's silence tells as much.
-                        capped.warn("datagram channel", "cause", cause);
+                        cappedLog.warn("datagram channel", "cause", cause);
                     }
                 })
                 .bind(settings.listen());
@@ -196,18 +198,18 @@
                         "advertised",
                         settings.advertise());
                 membership.start(clock.nowMs());
-                if (passenger != null) {
-                    passenger.start();
+                if (payloadListener != null) {
+                    payloadListener.onStart();
                 }
                 tick();
             } else {
-                capped.warn(
+                cappedLog.warn(
                         "can't listen for its fleet yet",
                         "address",
                         settings.listen(),
                         "cause",
                         bound.cause().getMessage());
-                clock.after(BIND_AGAIN_MS, this::bind);
+                clock.after(BIND_RETRY_MS, this::bind);
             }
         });
     }
@@ -218,38 +220,38 @@
         Datagram datagram;
         try {
             datagram = codec.decode(bytes);
-        } catch (Codec.Refused e) {
-            metrics.refused(e.getMessage());
-            capped.warn("datagram refused: " + e.getMessage(), "from", packet.sender(), "bytes", bytes.length);
+        } catch (DatagramCodec.InvalidDatagramException e) {
+            metrics.countRejected(e.getMessage());
+            cappedLog.warn("datagram refused: " + e.getMessage(), "from", packet.sender(), "bytes", bytes.length);
             return;
         }
-        metrics.received(bytes.length);
+        metrics.countReceived(bytes.length);
         membership.receive(clock.nowMs(), datagram);
         schedule();
     }
 
     private void tick() {
-        timerAtMs = Double.POSITIVE_INFINITY;
+        timerDueMs = Double.POSITIVE_INFINITY;
         if (closed) {
             return;
         }
         refresh();
         membership.tick(clock.nowMs());
-        if (passenger != null && version != toldVersion) {
-            toldVersion = version;
-            passenger.there(membership.addresses());
+        if (payloadListener != null && viewVersion != notifiedVersion) {
+            notifiedVersion = viewVersion;
+            payloadListener.onPeersChanged(membership.peerAddresses());
         }
         schedule();
     }
 
     private void schedule() {
-        double due = membership.dueMs();
-        if (due < timerAtMs) {
+        double dueMs = membership.nextTickMs();
+        if (dueMs < timerDueMs) {
             if (timer != null) {
                 timer.cancel();
             }
-            timerAtMs = due;
-            timer = clock.after(Math.max(0, due - clock.nowMs()), this::tick);
+            timerDueMs = dueMs;
+            timer = clock.after(Math.max(0, dueMs - clock.nowMs()), this::tick);
         }
     }
 
@@ -258,19 +260,21 @@
         if (channel == null) {
             return;
         }
-        int[] counted = membership.counters();
-        Counters now = new Counters(counted[0], counted[1]);
-        About told = membership.self().about();
+        int[] counts = membership.counters();
+        MemberCounters counters = new MemberCounters(counts[0], counts[1]);
+        MemberMetadata metadata = membership.self().metadata();
         // Compared before it is encoded: this is looked at with each tick and seldom new.
-        if (!now.equals(counters) || !lifecycle.phase().word().equals(told.phase())) {
-            counters = now;
-            if (passenger != null
+        if (!counters.equals(publishedCounters) || !lifecycle.phase().word().equals(metadata.phase())) {
+            publishedCounters = counters;
+            if (payloadListener != null
                     && (lifecycle.phase() == Lifecycle.Phase.LEAVING
                             || lifecycle.phase() == Lifecycle.Phase.HANDING_OFF)
-                    && !told.phase().equals(lifecycle.phase().word())) {
-                passenger.leaving();
+                    && !metadata.phase().equals(lifecycle.phase().word())) {
+                payloadListener.onLeavePending();
             }
-            membership.about(clock.nowMs(), told.with(lifecycle.phase().word(), more()));
+            membership.updateMetadata(
+                    clock.nowMs(),
+                    metadata.withPhaseAndExtensions(lifecycle.phase().word(), encodedExtensions()));
             schedule();
         }
     }
@@ -282,52 +286,52 @@
             left.run();
             return;
         }
-        if (passenger != null) {
-            passenger.leave();
+        if (payloadListener != null) {
+            payloadListener.onLeave();
         }
         membership.leave(clock.nowMs());
         schedule();
-        clock.after(FAREWELL_MS, () -> {
+        clock.after(LEAVE_ANNOUNCE_MS, () -> {
             closed = true;
             channel.close().addListener(done -> left.run());
         });
     }
 
-    private void carryOut(Action action) {
+    private void execute(Action action) {
         if (action instanceof Action.Send send) {
-            InetSocketAddress to = address(send.address());
-            if (to == null || channel == null) {
+            InetSocketAddress target = address(send.address());
+            if (target == null || channel == null) {
                 return;
             }
             byte[] bytes = codec.encode(send.datagram());
-            metrics.sent(bytes.length);
-            channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(bytes), to), channel.voidPromise());
+            metrics.countSent(bytes.length);
+            channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(bytes), target), channel.voidPromise());
         } else if (action instanceof Action.Deliver d) {
-            if (passenger != null) {
-                passenger.received(d.sender(), d.body());
+            if (payloadListener != null) {
+                payloadListener.onPayload(d.sender(), d.payload());
             }
-        } else if (action instanceof Action.Tell tell) {
-            version = tell.change().version();
+        } else if (action instanceof Action.Notify tell) {
+            viewVersion = tell.change().version();
             log(tell.change());
         } else if (action instanceof Action.Warn warn) {
-            capped.warn(warn.event(), "member", warn.member(), "detail", warn.detail());
+            cappedLog.warn(warn.event(), "member", warn.member(), "detail", warn.detail());
         }
     }
 
     /** The socket address of a member's; null where it tells none that can be one. */
     private InetSocketAddress address(String text) {
-        InetSocketAddress known = addresses.get(text);
+        InetSocketAddress known = socketAddresses.get(text);
         if (known == null) {
             known = FleetSettings.address(text);
-            if (known != null && addresses.size() < 4 * Math.max(64, membership.members())) {
-                addresses.put(text, known);
+            if (known != null && socketAddresses.size() < 4 * Math.max(64, membership.memberCount())) {
+                socketAddresses.put(text, known);
             }
         }
         return known;
     }
 
     private void log(Change change) {
-        metrics.changed(change);
+        metrics.countChange(change);
         double mono = System.nanoTime() / NANOS_PER_MS;
         if (change instanceof Change.Joined c) {
             log(LOG.atInfo(), "member joined", mono, c);
@@ -338,9 +342,9 @@
                     mono,
                     c,
                     "standing",
-                    c.member().standing(),
+                    c.member().state(),
                     "by",
-                    c.member().by());
+                    c.member().accuser());
         } else if (change instanceof Change.Updated c) {
             log(
                     LOG.atDebug(),
@@ -348,11 +352,11 @@
                     mono,
                     c,
                     "standing",
-                    c.member().standing(),
+                    c.member().state(),
                     "phase",
-                    c.member().about().phase(),
+                    c.member().metadata().phase(),
                     "by",
-                    c.member().by());
+                    c.member().accuser());
         } else if (change instanceof Change.Doubt c) {
             LogEvent.log(
                     LOG.atInfo(),
@@ -362,7 +366,7 @@
                     "version",
                     c.version(),
                     "members",
-                    membership.members());
+                    membership.memberCount());
         } else if (change instanceof Change.Name c) {
             LogEvent.log(
                     LOG.atInfo(),
@@ -372,12 +376,12 @@
                     "version",
                     c.version(),
                     "life",
-                    c.other().life());
+                    c.otherProcess().generation());
         }
     }
 
     private static void log(LoggingEventBuilder at, String event, double mono, Change.OfMember c, Object... more) {
-        Saying m = c.member();
+        MembershipRecord m = c.member();
         List<Object> keys = new ArrayList<>(List.of(
                 "mono",
                 mono,
@@ -386,13 +390,13 @@
                 "member",
                 m.name(),
                 "life",
-                m.life(),
+                m.generation(),
                 "nonce",
                 m.nonce(),
                 "incarnation",
                 m.incarnation()));
         keys.addAll(List.of(more));
-        keys.addAll(List.of("why", c.why(), "from", c.from()));
+        keys.addAll(List.of("why", c.reason(), "from", c.source()));
         LogEvent.log(at, event, keys.toArray());
     }
 }
--- a/doorman/src/main/java/barleyspur/fleet/net/Counters.java
+++ b/doorman/src/main/java/barleyspur/fleet/net/MemberCounters.java
@@ -11,24 +11,24 @@
  * What format 2 adds to what a member tells of itself: CBOR, an array of whole numbers, of which later formats may
  * append more.
  *
- * @param stills how often its process stood still for over two periods
- * @param raises how often it had to put its life above an earlier one's
+ * @param pauses how often its process stood still for over two periods
+ * @param generationRaises how often it had to put its life above an earlier one's
  */
-public record Counters(long stills, long raises) {
+public record MemberCounters(long pauses, long generationRaises) {
 
     /** The format of datagrams that brought it. */
-    static final int FORMAT = 2;
+    static final int MIN_FORMAT = 2;
 
     private static final CBORFactory FACTORY = new CBORFactory();
 
-    /** As it rides in {@link barleyspur.fleet.About#more}. */
+    /** As it rides in {@link barleyspur.fleet.MemberMetadata#extensions}. */
     byte[] encode() {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        try (CBORGenerator g = FACTORY.createGenerator(out)) {
-            g.writeStartArray(null, 2);
-            g.writeNumber(stills);
-            g.writeNumber(raises);
-            g.writeEndArray();
+        try (CBORGenerator generator = FACTORY.createGenerator(out)) {
+            generator.writeStartArray(null, 2);
+            generator.writeNumber(pauses);
+            generator.writeNumber(generationRaises);
+            generator.writeEndArray();
         } catch (IOException e) {
             throw new IllegalStateException("writing to memory can't fail", e);
         }
@@ -36,14 +36,16 @@
     }
 
     /** What a member told, or null where it told nothing of the kind. */
-    static Counters decode(byte[] more) {
-        if (more.length == 0) {
+    static MemberCounters decode(byte[] encoded) {
+        if (encoded.length == 0) {
             return null;
         }
-        try (JsonParser p = FACTORY.createParser(more)) {
-            if (p.nextToken() == JsonToken.START_ARRAY && p.nextToken() == JsonToken.VALUE_NUMBER_INT) {
-                long stills = p.getLongValue();
-                return p.nextToken() == JsonToken.VALUE_NUMBER_INT ? new Counters(stills, p.getLongValue()) : null;
+        try (JsonParser parser = FACTORY.createParser(encoded)) {
+            if (parser.nextToken() == JsonToken.START_ARRAY && parser.nextToken() == JsonToken.VALUE_NUMBER_INT) {
+                long pauses = parser.getLongValue();
+                return parser.nextToken() == JsonToken.VALUE_NUMBER_INT
+                        ? new MemberCounters(pauses, parser.getLongValue())
+                        : null;
             }
         } catch (IOException e) {
             // Told by a member that is not well; its other words are good.
--- a/doorman/src/main/java/barleyspur/fleet/net/Passenger.java
+++ b/doorman/src/main/java/barleyspur/fleet/net/PayloadListener.java
@@ -1,23 +1,23 @@
 package barleyspur.fleet.net;
 
-import barleyspur.fleet.Saying;
+import barleyspur.fleet.MembershipRecord;
 import java.util.Set;
 
 /** Another part of the program whose small messages ride on a fleet's datagrams. All calls come on the event loop. */
-public interface Passenger {
+public interface PayloadListener {
 
     /** This process has its address: from now on others reach it, and it them. */
-    void start();
+    void onStart();
 
     /** What a member sent. */
-    void received(Saying sender, byte[] body);
+    void onPayload(MembershipRecord sender, byte[] payload);
 
     /** Where the others of the view are, after each change: a hint, no more. */
-    void there(Set<String> addresses);
+    void onPeersChanged(Set<String> addresses);
 
     /** This member is to leave soon, and serves until then. */
-    void leaving();
+    void onLeavePending();
 
     /** This member leaves now. */
-    void leave();
+    void onLeave();
 }
--- a/lab/src/main/java/barleyspur/lab/fleet/VirtualFleet.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/VirtualFleet.java
@@ -1,15 +1,15 @@
 package barleyspur.lab.fleet;
 
-import barleyspur.fleet.About;
 import barleyspur.fleet.Action;
 import barleyspur.fleet.Change;
 import barleyspur.fleet.Datagram;
+import barleyspur.fleet.DatagramSizes;
+import barleyspur.fleet.MemberMetadata;
 import barleyspur.fleet.Membership;
-import barleyspur.fleet.Saying;
-import barleyspur.fleet.Sizes;
-import barleyspur.fleet.Times;
+import barleyspur.fleet.MembershipRecord;
+import barleyspur.fleet.ProtocolTimings;
 import barleyspur.fleet.View;
-import barleyspur.fleet.net.Codec;
+import barleyspur.fleet.net.DatagramCodec;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -68,8 +68,8 @@
             membership = new Membership(
                     name,
                     (long) (WALL_MS + nowMs + clockMs),
-                    new About(address(slot), "z" + slot % 3, "serving", "v", 1, format, null),
-                    new Times(schedule.periodMs(), 600_000),
+                    new MemberMetadata(address(slot), "z" + slot % 3, "serving", "v", 1, format, null),
+                    new ProtocolTimings(schedule.periodMs(), 600_000),
                     seeds,
                     random.nextLong(),
                     this::carryOut);
@@ -78,7 +78,7 @@
         private void carryOut(Action action) {
             if (action instanceof Action.Send s) {
                 send(this, s);
-            } else if (action instanceof Action.Tell t) {
+            } else if (action instanceof Action.Notify t) {
                 tell(this, t.change());
             }
         }
@@ -95,8 +95,8 @@
     private final Watch watch;
     private final Links links;
     private final boolean encodes;
-    private final Codec codec =
-            new Codec("lab", "a key that no fleet should have in use".getBytes(StandardCharsets.UTF_8));
+    private final DatagramCodec codec =
+            new DatagramCodec("lab", "a key that no fleet should have in use".getBytes(StandardCharsets.UTF_8));
     private final PriorityQueue<Event> events = new PriorityQueue<>(
             (a, b) -> a.atMs != b.atMs ? Double.compare(a.atMs, b.atMs) : Long.compare(a.order, b.order));
     private final Process[] running;
@@ -219,7 +219,7 @@
     }
 
     private void arm(Process p) {
-        double due = Math.max(nowMs, Math.min(p.membership.dueMs(), p.endsMs));
+        double due = Math.max(nowMs, Math.min(p.membership.nextTickMs(), p.endsMs));
         if (due < p.tickAtMs) {
             p.tickAtMs = due;
             at(due, () -> {
@@ -248,7 +248,7 @@
         int to = slot(send.address());
         byte[] bytes = encodes ? codec.encode(d) : null;
         from.sent++;
-        from.sentBytes += encodes ? bytes.length : Sizes.of(d);
+        from.sentBytes += encodes ? bytes.length : DatagramSizes.maxBytes(d);
         if (to >= running.length) {
             return;
         }
@@ -257,7 +257,7 @@
             if (encodes) {
                 try {
                     arrives = codec.decode(links.spoilt(from.slot, to, bytes));
-                } catch (Codec.Refused e) {
+                } catch (DatagramCodec.InvalidDatagramException e) {
                     continue;
                 }
             }
@@ -282,8 +282,8 @@
     }
 
     private void tell(Process p, Change change) {
-        Saying s = change instanceof Change.OfMember c ? c.member() : null;
-        String why = change instanceof Change.OfMember c ? c.why().name() : "";
+        MembershipRecord s = change instanceof Change.OfMember c ? c.member() : null;
+        String why = change instanceof Change.OfMember c ? c.reason().name() : "";
         watch.told(new Watch.Told(
                 nowMs,
                 p.number,
@@ -291,10 +291,10 @@
                 change.getClass().getSimpleName(),
                 change.version(),
                 s == null ? null : s.name(),
-                s == null ? 0 : s.life(),
+                s == null ? 0 : s.generation(),
                 s == null ? 0 : s.nonce(),
                 s == null ? 0 : s.incarnation(),
-                s == null ? "" : s.standing().name(),
+                s == null ? "" : s.state().name(),
                 why));
     }
 
@@ -334,7 +334,9 @@
             });
         } else if (fault instanceof Fault.Quiesce f) {
             each(f.slots(), p -> {
-                p.membership.about(nowMs, p.membership.self().about().with(f.on() ? "quiesced" : "serving", null));
+                p.membership.updateMetadata(
+                        nowMs,
+                        p.membership.self().metadata().withPhaseAndExtensions(f.on() ? "quiesced" : "serving", null));
                 arm(p);
             });
         } else if (fault instanceof Fault.Start f) {
@@ -393,14 +395,14 @@
         long digest = byName.firstEntry().getValue().membership.digest();
         for (int slot : component) {
             Process p = running[slot];
-            if (p.membership.inDoubt(nowMs)) {
+            if (p.membership.isInDoubt(nowMs)) {
                 return p.name + " is in doubt";
             }
             if (byName.get(p.name) != p) {
                 continue;
             }
-            if (p.membership.members() != byName.size() || p.membership.digest() != digest) {
-                return p.name + " sees " + p.membership.members() + " of " + byName.size() + ", digest "
+            if (p.membership.memberCount() != byName.size() || p.membership.digest() != digest) {
+                return p.name + " sees " + p.membership.memberCount() + " of " + byName.size() + ", digest "
                         + Long.toHexString(p.membership.digest()) + " against " + Long.toHexString(digest)
                         + difference(p, byName);
             }
@@ -416,16 +418,16 @@
     private String difference(Process p, TreeMap<String, Process> byName) {
         StringBuilder text = new StringBuilder();
         for (View.Member m : p.membership.view(nowMs).members()) {
-            Process other = byName.get(m.saying().name());
-            Saying own = other == null ? null : other.membership.self();
-            if (m.listed() != (own != null) || own != null && m.saying().compareTo(own) != 0) {
+            Process other = byName.get(m.record().name());
+            MembershipRecord own = other == null ? null : other.membership.self();
+            if (m.listed() != (own != null) || own != null && m.record().compareTo(own) != 0) {
                 text.append(", ")
-                        .append(m.saying().name())
+                        .append(m.record().name())
                         .append(' ')
                         .append(m.listed() ? "" : "out ")
-                        .append(m.saying().standing())
+                        .append(m.record().state())
                         .append(' ')
-                        .append(m.saying().incarnation())
+                        .append(m.record().incarnation())
                         .append(" in truth ")
                         .append(own == null ? "gone" : String.valueOf(own.incarnation()));
             }
--- a/lab/src/test/java/barleyspur/lab/fleet/BudgetWrongVersionsTest.java
+++ b/lab/src/test/java/barleyspur/lab/fleet/BudgetWrongVersionsTest.java
@@ -167,7 +167,7 @@
     @Test
     void theRightVersionPasses() throws Exception {
         ClassLoader right =
-                WrongVersion.loader(folder, SOURCES, "barleyspur.budget.", "Share.java", "using++", "using++");
+                SourceMutation.compile(folder, SOURCES, "barleyspur.budget.", "Share.java", "using++", "using++");
         check(right, RANDOM);
         check(right, EXPLORE + "PLACES");
         check(right, "otherTermsGetNothing");
@@ -180,13 +180,13 @@
                 2,
                 Files.readString(SOURCES.resolve(file)).split(Pattern.quote(from), -1).length,
                 "stands once: " + from);
-        ClassLoader wrong = WrongVersion.loader(folder, SOURCES, "barleyspur.budget.", file, from, to);
+        ClassLoader wrong = SourceMutation.compile(folder, SOURCES, "barleyspur.budget.", file, from, to);
         assertThrows(AssertionError.class, () -> check(wrong, by));
     }
 
     private static void check(ClassLoader loader, String name) throws Exception {
         if (name.startsWith(EXPLORE)) {
-            WrongVersion.call(
+            SourceMutation.invokeCheck(
                     loader,
                     "BudgetWrongVersionsTest",
                     "explore",
@@ -194,7 +194,7 @@
                     name.substring(EXPLORE.length()));
         } else if (name.equals(RANDOM)) {
             for (int doormans : new int[] {3, 5}) {
-                WrongVersion.call(
+                SourceMutation.invokeCheck(
                         loader,
                         "BudgetWorldTest",
                         "randomSchedulesNeverGoOverTheWhole",
@@ -204,7 +204,7 @@
                         150);
             }
         } else {
-            WrongVersion.call(loader, "BudgetWorldTest", name, new Class<?>[0]);
+            SourceMutation.invokeCheck(loader, "BudgetWorldTest", name, new Class<?>[0]);
         }
     }
 
--- a/lab/src/test/java/barleyspur/lab/fleet/ProcessesTest.java
+++ b/lab/src/test/java/barleyspur/lab/fleet/FleetProcessesTest.java
@@ -17,7 +17,7 @@
  * each process told; that views settle is waited for, for as long as half a minute a step, and no speed is judged.
  */
 @Execution(ExecutionMode.CONCURRENT)
-class ProcessesTest {
+class FleetProcessesTest {
 
     private static final Path JAR = Path.of("..", "doorman", "target", "barleyspur.jar");
 
--- a/lab/src/test/java/barleyspur/lab/fleet/WrongVersionsTest.java
+++ b/lab/src/test/java/barleyspur/lab/fleet/MembershipMutationTest.java
@@ -18,7 +18,7 @@
  * Wrong versions of the view's decisions, made by changing one piece of their source, each caught by a named check of
  * {@link VirtualFleetTest}. Guards the checks: one that can't fail would let its wrong version pass.
  */
-class WrongVersionsTest {
+class MembershipMutationTest {
 
     private static final Path SOURCES = Path.of("..", "doorman", "src", "main", "java", "barleyspur", "fleet");
     private static final String RANDOM = "random";
@@ -31,100 +31,106 @@
                 Arguments.of(
                         "a suspicion is not refuted",
                         "Membership.java",
-                        "say(w.self.above(s.incarnation(), w.self.about()));",
-                        "say(w.self);",
+                        "updateSelf(context.self.withIncarnationAbove(record.incarnation(), context.self.metadata()));",
+                        "updateSelf(context.self);",
                         "aLiarGivesNobodyUp"),
                 Arguments.of(
                         "an old life is accepted",
-                        "Saying.java",
-                        "Comparator.comparingLong(Saying::life)\n" + "            .thenComparingLong(Saying::nonce)",
-                        "Comparator.comparingLong(Saying::nonce)",
+                        "MembershipRecord.java",
+                        "Comparator.comparingLong(MembershipRecord::generation)\n"
+                                + "            .thenComparingLong(MembershipRecord::nonce)",
+                        "Comparator.comparingLong(MembershipRecord::nonce)",
                         RANDOM),
                 Arguments.of(
                         "a verdict from elsewhere is believed at once",
                         "Membership.java",
-                        "            prober.soon(e);\n            tellOf(e, s, e.saying.about().address());",
-                        "            take(e, s, Why.PASSED_ON, from);",
+                        "            failureDetector.probeSoon(entry);\n"
+                                + "            sendClaim(entry, record, entry.record.metadata().address());",
+                        "            apply(entry, record, ChangeReason.PASSED_ON, source);",
                         "aLiarGivesNobodyUp"),
                 Arguments.of(
                         "who leaves doesn't say so",
                         "Membership.java",
-                        "w.self = w.self.standing(Standing.LEFT, \"\");",
-                        "w.self = w.self;",
+                        "context.self = context.self.withState(MemberState.LEFT, \"\");",
+                        "context.self = context.self;",
                         "leavingIsSeenAsSuch"),
                 Arguments.of(
                         "a suspicion never ends",
                         "Membership.java",
-                        "if (w.now < e.suspicion.endsMs) {",
-                        "if (w.now < e.suspicion.endsMs + 1e9) {",
+                        "if (context.nowMs < entry.suspicion.endsMs) {",
+                        "if (context.nowMs < entry.suspicion.endsMs + 1e9) {",
                         RANDOM),
                 Arguments.of(
                         "a standstill is not noticed by who asks",
                         "Membership.java",
-                        "return inDoubt || nowMs - lastMs > w.times.stillMs();",
+                        "return inDoubt || nowMs - lastTimeMs > context.timings.pauseThresholdMs();",
                         "return inDoubt;",
                         "afterAStandstillTheViewIsInDoubt"),
                 Arguments.of(
                         "a standstill is not told",
                         "Membership.java",
-                        "tell(new Change.Doubt(++version, true));\n        for (",
+                        "notifyChange(new Change.Doubt(++version, true));\n        for (",
                         "for (",
                         "afterAStandstillTheViewIsInDoubt"),
                 Arguments.of(
                         "the dead are never tried again",
-                        "Meeting.java",
-                        "if (!e.listed && !candidates.contains(address)) {",
-                        "if (e.name.isEmpty()) {",
+                        "AntiEntropy.java",
+                        "if (!entry.listed && !candidates.contains(address)) {",
+                        "if (entry.name.isEmpty()) {",
                         "partsFindEachOtherWithoutSeeds"),
                 Arguments.of(
                         "the digest leaves out incarnations and standings",
-                        "Roster.java",
-                        "return HASH.hashLong(\n"
-                                + "                h ^ (s.incarnation() * Standing.values().length + s.standing().ordinal()));",
-                        "return h;",
+                        "MemberTable.java",
+                        "return HASH.hashLong(hash\n"
+                                + "                ^ (record.incarnation() * MemberState.values().length\n"
+                                + "                        + record.state().ordinal()));",
+                        "return hash;",
                         "missedNewsAreMadeUpFor"),
                 Arguments.of(
                         "a clock that was stepped back is not overcome",
                         "Membership.java",
-                        "if (mine || !s.standing().listed()) {\n            raiseAbove(s);",
-                        "if (mine || !s.standing().listed()) {\n            rumour = null;",
+                        "if (sameAddress || !record.state().isMember()) {\n            raiseGenerationAbove(record);",
+                        "if (sameAddress || !record.state().isMember()) {\n            unverifiedProcess = null;",
                         RANDOM),
                 Arguments.of(
                         "of two with one name each goes above the other",
                         "Membership.java",
-                        "        twinHeardMs = w.now;\n        rumour = null;",
-                        "        twinHeardMs = w.now;\n        raiseAbove(s);\n        if (raises > 0) {\n            return;\n        }",
+                        "        newerProcessHeardMs = context.nowMs;\n        unverifiedProcess = null;",
+                        "        newerProcessHeardMs = context.nowMs;\n        raiseGenerationAbove(record);\n"
+                                + "        if (generationRaises > 0) {\n            return;\n        }",
                         "ofTwoWithOneNameTheNewerHoldsIt"),
                 Arguments.of(
                         "nobody is asked for others",
-                        "Prober.java",
-                        "if (helper.saying.standing() == Standing.ALIVE) {",
+                        "FailureDetector.java",
+                        "if (helper.record.state() == MemberState.ALIVE) {",
                         "if (helper.name.isEmpty()) {",
                         "oneWayCutGivesNobodyUp"),
                 Arguments.of(
                         "a version is left out",
                         "Membership.java",
-                        "tell(new Change.Lost(++version, s, why, from));",
-                        "tell(new Change.Lost(version += 2, s, why, from));",
+                        "notifyChange(new Change.Lost(++version, record, reason, source));",
+                        "notifyChange(new Change.Lost(version += 2, record, reason, source));",
                         RANDOM),
                 Arguments.of(
                         "the older saying holds",
                         "Membership.java",
-                        "int order = s.compareTo(e.saying);",
-                        "int order = e.saying.compareTo(s);",
+                        "int order = record.compareTo(entry.record);",
+                        "int order = entry.record.compareTo(record);",
                         RANDOM),
                 Arguments.of(
                         "who doesn't answer once is dead",
                         "Membership.java",
-                        "take(e, e.saying.standing(Standing.SUSPECT, w.self.name()), Why.NO_ANSWER",
-                        "take(e, e.saying.standing(Standing.DEAD, w.self.name()), Why.NO_ANSWER",
+                        "entry.record.withState(MemberState.SUSPECT, context.self.name()),\n"
+                                + "                    ChangeReason.NO_ANSWER",
+                        "entry.record.withState(MemberState.DEAD, context.self.name()),\n"
+                                + "                    ChangeReason.NO_ANSWER",
                         "lossAndSlownessGiveNobodyUp"),
                 Arguments.of(
                         "a change of one's own has no new incarnation",
                         "Membership.java",
-                        "say(w.self.above(0, about));",
-                        "say(new Saying(w.self.name(), w.self.life(), w.self.nonce(), "
-                                + "w.self.incarnation(), Standing.ALIVE, \"\", about));",
+                        "updateSelf(context.self.withIncarnationAbove(0, metadata));",
+                        "updateSelf(new MembershipRecord(context.self.name(), context.self.generation(), "
+                                + "context.self.nonce(), context.self.incarnation(), MemberState.ALIVE, \"\", metadata));",
                         "quiesceIsSeen"));
     }
 
@@ -152,7 +158,7 @@
             for (long seed = 1; seed <= 60; seed++) {
                 assertEquals(
                         List.of(),
-                        WrongVersion.call(
+                        SourceMutation.invokeCheck(
                                 loader,
                                 "Shrinker",
                                 "broken",
@@ -163,11 +169,11 @@
                         "seed " + seed);
             }
         } else {
-            WrongVersion.call(loader, "VirtualFleetTest", name, new Class<?>[0]);
+            SourceMutation.invokeCheck(loader, "VirtualFleetTest", name, new Class<?>[0]);
         }
     }
 
     private ClassLoader loader(String file, String from, String to) throws IOException {
-        return WrongVersion.loader(folder, SOURCES, "barleyspur.fleet.", file, from, to);
+        return SourceMutation.compile(folder, SOURCES, "barleyspur.fleet.", file, from, to);
     }
 }
--- a/lab/src/test/java/barleyspur/lab/fleet/WrongVersion.java
+++ b/lab/src/test/java/barleyspur/lab/fleet/SourceMutation.java
@@ -16,12 +16,12 @@
 import javax.tools.ToolProvider;
 
 /** Makes wrong versions of decisions, so that checks are seen to fail. */
-final class WrongVersion {
+final class SourceMutation {
 
-    private WrongVersion() {}
+    private SourceMutation() {}
 
     /** Calls a check on the classes of {@code loader}; what it asserts in vain is thrown as it is. */
-    static Object call(ClassLoader loader, String type, String method, Class<?>[] types, Object... arguments)
+    static Object invokeCheck(ClassLoader loader, String type, String method, Class<?>[] types, Object... arguments)
             throws Exception {
         Class<?> checks = Class.forName("barleyspur.lab.fleet." + type, true, loader);
         Method check = checks.getDeclaredMethod(method, types);
@@ -43,7 +43,7 @@
     }
 
     /** One package's decisions with one change, and all of the lab that plays them, beside the real ones. */
-    static ClassLoader loader(Path folder, Path decisions, String changed, String file, String from, String to)
+    static ClassLoader compile(Path folder, Path decisions, String changed, String file, String from, String to)
             throws IOException {
         Path classes = Files.createTempDirectory(folder, "classes");
         List<String> sources = new ArrayList<>();
@@ -71,7 +71,7 @@
         for (String entry : System.getProperty("java.class.path").split(java.io.File.pathSeparator)) {
             path.add(Path.of(entry).toUri().toURL());
         }
-        return new URLClassLoader(path.toArray(URL[]::new), WrongVersion.class.getClassLoader()) {
+        return new URLClassLoader(path.toArray(URL[]::new), SourceMutation.class.getClassLoader()) {
             @Override
             protected Class<?> loadClass(String name, boolean resolve) throws ClassNotFoundException {
                 synchronized (getClassLoadingLock(name)) {
--- a/lab/src/test/java/barleyspur/lab/fleet/VirtualFleetTest.java
+++ b/lab/src/test/java/barleyspur/lab/fleet/VirtualFleetTest.java
@@ -5,9 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import barleyspur.fleet.Datagram;
+import barleyspur.fleet.MemberState;
+import barleyspur.fleet.MembershipRecord;
 import barleyspur.fleet.Message;
-import barleyspur.fleet.Saying;
-import barleyspur.fleet.Standing;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
@@ -69,11 +69,11 @@
                 false);
         fleet.play();
         assertEquals(List.of(), watch.broken());
-        assertEquals(1_000, fleet.in(500).membership.members());
+        assertEquals(1_000, fleet.in(500).membership.memberCount());
     }
 
     /** A member that says of everybody else, all the time, that they are dead, or tells news of foreign incarnations. */
-    private static Watch withLiar(Standing standing, long ahead) {
+    private static Watch withLiar(MemberState standing, long ahead) {
         Watch watch = new Watch(true);
         VirtualFleet fleet = new VirtualFleet(quiet(14, 14, List.of()), watch, true);
         fleet.begin();
@@ -81,10 +81,11 @@
         assertNull(fleet.settled());
         int before = verdicts(watch).size();
         fleet.tamper(0, d -> {
-            List<Saying> lies = new ArrayList<>();
+            List<MembershipRecord> lies = new ArrayList<>();
             for (int slot = 1; slot < 7; slot++) {
-                Saying s = fleet.in(slot).membership.self();
-                lies.add(new Saying(s.name(), s.life(), s.nonce(), s.incarnation() + ahead, standing, "d1", s.about()));
+                MembershipRecord s = fleet.in(slot).membership.self();
+                lies.add(new MembershipRecord(
+                        s.name(), s.generation(), s.nonce(), s.incarnation() + ahead, standing, "d1", s.metadata()));
             }
             return new Datagram(d.sender(), d.digest(), d.message(), lies);
         });
@@ -100,15 +101,15 @@
     /** Guards: a liar that declares everyone dead for a minute brings nobody out of any view. */
     @Test
     void aLiarGivesNobodyUp() {
-        withLiar(Standing.DEAD, 0);
-        withLiar(Standing.SUSPECT, 0);
+        withLiar(MemberState.DEAD, 0);
+        withLiar(MemberState.SUSPECT, 0);
     }
 
     /** Guards: a member of which foreign incarnations are told, alive or dead, goes above them and stays. */
     @Test
     void foreignIncarnationsAreOvertaken() {
-        withLiar(Standing.ALIVE, 5);
-        withLiar(Standing.DEAD, 5);
+        withLiar(MemberState.ALIVE, 5);
+        withLiar(MemberState.DEAD, 5);
     }
 
     /** Guards: leaving is not dying: who has SIGTERM is out of all views as one that left, at once. */
@@ -157,7 +158,7 @@
         fleet.playTo(5_000);
         fleet.apply(new Fault.Freeze(Set.of(2)));
         fleet.playTo(15_000);
-        assertTrue(fleet.in(2).membership.inDoubt(15_000), "asked before it is told the time");
+        assertTrue(fleet.in(2).membership.isInDoubt(15_000), "asked before it is told the time");
         fleet.apply(new Fault.Thaw(Set.of(2)));
         fleet.playTo(16_500);
         assertNull(fleet.settled());
@@ -240,8 +241,8 @@
         for (int slot = 0; slot < 14; slot++) {
             assertTrue(
                     fleet.in(slot).membership.view(6_000).members().stream()
-                            .anyMatch(m -> m.saying().name().equals("d4")
-                                    && m.saying().about().phase().equals("quiesced")),
+                            .anyMatch(m -> m.record().name().equals("d4")
+                                    && m.record().metadata().phase().equals("quiesced")),
                     "slot " + slot);
         }
     }
