--- a/doorman/src/main/java/barleyspur/fleet/Action.java
+++ b/doorman/src/main/java/barleyspur/fleet/Action.java
@@ -1,17 +1,17 @@
 package barleyspur.fleet;
 
-/** What a {@link Membership} wants done. */
+/** An effect that a {@link Membership} asks its caller to carry out. */
 public sealed interface Action {
 
-    /** Send this there. */
+    /** Sends a datagram to an address. */
     record Send(String address, Datagram datagram) implements Action {}
 
-    /** Hand over what a member sent for another part of the program. */
+    /** Hands a payload that a member sent to the {@code PayloadListener}. */
     record Deliver(MembershipRecord sender, byte[] payload) implements Action {}
 
-    /** Tell those who follow the view. */
+    /** Notifies the observers of the view of a change. */
     record Notify(Change change) implements Action {}
 
-    /** Log an event that operators should see; the text is the same for all of a kind. */
+    /** Logs a warning for operators; {@code event} is the same text for all warnings of a kind. */
     record Warn(String event, String member, String detail) implements Action {}
 }
--- a/doorman/src/main/java/barleyspur/fleet/AntiEntropy.java
+++ b/doorman/src/main/java/barleyspur/fleet/AntiEntropy.java
@@ -4,21 +4,24 @@
 import java.util.List;
 
 /**
- * Makes views equal, and finds those who are not in this one: compares digests of buckets with whoever has another
- * digest and sends what is known of the buckets that differ; tries seeds and remembered members, about three times a
- * period for each over the whole fleet, so that parts that were cut off find each other without an operator.
+ * Anti-entropy between views, and the search for members that are missing from this one. Exchanges bucket digests with
+ * a member whose view digest differs, and sends the records of the buckets that differ. Pings seeds and former members
+ * that are not listed, so that the parts of a partitioned fleet find each other without an operator: over the whole
+ * fleet about three times for each of them in a search interval.
  */
 final class AntiEntropy {
 
-    /** Datagrams that one comparison may cause. */
+    /** The most datagrams with records that are sent in reply to one digest exchange. */
     private static final int MAX_REPLY_DATAGRAMS = 16;
 
     private static final double FLEET_ATTEMPTS_PER_CANDIDATE = 3;
     private static final double SEARCH_INTERVAL_PERIODS = 2;
     private static final double ISOLATED_SEARCH_INTERVAL_PERIODS = 0.4;
-    /** A difference that lasts for so long is looked into, however much is going on. */
+    /** A difference that has lasted this long starts an exchange even while the view keeps changing. */
     private static final double FORCED_COMPARE_PERIODS = 5;
-    /** Comparisons that are answered in a period, so that many newcomers at once don't drown one helper. */
+    /**
+     * The most digest exchanges answered in a period, so that many members that join at once don't overload one member.
+     */
     private static final int MAX_REPLIES_PER_PERIOD = 8;
 
     private final ProtocolContext context;
@@ -43,7 +46,7 @@
         return nextSearchMs;
     }
 
-    /** The view has changed: what differs now is likely to be on its way. */
+    /** Records a change of the view. Differences right after it are likely to be resolved by gossip. */
     void onViewChanged() {
         viewChangedMs = context.nowMs;
     }
@@ -73,7 +76,7 @@
         }
     }
 
-    /** Where somebody may be who is not in the view: seeds that nobody of it has, and who was there before. */
+    /** Addresses at which unlisted members may be reached: seeds that no listed member uses, and former members. */
     private List<String> candidates() {
         List<String> candidates = new ArrayList<>();
         if (!seeds.isEmpty() || context.memberTable.rememberedCount() > 0) {
@@ -101,7 +104,7 @@
         return false;
     }
 
-    /** Somebody told its view's digest. */
+    /** Starts a digest exchange with a member whose view digest differs, unless one was started recently. */
     void onDigest(MembershipRecord sender, long digest, boolean inDoubt) {
         double periodMs = context.timings.periodMs();
         if (digest == context.memberTable.digest()) {
@@ -152,7 +155,7 @@
     }
 
     private void sendRecords(String address, List<MembershipRecord> records) {
-        // From a random place on, so that a fleet too large for one answer comes over in several.
+        // Starts at a random offset, so that a fleet too large for one reply is covered by several.
         int offset = records.isEmpty() ? 0 : context.random.nextInt(records.size());
         Message gossip = new Message.Gossip();
         List<MembershipRecord> batch = new ArrayList<>();
--- a/doorman/src/main/java/barleyspur/fleet/Change.java
+++ b/doorman/src/main/java/barleyspur/fleet/Change.java
@@ -1,37 +1,45 @@
 package barleyspur.fleet;
 
-/** What happened to a view, told once each, in order; versions count from 1 without a gap. */
+/** A change of a view. Each change is reported once and in order; versions start at 1 and have no gaps. */
 public sealed interface Change {
 
-    /** The version of the view that it makes. */
+    /** The version of the view after this change. */
     long version();
 
-    /** What happened to one member. */
+    /** A change of one member. */
     sealed interface OfMember extends Change {
 
-        /** What is said of the member. */
+        /** The record of the member after this change. */
         MembershipRecord member();
 
-        /** What brought it about. */
+        /** The reason for this change. */
         ChangeReason reason();
 
-        /** Who told. */
+        /** The name of the member from which the record was received; this process itself for local decisions. */
         String source();
     }
 
-    /** A member that was not in the view is: new, back, or restarted under its name. */
+    /** A member entered the view: it is new, has come back, or was restarted under its name. */
     record Joined(long version, MembershipRecord member, ChangeReason reason, String source) implements OfMember {}
 
-    /** A member of the view tells something else of itself, is suspected, or no longer is. */
+    /** The record of a listed member changed: new metadata, a suspicion, or the end of one. */
     record Updated(long version, MembershipRecord member, MembershipRecord previous, ChangeReason reason, String source)
             implements OfMember {}
 
-    /** A member is out of the view: it left, was given up, or is in doubt since this process stood still. */
+    /**
+     * A member left the view: it shut down, was declared dead, or its record expired during a pause of this process.
+     */
     record Lost(long version, MembershipRecord member, ChangeReason reason, String source) implements OfMember {}
 
-    /** What the view says of others is in doubt (a start, a standstill), or no longer is. */
+    /**
+     * The view is in doubt, since no other member has confirmed it after a start or a process pause, or is so no
+     * longer.
+     */
     record Doubt(long version, boolean inDoubt) implements Change {}
 
-    /** A newer process goes by this name, and this one gives way to it; or it is gone, and this one has it back. */
+    /**
+     * This process gave up its name to a newer process of the same name ({@code givenUp}), or took the name back after
+     * that process was gone.
+     */
     record Name(long version, boolean givenUp, MembershipRecord otherProcess) implements Change {}
 }
--- a/doorman/src/main/java/barleyspur/fleet/ChangeReason.java
+++ b/doorman/src/main/java/barleyspur/fleet/ChangeReason.java
@@ -1,17 +1,17 @@
 package barleyspur.fleet;
 
-/** What a change of a member's standing in a view rests on. */
+/** The reason for a change of a member in a view. */
 public enum ChangeReason {
-    /** It told so itself, in a datagram of its own. */
+    /** The member itself sent the record in its own datagram. */
     TOLD_ITSELF,
-    /** Another member passed it on. */
+    /** Another member forwarded the record. */
     PASSED_ON,
-    /** It did not answer a probe of ours. */
+    /** The member did not answer a probe by this process. */
     NO_ANSWER,
-    /** The time of its suspicion ran out. */
+    /** The suspicion against the member expired. */
     SUSPICION_OVER,
-    /** This process stood still for so long that what it knew is void. */
+    /** This process was paused for so long that its records expired. */
     STOOD_STILL,
-    /** It was dead or gone for so long that it is forgotten. */
+    /** The member has been dead or gone for so long that it is forgotten. */
     FORGOTTEN
 }
--- a/doorman/src/main/java/barleyspur/fleet/Datagram.java
+++ b/doorman/src/main/java/barleyspur/fleet/Datagram.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * One datagram between doormans.
+ * A datagram between two doormans.
  *
- * @param sender  what the sender says of itself
- * @param digest  of the sender's view
- * @param message what it is for
- * @param gossip    of other members
+ * @param sender  the sender's record of itself
+ * @param digest  the digest of the sender's view
+ * @param message the protocol message
+ * @param gossip  records of other members, piggybacked on the message
  */
 public record Datagram(MembershipRecord sender, long digest, Message message, List<MembershipRecord> gossip) {}
--- a/doorman/src/main/java/barleyspur/fleet/DatagramSizes.java
+++ b/doorman/src/main/java/barleyspur/fleet/DatagramSizes.java
@@ -3,27 +3,28 @@
 import java.util.List;
 
 /**
- * How many bytes a datagram takes at most, so that news are packed without encoding them twice. The figures are upper
- * bounds for CBOR (RFC 8949): a head of up to 9 bytes for a number, up to 3 for a short text or list.
+ * Upper bounds of the encoded sizes of datagrams and their parts, so that gossip is packed without encoding it twice.
+ * The bounds are for CBOR (RFC 8949): up to 9 bytes for a number, and a head of up to 3 bytes for a short text or
+ * array.
  */
 public final class DatagramSizes {
 
-    /** A datagram's bytes, tag included: within one packet on any usual path. */
+    /** The maximum datagram size with its tag: fits in one packet on any common network path. */
     public static final int MAX_DATAGRAM_BYTES = 1_200;
-    /** The longest name, zone, address, phase or version. */
+    /** The maximum length in characters of a name, zone, address, phase or version. */
     public static final int MAX_TEXT_LENGTH = 64;
-    /** The most that newer formats may add to what a member tells of itself. */
+    /** The maximum size of the extensions that newer formats add to the metadata of a member. */
     public static final int MAX_EXTENSIONS_BYTES = 128;
 
     private static final int NUMBER_BYTES = 9;
     private static final int HEAD_BYTES = 3;
-    /** Format, fleet, list heads, kind, digest and the tag. */
+    /** Format, fleet name, array heads, message kind, digest and tag. */
     private static final int ENVELOPE_BYTES = 64 + MAX_TEXT_LENGTH;
 
     private DatagramSizes() {}
 
     private static int maxTextBytes(String text) {
-        // Three bytes a character are the most that UTF-8 takes for one of Java's.
+        // UTF-8 takes at most three bytes for a Java char.
         return HEAD_BYTES + (isAscii(text) ? text.length() : 3 * text.length());
     }
 
@@ -36,7 +37,7 @@
         return true;
     }
 
-    /** The most that a saying takes. */
+    /** The maximum encoded size of a record. */
     public static int maxBytes(MembershipRecord record) {
         MemberMetadata metadata = record.metadata();
         return HEAD_BYTES
@@ -53,23 +54,23 @@
                 + metadata.extensions().length;
     }
 
-    /** The most that a message takes by itself. */
+    /** The maximum encoded size of a message without the rest of its datagram. */
     public static int maxBytes(Message message) {
-        if (message instanceof Message.Ping p) {
-            return HEAD_BYTES + NUMBER_BYTES + maxTextBytes(p.target());
-        } else if (message instanceof Message.Ack metadata) {
-            return HEAD_BYTES + NUMBER_BYTES + maxTextBytes(metadata.responder());
-        } else if (message instanceof Message.PingRequest p) {
-            return HEAD_BYTES + NUMBER_BYTES + maxTextBytes(p.target()) + maxTextBytes(p.targetAddress());
-        } else if (message instanceof Message.Payload c) {
-            return HEAD_BYTES + NUMBER_BYTES + HEAD_BYTES + c.bytes().length;
-        } else if (message instanceof Message.DigestExchange c) {
-            return HEAD_BYTES + 2 * NUMBER_BYTES + HEAD_BYTES + c.bucketDigests().length * NUMBER_BYTES;
+        if (message instanceof Message.Ping ping) {
+            return HEAD_BYTES + NUMBER_BYTES + maxTextBytes(ping.target());
+        } else if (message instanceof Message.Ack ack) {
+            return HEAD_BYTES + NUMBER_BYTES + maxTextBytes(ack.responder());
+        } else if (message instanceof Message.PingRequest request) {
+            return HEAD_BYTES + NUMBER_BYTES + maxTextBytes(request.target()) + maxTextBytes(request.targetAddress());
+        } else if (message instanceof Message.Payload payload) {
+            return HEAD_BYTES + NUMBER_BYTES + HEAD_BYTES + payload.bytes().length;
+        } else if (message instanceof Message.DigestExchange exchange) {
+            return HEAD_BYTES + 2 * NUMBER_BYTES + HEAD_BYTES + exchange.bucketDigests().length * NUMBER_BYTES;
         }
         return HEAD_BYTES + NUMBER_BYTES;
     }
 
-    /** The most that a whole datagram takes. */
+    /** The maximum encoded size of a datagram. */
     public static int maxBytes(Datagram datagram) {
         return maxDatagramBytes(datagram.sender(), datagram.message(), datagram.gossip());
     }
@@ -82,7 +83,7 @@
         return sum;
     }
 
-    /** What is left for news beside a message. */
+    /** The bytes that remain for gossip in a datagram with this sender and message. */
     static int gossipBytesLeft(MembershipRecord sender, Message message) {
         return MAX_DATAGRAM_BYTES - maxDatagramBytes(sender, message, List.of());
     }
--- a/doorman/src/main/java/barleyspur/fleet/FailureDetector.java
+++ b/doorman/src/main/java/barleyspur/fleet/FailureDetector.java
@@ -9,17 +9,18 @@
 import java.util.function.Consumer;
 
 /**
- * Finds out who no longer answers (SWIM section 3.1): each period one member is pinged, then again and by way of three
- * others, then {@code silent} is told. While probes fail more run side by side, so that a part of the fleet that is cut
- * off is known soon; Lifeguard's local health stretches the times of a process that doubts itself.
+ * The failure detector of SWIM (section 3.1). Probes one member per period by a ping; if no answer arrives in time,
+ * pings it again and asks three others to ping it, and finally reports the failed probe. While probes fail, more of
+ * them run at the same time, so that the loss of a part of the fleet is detected soon. Timeouts are scaled by the local
+ * health score of Lifeguard.
  */
 final class FailureDetector {
 
     private static final int INDIRECT_PROBES = 3;
     private static final int MAX_CONCURRENT_PROBES = 8;
-    /** Without a word from anybody for so long, this process is likely to be the one that is cut off, or left. */
+    /** A process that has received nothing for this long is likely to be isolated itself, or the last one left. */
     private static final double ISOLATION_PERIODS = 2;
-    /** Pings for others that are kept in mind, against a flood of them. */
+    /** The most relayed pings that are tracked at a time; bounds memory under a flood of requests. */
     private static final int MAX_RELAYED_PINGS = 1_000;
 
     private static final class Probe {
@@ -39,7 +40,7 @@
         }
     }
 
-    /** A ping for somebody else: whom to tell, and until when. */
+    /** A ping on behalf of another member: where to relay the answer, and when to send a nack instead. */
     private record RelayedPing(String requesterAddress, long requesterSequence, String target, double deadlineMs) {}
 
     private final ProtocolContext context;
@@ -60,7 +61,7 @@
         nextPeriodMs = context.nowMs + context.random.nextDouble() * context.timings.periodMs();
     }
 
-    /** Forgets what runs: after a standstill no answer is late by the other's fault. */
+    /** Cancels all probes: after a pause of this process a missing answer says nothing about the target. */
     void reset() {
         activeProbes.clear();
         relayedPings.clear();
@@ -69,7 +70,7 @@
         start();
     }
 
-    /** Probes it before others. */
+    /** Probes a member before the others. */
     void probeSoon(MemberEntry entry) {
         if (!priorityTargets.contains(entry)) {
             priorityTargets.add(entry);
@@ -87,7 +88,7 @@
         return earliestMs;
     }
 
-    /** Does what is due; {@code lateMs} is how late this look at the time is, by this process's own fault. */
+    /** Runs what is due; {@code lateMs} is how late this process itself calls this method. */
     void tick(double lateMs) {
         for (Probe probe : new ArrayList<>(activeProbes.values())) {
             if (!probe.indirectSent && context.nowMs >= probe.indirectAtMs) {
@@ -161,7 +162,7 @@
 
     private void finishProbe(Probe probe, double lateMs) {
         if (lateMs > context.timings.gossipIntervalMs() && !probe.deadlineExtended) {
-            // Whoever looks late may find the answer among what it has not read yet.
+            // This process is late: the answer may be among the datagrams that it has not read yet.
             probe.deadlineExtended = true;
             probe.deadlineMs = context.nowMs + context.timings.gossipIntervalMs();
             context.adjustLocalHealthScore(1);
@@ -181,7 +182,7 @@
         }
     }
 
-    /** Answers at the address that the sender tells, with what is said of it here if it is not held alive. */
+    /** Replies at the sender's published address, with the record held here if that is newer than the sender's own. */
     void reply(MembershipRecord sender, Message message) {
         MemberEntry entry = context.memberTable.get(sender.name());
         boolean hasNewerRecord = entry != null && entry.record.compareTo(sender) > 0;
--- a/doorman/src/main/java/barleyspur/fleet/GossipQueue.java
+++ b/doorman/src/main/java/barleyspur/fleet/GossipQueue.java
@@ -8,8 +8,9 @@
 import java.util.TreeSet;
 
 /**
- * News to pass on, one a member. What was told least often goes first, and of those the newest, so that a burst of
- * news doesn't keep a new one waiting; each is told a few times the logarithm of the fleet (SWIM section 4.1).
+ * The records to disseminate by gossip, at most one per member. Records with the fewest transmissions go first, and
+ * among these the newest, so that a burst of changes does not delay a new one. Each record is transmitted a number of
+ * times that grows with the logarithm of the fleet size (SWIM, section 4.1).
  */
 final class GossipQueue {
 
@@ -37,7 +38,7 @@
         return queue.isEmpty();
     }
 
-    /** What is said of a member now: replaces what was to be told of it. */
+    /** Queues a record, replacing an older one of the same member. */
     void add(MembershipRecord record) {
         QueuedRecord item = new QueuedRecord(record, nextInsertionOrder++);
         QueuedRecord replaced = byName.put(record.name(), item);
@@ -52,7 +53,10 @@
         queue.clear();
     }
 
-    /** Adds to {@code into} what fits in {@code bytes}, and counts it as told once more in a fleet of that size. */
+    /**
+     * Adds queued records to {@code records} while they fit in {@code maxBytes}, and counts a transmission for each.
+     * Records that have reached the number of transmissions for a fleet of {@code memberCount} leave the queue.
+     */
     void fill(List<MembershipRecord> records, int maxBytes, int memberCount) {
         int maxTransmissions = TRANSMISSION_FACTOR * Math.max(1, (int) Math.ceil(Math.log10(memberCount + 1.0)));
         int bytesLeft = maxBytes;
--- a/doorman/src/main/java/barleyspur/fleet/MemberEntry.java
+++ b/doorman/src/main/java/barleyspur/fleet/MemberEntry.java
@@ -3,10 +3,10 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** What is known of one other member, or of one that was. */
+/** The entry of the {@link MemberTable} for one other member, current or former. */
 final class MemberEntry {
 
-    /** A suspicion: who spoke it out, since when, and when it is over. */
+    /** A running suspicion: the members that raised or confirmed it, when it started and when it expires. */
     static final class Suspicion {
         final Set<String> accusers = new HashSet<>(4);
         double sinceMs;
@@ -16,24 +16,27 @@
     final String name;
     final long nameHash;
     MembershipRecord record;
-    /** Whether it is in the view; else it is remembered, to be told from older sayings and to be tried again. */
+    /**
+     * Whether the member is in the view. An entry that is not listed is kept to recognize outdated records of the
+     * member and to contact it again.
+     */
     boolean listed;
-    /** Its place in the roster's order while it is listed. */
+    /** The position in the probe order; valid while the member is listed. */
     int index;
-    /** Its part in the digest while it is listed. */
+    /** The hash that this entry adds to the view digest; valid while the member is listed. */
     long recordHash;
 
     double stateSinceMs;
     double lastHeardMs = Double.NEGATIVE_INFINITY;
     ChangeReason reason;
     String source;
-    /** While it is suspected. */
+    /** Null unless the member is suspected. */
     Suspicion suspicion;
-    /** Of what it said against others, how much they refuted lately, and since when that is counted. */
+    /** How many accusations by this member were refuted since {@code refutedCountStartMs}. */
     int refutedAccusations;
 
     double refutedCountStartMs;
-    /** When it was last sent what others say of it. */
+    /** When the member was last sent a record that others spread about it. */
     double lastNotifiedMs = Double.NEGATIVE_INFINITY;
 
     MemberEntry(String name, long nameHash, MembershipRecord record) {
--- a/doorman/src/main/java/barleyspur/fleet/MemberMetadata.java
+++ b/doorman/src/main/java/barleyspur/fleet/MemberMetadata.java
@@ -3,15 +3,16 @@
 import java.util.Arrays;
 
 /**
- * What a member tells of itself, and only it may change: each change comes with a new incarnation.
+ * The metadata that a member publishes about itself. Only the member itself changes it, and every change comes with a
+ * new incarnation.
  *
- * @param address  where its datagrams are to be sent, as {@code 127.0.0.1:7001}
- * @param zone     the name of its zone, or empty
- * @param phase    of its lifecycle, as health says it
- * @param programVersion  the program's version
- * @param settingsDigest a digest of the settings it runs by
- * @param newestFormat   the newest format of datagrams that it reads
- * @param extensions     what newer formats add, encoded: passed on as it is by who doesn't know it
+ * @param address        where to send datagrams for this member, such as {@code 127.0.0.1:7001}
+ * @param zone           the name of its zone, or empty
+ * @param phase          the phase of its lifecycle, as in its health response
+ * @param programVersion the version of its program
+ * @param settingsDigest a digest of the settings that it runs with
+ * @param newestFormat   the newest datagram format that it can read
+ * @param extensions     the encoded fields of newer formats; a member that can't read them forwards them unchanged
  */
 public record MemberMetadata(
         String address,
@@ -22,17 +23,17 @@
         int newestFormat,
         byte[] extensions) {
 
-    /** The newest format of datagrams that this program reads; 2 adds a member's counters. */
+    /** The newest datagram format that this program can read; format 2 added the counters of a member. */
     public static final int NEWEST_FORMAT = 2;
 
     private static final byte[] NO_EXTENSIONS = {};
 
-    /** Without additions there is an empty array, never null. */
+    /** Replaces missing extensions by an empty array, so that they are never null. */
     public MemberMetadata {
         extensions = extensions == null || extensions.length == 0 ? NO_EXTENSIONS : extensions;
     }
 
-    /** The same in another phase and with other additions. */
+    /** Returns a copy with another phase and other extensions. */
     public MemberMetadata withPhaseAndExtensions(String newPhase, byte[] newExtensions) {
         return new MemberMetadata(address, zone, newPhase, programVersion, settingsDigest, newestFormat, newExtensions);
     }
--- a/doorman/src/main/java/barleyspur/fleet/MemberState.java
+++ b/doorman/src/main/java/barleyspur/fleet/MemberState.java
@@ -1,17 +1,20 @@
 package barleyspur.fleet;
 
-/** What is said of a member's life, in the order in which one saying replaces another of the same incarnation. */
+/**
+ * The state of a member. For the same incarnation a record with a later constant replaces one with an earlier constant;
+ * the order is also the encoding on the wire.
+ */
 public enum MemberState {
-    /** It takes part. */
+    /** The member is alive. */
     ALIVE,
-    /** It did not answer somebody, who waits whether it says otherwise. */
+    /** The member did not answer a probe, and has until the suspicion expires to refute it. */
     SUSPECT,
-    /** It said nothing in time, and was given up. */
+    /** The member did not refute the suspicion in time. */
     DEAD,
-    /** It said itself that it goes. */
+    /** The member announced that it is leaving. */
     LEFT;
 
-    /** Whether it counts as a member. */
+    /** Whether a member in this state belongs to the view. */
     public boolean isMember() {
         return this == ALIVE || this == SUSPECT;
     }
--- a/doorman/src/main/java/barleyspur/fleet/MemberTable.java
+++ b/doorman/src/main/java/barleyspur/fleet/MemberTable.java
@@ -8,9 +8,10 @@
 import net.openhft.hashing.LongHashFunction;
 
 /**
- * The others by name, those in the view also in a random order that probes go round (SWIM section 4.3: within two
- * rounds everybody is probed), and the view's digest: each bucket is the exclusive or of its members' hashes, so that
- * a change costs two operations whatever the size.
+ * The table of the other members by name. Listed members, those in the view, are also kept in a random order for
+ * round-robin probing (SWIM, section 4.3: every member is probed within two rounds). The table maintains the view
+ * digest and its buckets: each is the exclusive or of the hashes of its members, so that an update takes two operations
+ * whatever the fleet size.
  */
 final class MemberTable {
 
@@ -50,7 +51,7 @@
         digest ^= hash;
     }
 
-    /** Takes what this process says of itself into the digest; null: it is no member. */
+    /** Updates the digest with the record of this process; null if this process is not a member. */
     void setSelf(String name, MembershipRecord record) {
         long nameHash = hash(name);
         long newHash = record == null || !record.state().isMember() ? 0 : hash(nameHash, record);
@@ -66,7 +67,7 @@
         return entries.values();
     }
 
-    /** Those in the view. */
+    /** The entries of the members in the view, in probe order. */
     List<MemberEntry> listed() {
         return listed;
     }
@@ -86,13 +87,13 @@
         entries.remove(entry.name);
     }
 
-    /** Puts an entry into the view or takes it out, and keeps the digest in step with what is said of it. */
+    /** Adds an entry to the view or removes it, and updates the digest with its current record. */
     void setListed(MemberEntry entry, boolean nowListed) {
         long newHash = nowListed ? hash(entry.nameHash, entry.record) : 0;
         toggleHash(entry.nameHash, entry.recordHash ^ newHash);
         entry.recordHash = newHash;
         if (nowListed && !entry.listed) {
-            // At a random place, so that newcomers are not all probed in the order in which they came.
+            // Inserts at a random position, so that members are not probed in the order in which they joined.
             int index = random.nextInt(listed.size() + 1);
             entry.index = listed.size();
             listed.add(entry);
@@ -113,7 +114,7 @@
         first.index = secondIndex;
     }
 
-    /** The next one to probe; null where nobody else is there. */
+    /** Returns the next member to probe, or null if no other member is listed. */
     MemberEntry nextProbeTarget() {
         if (listed.isEmpty()) {
             return null;
@@ -127,7 +128,9 @@
         return listed.get(nextProbeIndex++);
     }
 
-    /** Up to {@code most} different ones of the view at random, without {@code but}. */
+    /**
+     * Returns up to {@code maxCount} distinct listed members at random, without {@code excluded}, which may be null.
+     */
     List<MemberEntry> randomListed(int maxCount, MemberEntry excluded) {
         List<MemberEntry> selected = new ArrayList<>(maxCount);
         int attempts = Math.min(3 * maxCount, 3 * listed.size());
@@ -148,7 +151,7 @@
         return bucketDigests.clone();
     }
 
-    /** Whether a name falls into a bucket in which {@code theirs} differ from ours. */
+    /** Whether a name belongs to a bucket whose digest differs between {@code otherDigests} and this table. */
     boolean isInDifferingBucket(long nameHash, long[] otherDigests) {
         int bucket = bucketIndex(nameHash);
         return bucketDigests[bucket] != otherDigests[bucket];
--- a/doorman/src/main/java/barleyspur/fleet/Membership.java
+++ b/doorman/src/main/java/barleyspur/fleet/Membership.java
@@ -8,30 +8,31 @@
 import java.util.function.Consumer;
 
 /**
- * The view of one doorman, decided from what comes and from the time. Not for several threads. Times are milliseconds
- * of one clock that never steps back; what comes out is given to the consumer within the calls.
+ * The membership protocol of one doorman, which maintains its view from received datagrams and the time. Not
+ * thread-safe. Times are in milliseconds of one monotonic clock; actions are passed to the consumer during the calls.
  *
- * <p>What others say of a member never takes it out of the view by itself: a suspicion has to run out here, a verdict
- * from elsewhere makes this process ask the member, and tell it what is said. So a liar, a part of the fleet that was
- * cut off, or one that hears nobody, can make trouble but not remove who answers.
+ * <p>A claim by others never removes a member from the view at once. A suspicion has to expire in this process, or to
+ * have lasted its minimum duration here when a DEAD record arrives; any other DEAD record makes this process probe the
+ * member and send it the claim to refute. A malicious member, a partitioned part of the fleet or a member that receives
+ * nothing can therefore cause traffic, but can't remove a member that answers.
  */
 public final class Membership {
 
-    /** Confirmations that end a suspicion as soon as may be (Lifeguard's k). */
+    /** The number of confirmations that reduces a suspicion to its minimum duration (Lifeguard's k). */
     private static final int MAX_CONFIRMATIONS = 3;
-    /** About so many members ask a suspect for themselves, whatever the size of the fleet. */
+    /** The expected number of members that probe a suspect themselves, whatever the fleet size. */
     private static final double EXPECTED_CHECKERS = 5;
-    /** Refuted accusations within {@link #REFUTED_WINDOW_PERIODS} beyond which an accuser's word doesn't count. */
+    /** An accuser with more refuted accusations than this within {@link #REFUTED_WINDOW_PERIODS} is ignored. */
     private static final int MAX_REFUTED_ACCUSATIONS = 5;
 
     private static final double REFUTED_WINDOW_PERIODS = 20;
-    /** Members that are told by datagrams of their own that this one goes. */
+    /** The number of members that receive a leave announcement in a datagram of their own, per round. */
     private static final int LEAVE_NOTICES = 32;
-    /** Periods of doubt after a start or a standstill, if nobody answers or views stay different. */
+    /** How long the view stays in doubt after a start or a pause if no matching view digest is received. */
     private static final double DOUBT_PERIODS = 4;
     /**
-     * Members that get news in a round, one datagram each: 36 KB a second at most, whatever happens, so that news about
-     * late answers can't make answers later. What a burst leaves over is made up for by comparisons.
+     * The number of members that receive gossip in a round, one datagram each. This bounds gossip to 36 KB/s, so that
+     * gossip about late answers can't delay answers further. Anti-entropy transfers what a burst leaves out.
      */
     private static final int GOSSIP_FANOUT = 3;
 
@@ -51,20 +52,23 @@
     private int pauses;
     private int generationRaises;
     private int refutations;
-    /** The newer process of this name, while this one gives way to it, and when it was last heard. */
+    /** The newer process to which this one has given up its name, or null. */
     private MembershipRecord newerProcess;
 
     private double newerProcessHeardMs;
     private double nameReclaimDelayMs;
-    /** Another process of this name that was told of, and when it is taken for gone. */
+    /** A process of this name known only from others, which has been pinged; gone if it doesn't answer in time. */
     private MembershipRecord unverifiedProcess;
 
     private double unverifiedUntilMs;
 
     /**
-     * @param generation  the number of this life of the name: the wall clock's, or any that tends to rise
-     * @param seeds addresses to look for others at, tried for as long as nobody of the view has them
-     * @param randomSeed  of all that is drawn
+     * Creates the membership of a process; {@link #start} begins the protocol.
+     *
+     * @param generation the generation of this process: the wall clock time, or any number that usually increases
+     * @param seeds      addresses to contact for other members, as long as no listed member has them
+     * @param randomSeed the seed of the random number generator
+     * @param actions    receives the actions to carry out
      */
     public Membership(
             String name,
@@ -81,9 +85,9 @@
         antiEntropy = new AntiEntropy(context, seeds);
     }
 
-    // ---- calls -----------------------------------------------------------------------------------------
+    // ---- inputs ----------------------------------------------------------------------------------------
 
-    /** Begins: looks for others at the seeds. */
+    /** Starts the protocol and the search for other members at the seeds. */
     public void start(double nowMs) {
         context.nowMs = nowMs;
         lastTimeMs = nowMs;
@@ -97,7 +101,7 @@
         notifyChange(new Change.Doubt(++version, true));
     }
 
-    /** When {@link #tick} is to be called next. */
+    /** The time at which {@link #tick} must be called next. */
     public double nextTickMs() {
         if (leaving) {
             return Math.max(nextRoundMs, lastTimeMs);
@@ -114,7 +118,7 @@
         return inDoubt ? Math.min(earliestMs, doubtEndsMs) : earliestMs;
     }
 
-    /** Does what is due by now. */
+    /** Runs everything that is due. */
     public void tick(double nowMs) {
         double lateMs = nowMs - nextTickMs();
         if (advanceTime(nowMs)) {
@@ -140,7 +144,7 @@
         }
     }
 
-    /** Takes in a datagram, which is known to be one of this fleet's. */
+    /** Processes a datagram whose tag has been verified. */
     public void receive(double nowMs, Datagram datagram) {
         advanceTime(nowMs);
         MembershipRecord sender = datagram.sender();
@@ -163,18 +167,18 @@
             }
         }
         Message message = datagram.message();
-        if (message instanceof Message.Ping p) {
-            failureDetector.onPing(sender, p);
-        } else if (message instanceof Message.Ack accuserEntry) {
-            failureDetector.onAck(accuserEntry);
-        } else if (message instanceof Message.PingRequest p) {
-            failureDetector.onPingRequest(sender, p);
-        } else if (message instanceof Message.Nack n) {
-            failureDetector.onNack(n);
-        } else if (message instanceof Message.DigestExchange c) {
-            antiEntropy.onDigestExchange(sender, c);
-        } else if (message instanceof Message.Payload c) {
-            context.emit(new Action.Deliver(sender, c.bytes()));
+        if (message instanceof Message.Ping ping) {
+            failureDetector.onPing(sender, ping);
+        } else if (message instanceof Message.Ack ack) {
+            failureDetector.onAck(ack);
+        } else if (message instanceof Message.PingRequest request) {
+            failureDetector.onPingRequest(sender, request);
+        } else if (message instanceof Message.Nack nack) {
+            failureDetector.onNack(nack);
+        } else if (message instanceof Message.DigestExchange exchange) {
+            antiEntropy.onDigestExchange(sender, exchange);
+        } else if (message instanceof Message.Payload payload) {
+            context.emit(new Action.Deliver(sender, payload.bytes()));
         }
         if (!sender.name().equals(context.self.name())) {
             antiEntropy.onDigest(sender, datagram.digest(), inDoubt);
@@ -184,18 +188,18 @@
         }
     }
 
-    /** Sends another part's words to a member; they may be lost, come twice, late or out of order. */
+    /** Sends a payload to a member; it may be lost, duplicated, delayed or reordered. */
     public void sendPayload(double nowMs, String address, byte[] payload) {
         advanceTime(nowMs);
         context.sendExact(address, new Message.Payload(payload), List.of());
     }
 
-    /** How many bytes such words may have. */
+    /** The maximum size of a payload. */
     public int maxPayloadBytes() {
         return DatagramSizes.gossipBytesLeft(context.self, new Message.Payload(new byte[0]));
     }
 
-    /** Changes what this member tells of itself. */
+    /** Publishes new metadata of this member. */
     public void updateMetadata(double nowMs, MemberMetadata metadata) {
         advanceTime(nowMs);
         if (!metadata.equals(context.self.metadata()) && !leaving) {
@@ -203,7 +207,7 @@
         }
     }
 
-    /** This member goes: it says so now and in the next rounds, for as long as it is still asked to tick. */
+    /** Announces that this member leaves, now and in the following rounds for as long as {@link #tick} is called. */
     public void leave(double nowMs) {
         advanceTime(nowMs);
         if (leaving) {
@@ -221,17 +225,17 @@
         }
     }
 
-    // ---- readings --------------------------------------------------------------------------------------
+    // ---- queries ---------------------------------------------------------------------------------------
 
     /**
-     * Whether what the view says of others must not be acted on: since a start or standstill nobody has confirmed it.
-     * To be asked with the time at which somebody wants to act, since the standstill may have ended just now.
+     * Whether the view must not be acted on, because no other member has confirmed it since a start or a pause of this
+     * process. Pass the current time, since a pause may have ended that this object has not seen yet.
      */
     public boolean isInDoubt(double nowMs) {
         return inDoubt || nowMs - lastTimeMs > context.timings.pauseThresholdMs();
     }
 
-    /** The view, with those that are remembered. */
+    /** Returns a snapshot of the view, including former members that are still remembered. */
     public View view(double nowMs) {
         List<View.Member> members = new ArrayList<>();
         members.add(new View.Member(
@@ -250,22 +254,22 @@
                 version, context.memberTable.digest(), isInDoubt(nowMs), newerProcess != null, context.self, members);
     }
 
-    /** What this process says of itself. */
+    /** The record of this process. */
     public MembershipRecord self() {
         return context.self;
     }
 
-    /** The digest of the view. */
+    /** The digest of the view, equal for two views with the same members, incarnations and states. */
     public long digest() {
         return context.memberTable.digest();
     }
 
-    /** How many are in the view, this one among them. */
+    /** The number of members in the view, this one included. */
     public int memberCount() {
         return context.memberCount();
     }
 
-    /** Where those of the view are, without this one. */
+    /** The addresses of the other members in the view. */
     public Set<String> peerAddresses() {
         Set<String> addresses = new HashSet<>();
         for (MemberEntry entry : context.memberTable.listed()) {
@@ -274,12 +278,15 @@
         return addresses;
     }
 
-    /** How often this process has stood still, raised its life above another's and refuted others, and its doubts. */
+    /**
+     * Counters of this process, in this order: pauses, raises of its generation above another process's, refutations,
+     * and the local health score.
+     */
     public int[] counters() {
         return new int[] {pauses, generationRaises, refutations, context.localHealthScore};
     }
 
-    // ---- what is said of others ------------------------------------------------------------------------
+    // ---- records of other members ----------------------------------------------------------------------
 
     private void merge(MembershipRecord record, String source) {
         if (record.name().equals(context.self.name())) {
@@ -298,7 +305,7 @@
         int order = record.compareTo(entry.record);
         if (order < 0) {
             if (direct) {
-                // An earlier life's, or one that doesn't know what is said of it: it is told.
+                // An earlier process, or one that does not know the newer record: send it, so that it can react.
                 sendClaim(entry, entry.record, record.metadata().address());
             }
         } else if (order == 0) {
@@ -318,7 +325,7 @@
         return record.state() == MemberState.SUSPECT || record.state() == MemberState.DEAD;
     }
 
-    /** Somebody speaks against a member that this view holds. */
+    /** Handles a SUSPECT or DEAD record of a listed member. */
     private void onAccusation(MemberEntry entry, MembershipRecord record, String source) {
         if (!isCredible(record.accuser())) {
             return;
@@ -338,7 +345,7 @@
         } else if (!newer && entry.suspicion != null) {
             confirmSuspicion(entry, record);
         } else {
-            // Given up elsewhere, maybe behind a cut: it is told, and asked before others, but not given up.
+            // Declared dead elsewhere, maybe across a partition: notify and probe it, but keep it in the view.
             failureDetector.probeSoon(entry);
             sendClaim(entry, record, entry.record.metadata().address());
         }
@@ -374,7 +381,7 @@
                 context.memberCount(), entry.suspicion.accusers.size() - 1, expectedConfirmations);
     }
 
-    /** Who goes by a name is told what others say of it, so that it can say otherwise: once a period. */
+    /** Sends a member the record that others spread about it, so that it can refute it; at most once per period. */
     private void sendClaim(MemberEntry entry, MembershipRecord claim, String address) {
         if (context.nowMs - entry.lastNotifiedMs >= context.timings.periodMs()) {
             entry.lastNotifiedMs = context.nowMs;
@@ -382,7 +389,7 @@
         }
     }
 
-    /** Takes a saying for what holds, and tells of what that changes. */
+    /** Makes a record the current one of its member, and reports the change of the view. */
     private void apply(MemberEntry entry, MembershipRecord record, ChangeReason reason, String source) {
         MembershipRecord previous = entry.record;
         boolean wasListed = entry.listed;
@@ -429,7 +436,7 @@
         entry.suspicion.sinceMs = context.nowMs;
         entry.suspicion.endsMs = context.nowMs + suspicionMs(entry);
         if (suspectedEntries.size() >= context.memberTable.listed().size()) {
-            // Nobody is left who could confirm.
+            // No unsuspected member is left that could confirm.
             for (MemberEntry other : suspectedEntries) {
                 other.suspicion.endsMs = Math.min(other.suspicion.endsMs, other.suspicion.sinceMs + suspicionMs(other));
             }
@@ -443,7 +450,7 @@
         }
     }
 
-    /** A probe of ours had no answer. */
+    /** Handles a probe by this process that had no answer. */
     private void onProbeFailed(MemberEntry entry) {
         if (entry.record.state() == MemberState.ALIVE) {
             apply(
@@ -462,7 +469,7 @@
                 continue;
             }
             if (lateMs > context.timings.gossipIntervalMs() && entry.suspicion.endsMs > context.nowMs - lateMs - 1) {
-                // Late by our own fault: what refutes it may lie unread.
+                // This process is late itself: a refutation may be among the datagrams not read yet.
                 entry.suspicion.endsMs = context.nowMs + context.timings.gossipIntervalMs();
             } else {
                 apply(
@@ -485,7 +492,7 @@
         expired.forEach(context.memberTable::remove);
     }
 
-    // ---- what is said of this one ----------------------------------------------------------------------
+    // ---- records of this member ------------------------------------------------------------------------
 
     private void updateSelf(MembershipRecord record) {
         context.self = record;
@@ -515,7 +522,7 @@
         if (sameAddress || !record.state().isMember()) {
             raiseGenerationAbove(record);
         } else if (unverifiedProcess == null || unverifiedProcess.compareTo(record) < 0) {
-            // Maybe this name's earlier life, whose clock ran ahead; maybe a newer process: it is asked.
+            // An earlier process of this name whose clock was ahead, or a newer one: ping it to find out.
             unverifiedProcess = record;
             unverifiedUntilMs = context.nowMs + 2 * context.timings.periodMs();
             context.sendExact(
@@ -538,7 +545,7 @@
                 context.self.metadata()));
     }
 
-    /** A datagram of another process that goes by this name: the newer one has it. */
+    /** Handles a datagram from another process with the same name: the newer process keeps the name. */
     private void onNameConflict(MembershipRecord record) {
         if (record.isSameProcess(context.self)) {
             return;
@@ -579,7 +586,7 @@
             MembershipRecord other = newerProcess;
             newerProcess = null;
             context.emit(new Action.Warn(
-                    "the newer process of this name is gone: this one has it back",
+                    "the newer process of this name is gone: this one takes it back",
                     other.name(),
                     other.metadata().address()));
             notifyChange(new Change.Name(++version, false, other));
@@ -589,7 +596,7 @@
 
     // ---- time ------------------------------------------------------------------------------------------
 
-    /** Notes the time, and true where this process has stood still, so that all timers begin anew. */
+    /** Advances the time. Returns true if this process was paused, after which all timers have been restarted. */
     private boolean advanceTime(double nowMs) {
         double gapMs = nowMs - lastTimeMs;
         lastTimeMs = nowMs;
@@ -604,7 +611,7 @@
         context.emit(new Action.Warn(
                 "this process stood still",
                 context.self.name(),
-                Math.round(gapMs) + " ms" + (viewExpired ? ": its view is void" : "")));
+                Math.round(gapMs) + " ms" + (viewExpired ? ": the records of other members have expired" : "")));
         inDoubt = true;
         context.lastHeardMs = nowMs;
         doubtEndsMs = nowMs + DOUBT_PERIODS * context.timings.periodMs();
--- a/doorman/src/main/java/barleyspur/fleet/MembershipRecord.java
+++ b/doorman/src/main/java/barleyspur/fleet/MembershipRecord.java
@@ -3,15 +3,20 @@
 import java.util.Comparator;
 
 /**
- * What is said of one member. Sayings of one name are in a total order, and the greatest one holds, so that merging is
- * associative, commutative and idempotent by its nature. {@code about} follows from name, life, nonce and
- * incarnation, since only the member itself makes a new one; {@code by} is a note that doesn't count.
+ * The record of one member that gossip spreads. Records of the same name are totally ordered and the greatest one is
+ * valid, so that merging is associative, commutative and idempotent. The order uses generation, nonce, incarnation and
+ * state: the metadata is determined by the first three, since only the member itself issues a new incarnation, and the
+ * accuser is informational.
  *
- * @param name        of the member, one in a fleet
- * @param generation        of its process: rises with each start under this name, 0 to {@link #MAX_COUNTER}
- * @param nonce       drawn by its process, so that two with the same life are told apart
- * @param incarnation raised by itself with each change and to refute what others say, 0 to {@link #MAX_COUNTER}
- * @param accuser          who said so first, where others speak: SUSPECT and DEAD
+ * @param name        the name of the member, unique in the fleet
+ * @param generation  the generation of its process: increases with each start under this name, from 0 to
+ *                    {@link #MAX_COUNTER}; {@code life} in JSON and logs
+ * @param nonce       a random number of its process, which distinguishes two processes of the same generation
+ * @param incarnation raised by the member itself with each change and to refute accusations, from 0 to
+ *                    {@link #MAX_COUNTER}
+ * @param state       the state of the member; {@code standing} in JSON and logs
+ * @param accuser     the name of the member that first claimed the state SUSPECT or DEAD, else empty; {@code by} in
+ *                    JSON and logs
  */
 public record MembershipRecord(
         String name,
@@ -23,7 +28,7 @@
         MemberMetadata metadata)
         implements Comparable<MembershipRecord> {
 
-    /** No life or incarnation is beyond it: a saying that is comes from a liar or a faulty program. */
+    /** The greatest valid generation and incarnation; a record beyond it comes from a malicious or faulty process. */
     public static final long MAX_COUNTER = 1L << 52;
 
     private static final Comparator<MembershipRecord> ORDER = Comparator.comparingLong(MembershipRecord::generation)
@@ -31,23 +36,23 @@
             .thenComparingLong(MembershipRecord::incarnation)
             .thenComparing(MembershipRecord::state);
 
-    /** The order of sayings of the same name. */
+    /** Compares two records of the same name; the greater one is valid. */
     @Override
     public int compareTo(MembershipRecord other) {
         return ORDER.compare(this, other);
     }
 
-    /** Whether both are of the same process. */
+    /** Whether both records belong to the same process. */
     public boolean isSameProcess(MembershipRecord other) {
         return generation == other.generation && nonce == other.nonce;
     }
 
-    /** The same incarnation with another standing, said by {@code who}. */
+    /** Returns a record of the same incarnation with another state, as claimed by {@code newAccuser}. */
     public MembershipRecord withState(MemberState newState, String newAccuser) {
         return new MembershipRecord(name, generation, nonce, incarnation, newState, newAccuser, metadata);
     }
 
-    /** The next incarnation after {@code than} of the same life, alive. */
+    /** Returns an alive record of the same process, with the next incarnation after its own and {@code floor}. */
     public MembershipRecord withIncarnationAbove(long floor, MemberMetadata newMetadata) {
         return new MembershipRecord(
                 name,
@@ -59,7 +64,7 @@
                 newMetadata);
     }
 
-    /** The one that holds of two of the same name; of two that say the same, the one that was said by the lesser name. */
+    /** Returns the valid record of two of the same name; if they compare equal, the one whose accuser sorts first. */
     public static MembershipRecord merge(MembershipRecord one, MembershipRecord other) {
         int order = one.compareTo(other);
         if (order == 0) {
--- a/doorman/src/main/java/barleyspur/fleet/Message.java
+++ b/doorman/src/main/java/barleyspur/fleet/Message.java
@@ -1,29 +1,35 @@
 package barleyspur.fleet;
 
-/** What a datagram is for; news of members ride on each. */
+/** The protocol message of a datagram. Every datagram also carries gossip, see {@link Datagram#gossip}. */
 public sealed interface Message {
 
-    /** Asks {@code to} whether it is there; an empty name asks whoever has the address. */
+    /** A ping of the member named {@code target}; an empty name addresses whichever member has the address. */
     record Ping(long sequence, String target) implements Message {}
 
-    /** Answers a ping, its own or one that was asked for somebody else: {@code of} is who answered. */
+    /** The answer to a ping, direct or relayed; {@code responder} is the name of the member that answered. */
     record Ack(long sequence, String responder) implements Message {}
 
-    /** Asks a third to ping {@code target} at {@code address} and to pass its answer on. */
+    /** SWIM's ping-req: asks a member to ping {@code target} at {@code targetAddress} and to relay its answer. */
     record PingRequest(long sequence, String target, String targetAddress) implements Message {}
 
-    /** The third's word that it is well, but has had no answer: without it the asker doubts itself (Lifeguard). */
+    /**
+     * The relaying member's notice that it is alive but has received no answer from the target. A requester that
+     * receives neither an ack nor a nack raises its local health score (Lifeguard).
+     */
     record Nack(long sequence) implements Message {}
 
-    /** News only. */
+    /** No message of its own: the datagram only carries gossip. */
     record Gossip() implements Message {}
 
-    /** Words of another part of the program, which the view doesn't read: an older member takes it for news. */
+    /**
+     * A payload of another part of the program, which the membership protocol does not interpret. A member of an older
+     * version treats it as {@link Gossip}.
+     */
     record Payload(byte[] bytes) implements Message {}
 
     /**
-     * Digests of the sender's buckets: who has others answers with what it knows of those buckets, and, where
-     * {@code asks}, with its own digests.
+     * The sender's bucket digests. The receiver answers with its records of the buckets that differ and, if
+     * {@code replyRequested}, with its own bucket digests.
      */
     record DigestExchange(long sequence, long[] bucketDigests, boolean replyRequested) implements Message {}
 }
--- a/doorman/src/main/java/barleyspur/fleet/ProtocolContext.java
+++ b/doorman/src/main/java/barleyspur/fleet/ProtocolContext.java
@@ -5,7 +5,7 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 
-/** What the parts of one membership share: the time, what this process says of itself, the others, and the way out. */
+/** The state that the components of one {@link Membership} share: time, own record, member table and output. */
 final class ProtocolContext {
 
     final ProtocolTimings timings;
@@ -14,13 +14,13 @@
     final GossipQueue gossipQueue = new GossipQueue();
     private final Consumer<Action> actions;
     double nowMs;
-    /** When anybody was last heard. */
+    /** When the last datagram from any other member was received. */
     double lastHeardMs;
 
     MembershipRecord self;
-    /** Numbers of pings and comparisons; starts at random so that an answer to an earlier life matches none. */
+    /** The last sequence number; starts at random, so that answers to an earlier process of this name match nothing. */
     private long lastSequence;
-    /** How much this process doubts itself: 0 is well (Lifeguard's local health). */
+    /** Lifeguard's local health score, from 0 (healthy) to {@link #MAX_LOCAL_HEALTH_SCORE}. */
     int localHealthScore;
 
     static final int MAX_LOCAL_HEALTH_SCORE = 3;
@@ -54,14 +54,14 @@
     }
 
     /**
-     * Sends a message with as much news as fits. Whoever is not held alive here is told so first, so that it can say
-     * otherwise (Lifeguard's buddy messages).
+     * Sends a message with as much gossip as fits. If the target is not alive in this view, the gossip starts with its
+     * record, so that it can refute it (Lifeguard's buddy messages).
      */
     void send(MemberEntry target, Message message) {
         send(target.record.metadata().address(), message, recordIfNotAlive(target));
     }
 
-    /** What is said against somebody who is not held alive. */
+    /** Returns the record of a member that is not alive in this view; an empty list for an alive or unknown member. */
     static List<MembershipRecord> recordIfNotAlive(MemberEntry entry) {
         return entry != null && entry.record.state() != MemberState.ALIVE ? List.of(entry.record) : List.of();
     }
@@ -76,7 +76,7 @@
         sendExact(address, message, records);
     }
 
-    /** Sends this and nothing else. */
+    /** Sends a message with exactly the given records as gossip. */
     void sendExact(String address, Message message, List<MembershipRecord> records) {
         emit(new Action.Send(address, new Datagram(self, memberTable.digest(), message, List.copyOf(records))));
     }
--- a/doorman/src/main/java/barleyspur/fleet/ProtocolTimings.java
+++ b/doorman/src/main/java/barleyspur/fleet/ProtocolTimings.java
@@ -1,43 +1,46 @@
 package barleyspur.fleet;
 
 /**
- * The times of a fleet view, all derived from its period, in milliseconds.
+ * The intervals and timeouts of the membership protocol, derived from its period.
  *
- * @param periodMs   between two probes by one member
- * @param deadRetentionMs how long the dead are remembered, and tried again
+ * @param periodMs        the interval between two probes by one member
+ * @param deadRetentionMs how long dead and departed members are remembered and contacted again
  */
 public record ProtocolTimings(double periodMs, double deadRetentionMs) {
 
-    /** News are told this often within a period. */
+    /** The number of gossip rounds in a period. */
     private static final double GOSSIP_ROUNDS_PER_PERIOD = 5;
 
     private static final double DIRECT_PROBE_SHARE = 0.4;
     private static final double MIN_SUSPICION_PERIODS = 2;
-    /** How much longer a suspicion lasts that nobody else confirms, and that nobody else is there to confirm. */
+    /** The maximum duration of a suspicion, reached while no other member confirms it, as a multiple of the minimum. */
     private static final double MAX_SUSPICION_FACTOR = 4;
 
+    /** The duration of a suspicion that no other member could confirm, as a multiple of the minimum. */
     private static final double UNCONFIRMABLE_SUSPICION_FACTOR = 2;
 
     double gossipIntervalMs() {
         return periodMs / GOSSIP_ROUNDS_PER_PERIOD;
     }
 
-    /** How long a direct answer may take before others are asked. */
+    /** How long to wait for the answer to a direct ping before others are asked to ping the target. */
     double directProbeTimeoutMs() {
         return periodMs * DIRECT_PROBE_SHARE;
     }
 
-    /** How long a suspicion lasts at least among {@code members}: long enough for its subject to say otherwise. */
+    /** The minimum duration of a suspicion in a fleet of {@code members}: long enough for the suspect to refute it. */
     public double minSuspicionMs(int members) {
         return MIN_SUSPICION_PERIODS * periodMs * Math.max(1, Math.log10(Math.max(1, members)));
     }
 
-    /** How long a suspicion lasts at most: as long as nobody else confirms it. */
+    /** The maximum duration of a suspicion, which applies while no other member confirms it. */
     public double maxSuspicionMs(int members) {
         return MAX_SUSPICION_FACTOR * minSuspicionMs(members);
     }
 
-    /** The time that a suspicion lasts with so many confirmations, of {@code wanted} (Lifeguard, section 4). */
+    /**
+     * The duration of a suspicion with some confirmations out of {@code expectedConfirmations} (Lifeguard, section 4).
+     */
     double suspicionMs(int members, int confirmations, int expectedConfirmations) {
         double minMs = minSuspicionMs(members);
         double maxMs = maxSuspicionMs(members);
@@ -49,7 +52,7 @@
         return maxMs - (maxMs - minMs) * Math.log(confirmations + 1.0) / Math.log(expectedConfirmations + 1.0);
     }
 
-    /** A gap between two looks at the time beyond which the process has stood still, and its view is in doubt. */
+    /** The gap between two readings of the clock above which this process was paused and its view is in doubt. */
     public double pauseThresholdMs() {
         return 2 * periodMs;
     }
--- a/doorman/src/main/java/barleyspur/fleet/net/DatagramCodec.java
+++ b/doorman/src/main/java/barleyspur/fleet/net/DatagramCodec.java
@@ -21,20 +21,20 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * A fleet's datagrams as bytes: CBOR (RFC 8949) and behind it 16 bytes of its HMAC-SHA256 (RFC 2104) under the fleet's
- * key, which is checked before anything is read. A datagram is the array
- * {@code [format, fleet, sender, digest, message, news]}; elements beyond those that a reader knows are skipped, a
- * message of an unknown kind counts as news only, and what a newer member tells of itself behind the known fields
- * is passed on as it is. The format is the oldest that can read it. Not for several threads.
+ * Encodes and decodes the datagrams of a fleet: CBOR (RFC 8949) followed by the first 16 bytes of its HMAC-SHA256 (RFC
+ * 2104) under the fleet's key, which is verified before anything is parsed. A datagram is the array
+ * {@code [format, fleet, sender, digest, message, gossip]}, where the format is the oldest one that can read it. For
+ * compatibility with newer formats, unknown array elements are skipped, a message of an unknown kind is read as
+ * {@link Message.Gossip}, and extensions of the metadata are kept to be forwarded unchanged. Not thread-safe.
  */
 public final class DatagramCodec {
 
-    /** Written into each datagram: a reader of format 1 understands all that is sent so far. */
+    /** The format number written into each datagram: a reader of format 1 can read everything sent so far. */
     private static final int OLDEST_COMPATIBLE_FORMAT = 1;
 
     private static final int TAG_BYTES = 16;
     private static final String TAG_ALGORITHM = "HmacSHA256";
-    /** Sayings that fit into a datagram, and more. */
+    /** More records than fit in a datagram. */
     private static final int MAX_GOSSIP_RECORDS = 64;
 
     private static final int MAX_BUCKETS = 128;
@@ -47,7 +47,9 @@
     private static final int DIGEST_EXCHANGE = 6;
     private static final int PAYLOAD = 7;
 
-    /** A datagram that is not to be used; the cause is the same text for all of a kind. */
+    /**
+     * Thrown for a datagram that must be dropped; the message is one of a few fixed causes and used as a metric label.
+     */
     public static final class InvalidDatagramException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -60,18 +62,22 @@
     private final String fleet;
     private final Mac mac;
 
-    /** @param key of the fleet: at least 16 bytes */
+    /**
+     * Creates a codec for the datagrams of one fleet.
+     *
+     * @param key the key of the fleet, at least 16 bytes
+     */
     public DatagramCodec(String fleet, byte[] key) {
         this.fleet = fleet;
         try {
             mac = Mac.getInstance(TAG_ALGORITHM);
             mac.init(new SecretKeySpec(key, TAG_ALGORITHM));
         } catch (GeneralSecurityException e) {
-            throw new IllegalStateException("every Java platform has " + TAG_ALGORITHM, e);
+            throw new IllegalStateException("every Java platform must support " + TAG_ALGORITHM, e);
         }
     }
 
-    /** The bytes of a datagram: {@link DatagramSizes#MAX_DATAGRAM_BYTES} at most. */
+    /** Encodes a datagram to at most {@link DatagramSizes#MAX_DATAGRAM_BYTES} bytes. */
     public byte[] encode(Datagram datagram) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(DatagramSizes.MAX_DATAGRAM_BYTES);
         try (CBORGenerator generator = factory.createGenerator(out)) {
@@ -88,7 +94,7 @@
             generator.writeEndArray();
             generator.writeEndArray();
         } catch (IOException e) {
-            throw new IllegalStateException("writing to memory can't fail", e);
+            throw new IllegalStateException("unexpected I/O error when writing to memory", e);
         }
         byte[] body = out.toByteArray();
         byte[] bytes = Arrays.copyOf(body, body.length + TAG_BYTES);
@@ -119,29 +125,29 @@
     }
 
     private static void write(CBORGenerator generator, Message message) throws IOException {
-        if (message instanceof Message.Ping parser) {
-            writeMessageHead(generator, 3, PING, parser.sequence());
-            generator.writeString(parser.target());
-        } else if (message instanceof Message.Ack metadata) {
-            writeMessageHead(generator, 3, ACK, metadata.sequence());
-            generator.writeString(metadata.responder());
-        } else if (message instanceof Message.PingRequest parser) {
-            writeMessageHead(generator, 4, PING_REQUEST, parser.sequence());
-            generator.writeString(parser.target());
-            generator.writeString(parser.targetAddress());
-        } else if (message instanceof Message.Nack n) {
-            writeMessageHead(generator, 2, NACK, n.sequence());
-        } else if (message instanceof Message.DigestExchange c) {
-            writeMessageHead(generator, 4, DIGEST_EXCHANGE, c.sequence());
-            generator.writeBoolean(c.replyRequested());
-            generator.writeStartArray(null, c.bucketDigests().length);
-            for (long bucket : c.bucketDigests()) {
+        if (message instanceof Message.Ping ping) {
+            writeMessageHead(generator, 3, PING, ping.sequence());
+            generator.writeString(ping.target());
+        } else if (message instanceof Message.Ack ack) {
+            writeMessageHead(generator, 3, ACK, ack.sequence());
+            generator.writeString(ack.responder());
+        } else if (message instanceof Message.PingRequest request) {
+            writeMessageHead(generator, 4, PING_REQUEST, request.sequence());
+            generator.writeString(request.target());
+            generator.writeString(request.targetAddress());
+        } else if (message instanceof Message.Nack nack) {
+            writeMessageHead(generator, 2, NACK, nack.sequence());
+        } else if (message instanceof Message.DigestExchange exchange) {
+            writeMessageHead(generator, 4, DIGEST_EXCHANGE, exchange.sequence());
+            generator.writeBoolean(exchange.replyRequested());
+            generator.writeStartArray(null, exchange.bucketDigests().length);
+            for (long bucket : exchange.bucketDigests()) {
                 generator.writeNumber(bucket);
             }
             generator.writeEndArray();
-        } else if (message instanceof Message.Payload c) {
+        } else if (message instanceof Message.Payload payload) {
             writeMessageHead(generator, 3, PAYLOAD, 0);
-            generator.writeBinary(c.bytes());
+            generator.writeBinary(payload.bytes());
         } else {
             writeMessageHead(generator, 2, GOSSIP, 0);
         }
@@ -155,7 +161,7 @@
         generator.writeNumber(sequence);
     }
 
-    /** Reads a datagram whose tag is right; what it says is checked against its bounds. */
+    /** Verifies the tag of a datagram, decodes it and validates its fields. */
     public Datagram decode(byte[] bytes) throws InvalidDatagramException {
         if (bytes.length <= TAG_BYTES || bytes.length > DatagramSizes.MAX_DATAGRAM_BYTES) {
             throw new InvalidDatagramException("length");
@@ -299,7 +305,7 @@
         return text;
     }
 
-    /** Skips what newer formats add to the array that is being read. */
+    /** Skips the elements that newer formats add to the current array. */
     private static void skipRest(JsonParser parser) throws IOException, InvalidDatagramException {
         for (JsonToken token = parser.nextToken(); token != JsonToken.END_ARRAY; token = parser.nextToken()) {
             if (token == null) {
--- a/doorman/src/main/java/barleyspur/fleet/net/FleetMetrics.java
+++ b/doorman/src/main/java/barleyspur/fleet/net/FleetMetrics.java
@@ -9,7 +9,7 @@
 import io.micrometer.prometheusmetrics.PrometheusConfig;
 import io.micrometer.prometheusmetrics.PrometheusMeterRegistry;
 
-/** The fleet view's figures, by Micrometer, in the text form that Prometheus reads. */
+/** Metrics of the fleet view in Micrometer, exported in the Prometheus text format. */
 final class FleetMetrics {
 
     private final PrometheusMeterRegistry registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
--- a/doorman/src/main/java/barleyspur/fleet/net/FleetService.java
+++ b/doorman/src/main/java/barleyspur/fleet/net/FleetService.java
@@ -37,15 +37,15 @@
 import org.slf4j.spi.LoggingEventBuilder;
 
 /**
- * One doorman's place in its fleet: a datagram channel on the event loop that owns all state, and the timer that the
- * membership asks for. The address may still be in use at a start beside an older process (an upgrade): then it is
- * tried again until it is free, and the doorman serves meanwhile.
+ * Runs the {@link Membership} of a doorman: a datagram channel and a timer on the event loop that owns all its state.
+ * If the address is still in use at the start, as during an upgrade next to an older process, binding is retried until
+ * the address is free, and the doorman serves meanwhile.
  */
 public final class FleetService implements Subsystem {
 
     private static final Logger LOG = LoggerFactory.getLogger("fleet");
     private static final double BIND_RETRY_MS = 500;
-    /** How long a leaving member goes on saying so: three rounds. */
+    /** How long a leaving member keeps announcing that it leaves: three gossip rounds. */
     private static final double LEAVE_ANNOUNCE_MS = 300;
 
     private static final int RECEIVE_BUFFER = 1 << 20;
@@ -60,12 +60,12 @@
     private final CappedLog cappedLog;
     private final FleetMetrics metrics = new FleetMetrics();
     private final Map<String, InetSocketAddress> socketAddresses = new HashMap<>();
-    /** What rides along; null: nothing. */
+    /** Receives the payloads of other members; null if there is none. */
     private PayloadListener payloadListener;
 
     private long notifiedVersion = -1;
     private long viewVersion;
-    /** What was last told of itself, besides its phase. */
+    /** The counters in the metadata published last. */
     private MemberCounters publishedCounters = new MemberCounters(0, 0);
 
     private Channel channel;
@@ -74,11 +74,14 @@
     private boolean closed;
 
     /**
-     * @param name    of this member
-     * @param zone    the name of its zone
-     * @param programVersion the program's version
-     * @param settingsDigest  of the platform's settings that it runs by
-     * @param wallClockMs  the wall clock's time, by which this life is numbered
+     * Creates the membership of a doorman; {@link #start} binds its socket.
+     *
+     * @param name           the name of this member
+     * @param zone           the name of its zone
+     * @param programVersion the version of the program
+     * @param settingsDigest the digest of the platform's settings that it runs with
+     * @param wallClockMs    the wall clock time, which becomes the generation of this process
+     * @param randomSeed     the seed of the random number generator
      */
     public FleetService(
             EventLoopGroup group,
@@ -115,39 +118,39 @@
         metrics.registerGauges(membership, clock);
     }
 
-    /** The counters as they ride along; nothing where an older format is spoken. */
+    /** Returns the encoded counters; null if the configured format has no extensions. */
     private byte[] encodedExtensions() {
         return settings.format() >= MemberCounters.MIN_FORMAT ? publishedCounters.encode() : null;
     }
 
-    /** Carries another part's words from now on; called before the start. */
+    /** Sets the component whose payloads are exchanged over this fleet; must be called before {@link #start}. */
     public void setPayloadListener(PayloadListener listener) {
         payloadListener = listener;
     }
 
-    /** Sends a passenger's words to the member at an address. */
+    /** Sends a payload to the member at an address; dropped while the socket is not bound. */
     public void sendPayload(String address, byte[] payload) {
         if (channel != null && !closed) {
             membership.sendPayload(clock.nowMs(), address, payload);
         }
     }
 
-    /** How many bytes such words may have. */
+    /** The maximum size of a payload in bytes. */
     public int maxPayloadBytes() {
         return membership.maxPayloadBytes();
     }
 
-    /** Where this member is, as others know it. */
+    /** The address at which this member is advertised to others. */
     public String address() {
         return settings.advertise();
     }
 
-    /** The number that this process's life has, and no other. */
+    /** The random number that identifies this process among those with its name. */
     public long nonce() {
         return membership.self().nonce();
     }
 
-    /** Where a passenger's figures are to stand, beside the view's own. */
+    /** The registry that is exported with the metrics of the view, for meters of other components. */
     public MeterRegistry meterRegistry() {
         return metrics.registry();
     }
@@ -178,7 +181,7 @@
 
                     @Override
                     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-                        // A port that nobody has answers by ICMP: that member's silence tells as much.
+                        // ICMP port unreachable: the failure detector notices the missing member anyway.
                         cappedLog.warn("datagram channel", "cause", cause);
                     }
                 })
@@ -263,7 +266,7 @@
         int[] counts = membership.counters();
         MemberCounters counters = new MemberCounters(counts[0], counts[1]);
         MemberMetadata metadata = membership.self().metadata();
-        // Compared before it is encoded: this is looked at with each tick and seldom new.
+        // Compared before encoding, since this runs on every tick and there is rarely a change.
         if (!counters.equals(publishedCounters) || !lifecycle.phase().word().equals(metadata.phase())) {
             publishedCounters = counters;
             if (payloadListener != null
@@ -299,27 +302,27 @@
 
     private void execute(Action action) {
         if (action instanceof Action.Send send) {
-            InetSocketAddress target = address(send.address());
+            InetSocketAddress target = socketAddress(send.address());
             if (target == null || channel == null) {
                 return;
             }
             byte[] bytes = codec.encode(send.datagram());
             metrics.countSent(bytes.length);
             channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(bytes), target), channel.voidPromise());
-        } else if (action instanceof Action.Deliver d) {
+        } else if (action instanceof Action.Deliver deliver) {
             if (payloadListener != null) {
-                payloadListener.onPayload(d.sender(), d.payload());
+                payloadListener.onPayload(deliver.sender(), deliver.payload());
             }
-        } else if (action instanceof Action.Notify tell) {
-            viewVersion = tell.change().version();
-            log(tell.change());
+        } else if (action instanceof Action.Notify notification) {
+            viewVersion = notification.change().version();
+            log(notification.change());
         } else if (action instanceof Action.Warn warn) {
             cappedLog.warn(warn.event(), "member", warn.member(), "detail", warn.detail());
         }
     }
 
-    /** The socket address of a member's; null where it tells none that can be one. */
-    private InetSocketAddress address(String text) {
+    /** Returns the socket address for a published address, or null if that is not valid. */
+    private InetSocketAddress socketAddress(String text) {
         InetSocketAddress known = socketAddresses.get(text);
         if (known == null) {
             known = FleetSettings.address(text);
@@ -333,70 +336,71 @@
     private void log(Change change) {
         metrics.countChange(change);
         double mono = System.nanoTime() / NANOS_PER_MS;
-        if (change instanceof Change.Joined c) {
-            log(LOG.atInfo(), "member joined", mono, c);
-        } else if (change instanceof Change.Lost c) {
+        if (change instanceof Change.Joined joined) {
+            log(LOG.atInfo(), "member joined", mono, joined);
+        } else if (change instanceof Change.Lost lost) {
             log(
                     LOG.atInfo(),
                     "member lost",
                     mono,
-                    c,
+                    lost,
                     "standing",
-                    c.member().state(),
+                    lost.member().state(),
                     "by",
-                    c.member().accuser());
-        } else if (change instanceof Change.Updated c) {
+                    lost.member().accuser());
+        } else if (change instanceof Change.Updated updated) {
             log(
                     LOG.atDebug(),
                     "member updated",
                     mono,
-                    c,
+                    updated,
                     "standing",
-                    c.member().state(),
+                    updated.member().state(),
                     "phase",
-                    c.member().metadata().phase(),
+                    updated.member().metadata().phase(),
                     "by",
-                    c.member().accuser());
-        } else if (change instanceof Change.Doubt c) {
+                    updated.member().accuser());
+        } else if (change instanceof Change.Doubt doubt) {
             LogEvent.log(
                     LOG.atInfo(),
-                    c.inDoubt() ? "view in doubt" : "view settled",
+                    doubt.inDoubt() ? "view in doubt" : "view settled",
                     "mono",
                     mono,
                     "version",
-                    c.version(),
+                    doubt.version(),
                     "members",
                     membership.memberCount());
-        } else if (change instanceof Change.Name c) {
+        } else if (change instanceof Change.Name name) {
             LogEvent.log(
                     LOG.atInfo(),
-                    c.givenUp() ? "name given up" : "name taken back",
+                    name.givenUp() ? "name given up" : "name taken back",
                     "mono",
                     mono,
                     "version",
-                    c.version(),
+                    name.version(),
                     "life",
-                    c.otherProcess().generation());
+                    name.otherProcess().generation());
         }
     }
 
-    private static void log(LoggingEventBuilder at, String event, double mono, Change.OfMember c, Object... more) {
-        MembershipRecord m = c.member();
-        List<Object> keys = new ArrayList<>(List.of(
+    private static void log(
+            LoggingEventBuilder builder, String event, double mono, Change.OfMember change, Object... extraKeys) {
+        MembershipRecord record = change.member();
+        List<Object> keysAndValues = new ArrayList<>(List.of(
                 "mono",
                 mono,
                 "version",
-                c.version(),
+                change.version(),
                 "member",
-                m.name(),
+                record.name(),
                 "life",
-                m.generation(),
+                record.generation(),
                 "nonce",
-                m.nonce(),
+                record.nonce(),
                 "incarnation",
-                m.incarnation()));
-        keys.addAll(List.of(more));
-        keys.addAll(List.of("why", c.reason(), "from", c.source()));
-        LogEvent.log(at, event, keys.toArray());
+                record.incarnation()));
+        keysAndValues.addAll(List.of(extraKeys));
+        keysAndValues.addAll(List.of("why", change.reason(), "from", change.source()));
+        LogEvent.log(builder, event, keysAndValues.toArray());
     }
 }
--- a/doorman/src/main/java/barleyspur/fleet/net/MemberCounters.java
+++ b/doorman/src/main/java/barleyspur/fleet/net/MemberCounters.java
@@ -8,20 +8,20 @@
 import java.io.IOException;
 
 /**
- * What format 2 adds to what a member tells of itself: CBOR, an array of whole numbers, of which later formats may
- * append more.
+ * The counters that format 2 adds to the metadata of a member, encoded as a CBOR array of integers to which later
+ * formats may append more.
  *
- * @param pauses how often its process stood still for over two periods
- * @param generationRaises how often it had to put its life above an earlier one's
+ * @param pauses           how often its process was paused for more than two periods
+ * @param generationRaises how often it raised its generation above that of another process with its name
  */
 public record MemberCounters(long pauses, long generationRaises) {
 
-    /** The format of datagrams that brought it. */
+    /** The datagram format that introduced the counters. */
     static final int MIN_FORMAT = 2;
 
     private static final CBORFactory FACTORY = new CBORFactory();
 
-    /** As it rides in {@link barleyspur.fleet.MemberMetadata#extensions}. */
+    /** Encodes the counters for {@link barleyspur.fleet.MemberMetadata#extensions}. */
     byte[] encode() {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         try (CBORGenerator generator = FACTORY.createGenerator(out)) {
@@ -30,12 +30,12 @@
             generator.writeNumber(generationRaises);
             generator.writeEndArray();
         } catch (IOException e) {
-            throw new IllegalStateException("writing to memory can't fail", e);
+            throw new IllegalStateException("unexpected I/O error when writing to memory", e);
         }
         return out.toByteArray();
     }
 
-    /** What a member told, or null where it told nothing of the kind. */
+    /** Decodes the counters of a member; null if it published none or they are malformed. */
     static MemberCounters decode(byte[] encoded) {
         if (encoded.length == 0) {
             return null;
@@ -48,7 +48,7 @@
                         : null;
             }
         } catch (IOException e) {
-            // Told by a member that is not well; its other words are good.
+            // Malformed extensions don't invalidate the rest of the metadata.
         }
         return null;
     }
--- a/doorman/src/main/java/barleyspur/fleet/net/PayloadListener.java
+++ b/doorman/src/main/java/barleyspur/fleet/net/PayloadListener.java
@@ -3,21 +3,23 @@
 import barleyspur.fleet.MembershipRecord;
 import java.util.Set;
 
-/** Another part of the program whose small messages ride on a fleet's datagrams. All calls come on the event loop. */
+/**
+ * A component that exchanges small payloads with its peers over the fleet's datagrams. Called on the event loop only.
+ */
 public interface PayloadListener {
 
-    /** This process has its address: from now on others reach it, and it them. */
+    /** The datagram socket is bound: payloads can be sent and received from now on. */
     void onStart();
 
-    /** What a member sent. */
+    /** Handles a payload that a member sent. */
     void onPayload(MembershipRecord sender, byte[] payload);
 
-    /** Where the others of the view are, after each change: a hint, no more. */
+    /** Called after changes of the view with the addresses of the other members; only a hint. */
     void onPeersChanged(Set<String> addresses);
 
-    /** This member is to leave soon, and serves until then. */
+    /** This member will leave soon, and keeps serving until then. */
     void onLeavePending();
 
-    /** This member leaves now. */
+    /** This member leaves the fleet now. */
     void onLeave();
 }
--- a/doorman/src/main/java/barleyspur/fleet/net/package-info.java
+++ b/doorman/src/main/java/barleyspur/fleet/net/package-info.java
@@ -1,2 +1,2 @@
-/** The fleet view on real sockets: datagrams, their encoding and tag, the second address's calls, metrics and log. */
+/** Fleet membership over UDP: encoding and authentication of datagrams, admin endpoints, metrics and logging. */
 package barleyspur.fleet.net;
--- a/doorman/src/main/java/barleyspur/fleet/package-info.java
+++ b/doorman/src/main/java/barleyspur/fleet/package-info.java
@@ -1,8 +1,9 @@
 /**
- * Who else is there: a doorman's view of the others, which settles again by itself after joins, crashes and
- * partitions. Decisions only, free of I/O, clock and random source: {@link barleyspur.fleet.Membership} is told what
- * came and what the time is, and gives what is to be sent. Failure detection and dissemination follow SWIM (Das, Gupta,
- * Motivala 2002) with Lifeguard's local health, suspicion and buddy messages (Dadgar, Phillips, Currey 2018); views
- * are made equal by digests of buckets. {@code docs/design/fleet-view.md} weighs the ways and states what is promised.
+ * Fleet membership: a doorman's view of the other doormans, which converges again without an operator after joins,
+ * crashes and partitions. The package has no I/O, clock or random source of its own:
+ * {@link barleyspur.fleet.Membership} takes received datagrams and the time, and returns actions such as datagrams to
+ * send. Failure detection and dissemination follow SWIM (Das, Gupta, Motivala 2002) with the local health, suspicion
+ * and buddy messages of Lifeguard (Dadgar, Phillips, Currey 2018); anti-entropy compares digests of buckets of members.
+ * {@code docs/design/fleet-view.md} compares alternatives and states the guarantees.
  */
 package barleyspur.fleet;
--- a/doorman/src/test/java/barleyspur/fleet/net/CodecPropertiesTest.java
+++ b/doorman/src/test/java/barleyspur/fleet/net/CodecPropertiesTest.java
@@ -18,113 +18,116 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** Datagrams: what is written is read; what is cut, changed, foreign or forged is refused and nothing else happens. */
+/** Property tests of the datagram codec, and of the merge of membership records. */
 class CodecPropertiesTest {
 
     private static final byte[] KEY = "0123456789abcdef0123456789abcdef".getBytes(StandardCharsets.UTF_8);
 
-    private static MembershipRecord saying(SplittableRandom r) {
-        MemberState standing = MemberState.values()[r.nextInt(4)];
+    private static MembershipRecord randomRecord(SplittableRandom random) {
+        MemberState state = MemberState.values()[random.nextInt(4)];
         return new MembershipRecord(
-                "d" + r.nextInt(1_000),
-                r.nextLong(MembershipRecord.MAX_COUNTER),
-                r.nextLong() >>> 12,
-                r.nextLong(MembershipRecord.MAX_COUNTER),
-                standing,
-                standing == MemberState.ALIVE ? "" : "d" + r.nextInt(9),
+                "d" + random.nextInt(1_000),
+                random.nextLong(MembershipRecord.MAX_COUNTER),
+                random.nextLong() >>> 12,
+                random.nextLong(MembershipRecord.MAX_COUNTER),
+                state,
+                state == MemberState.ALIVE ? "" : "d" + random.nextInt(9),
                 new MemberMetadata(
-                        "127.0.0." + r.nextInt(255) + ":7301",
-                        r.nextBoolean() ? "" : "zone é" + r.nextInt(9),
+                        "127.0.0." + random.nextInt(255) + ":7301",
+                        random.nextBoolean() ? "" : "zone é" + random.nextInt(9),
                         "serving",
                         "0.1.0",
-                        r.nextLong(),
-                        1 + r.nextInt(2),
-                        r.nextBoolean() ? null : new byte[r.nextInt(1, 60)]));
+                        random.nextLong(),
+                        1 + random.nextInt(2),
+                        random.nextBoolean() ? null : new byte[random.nextInt(1, 60)]));
     }
 
-    private static Datagram datagram(long seed) {
-        SplittableRandom r = new SplittableRandom(seed);
-        long number = r.nextLong();
+    private static Datagram randomDatagram(long seed) {
+        SplittableRandom random = new SplittableRandom(seed);
+        long number = random.nextLong();
         Message message =
-                switch (r.nextInt(6)) {
-                    case 0 -> new Message.Ping(number, r.nextBoolean() ? "" : "d1");
+                switch (random.nextInt(6)) {
+                    case 0 -> new Message.Ping(number, random.nextBoolean() ? "" : "d1");
                     case 1 -> new Message.Ack(number, "d2");
                     case 2 -> new Message.PingRequest(number, "d3", "127.0.0.1:7301");
                     case 3 -> new Message.Nack(number);
-                    case 4 -> new Message.DigestExchange(number, r.longs(64).toArray(), r.nextBoolean());
+                    case 4 ->
+                        new Message.DigestExchange(number, random.longs(64).toArray(), random.nextBoolean());
                     default -> new Message.Gossip();
                 };
-        MembershipRecord sender = saying(r);
-        List<MembershipRecord> news = new ArrayList<>();
-        Datagram d = new Datagram(sender, r.nextLong(), message, List.of());
-        for (MembershipRecord s = saying(r);
-                DatagramSizes.maxBytes(d) + DatagramSizes.maxBytes(s) <= DatagramSizes.MAX_DATAGRAM_BYTES;
-                s = saying(r)) {
-            news.add(s);
-            d = new Datagram(sender, d.digest(), message, List.copyOf(news));
+        MembershipRecord sender = randomRecord(random);
+        List<MembershipRecord> gossip = new ArrayList<>();
+        Datagram datagram = new Datagram(sender, random.nextLong(), message, List.of());
+        for (MembershipRecord record = randomRecord(random);
+                DatagramSizes.maxBytes(datagram) + DatagramSizes.maxBytes(record) <= DatagramSizes.MAX_DATAGRAM_BYTES;
+                record = randomRecord(random)) {
+            gossip.add(record);
+            datagram = new Datagram(sender, datagram.digest(), message, List.copyOf(gossip));
         }
-        return d;
+        return datagram;
     }
 
-    /** Guards: datagrams fit in 1,200 bytes by the bound that packs them, and are read as they were written. */
+    /** A datagram packed by the size bounds fits in 1,200 bytes, and is decoded as it was encoded. */
     @Property(tries = 500, seed = "51")
-    void whatIsWrittenIsRead(@ForAll long seed) throws DatagramCodec.InvalidDatagramException {
-        Datagram d = datagram(seed);
-        byte[] bytes = new DatagramCodec("lab", KEY).encode(d);
+    void encodedDatagramsAreDecodedUnchanged(@ForAll long seed) throws DatagramCodec.InvalidDatagramException {
+        Datagram datagram = randomDatagram(seed);
+        byte[] bytes = new DatagramCodec("lab", KEY).encode(datagram);
         assertTrue(
-                bytes.length <= DatagramSizes.maxBytes(d) && bytes.length <= DatagramSizes.MAX_DATAGRAM_BYTES,
-                bytes.length + " of " + DatagramSizes.maxBytes(d));
+                bytes.length <= DatagramSizes.maxBytes(datagram) && bytes.length <= DatagramSizes.MAX_DATAGRAM_BYTES,
+                bytes.length + " of " + DatagramSizes.maxBytes(datagram));
         Datagram read = new DatagramCodec("lab", KEY).decode(bytes);
-        assertEquals(d.sender(), read.sender());
-        assertEquals(d.gossip(), read.gossip());
-        if (d.message() instanceof Message.DigestExchange c) {
-            assertTrue(Arrays.equals(c.bucketDigests(), ((Message.DigestExchange) read.message()).bucketDigests()));
+        assertEquals(datagram.sender(), read.sender());
+        assertEquals(datagram.gossip(), read.gossip());
+        if (datagram.message() instanceof Message.DigestExchange exchange) {
+            assertTrue(
+                    Arrays.equals(exchange.bucketDigests(), ((Message.DigestExchange) read.message()).bucketDigests()));
         } else {
-            assertEquals(d.message(), read.message());
+            assertEquals(datagram.message(), read.message());
         }
     }
 
-    /** Guards: a cut or changed datagram, another fleet's and another key's are refused by their cause. */
+    /** Truncated and changed datagrams, and those of another fleet or key, are rejected with the right cause. */
     @Property(tries = 500, seed = "52")
-    void whatIsNotWholeOrForeignIsRefused(@ForAll long seed) {
-        SplittableRandom r = new SplittableRandom(seed);
-        byte[] bytes = new DatagramCodec("lab", KEY).encode(datagram(seed));
+    void invalidDatagramsAreRejected(@ForAll long seed) {
+        SplittableRandom random = new SplittableRandom(seed);
+        byte[] bytes = new DatagramCodec("lab", KEY).encode(randomDatagram(seed));
         DatagramCodec codec = new DatagramCodec("lab", KEY);
         byte[] changed = bytes.clone();
-        changed[r.nextInt(changed.length)] ^= (byte) r.nextInt(1, 256);
-        assertEquals("tag", refused(codec, changed));
-        assertTrue(List.of("tag", "length").contains(refused(codec, Arrays.copyOf(bytes, r.nextInt(bytes.length)))));
-        byte[] other = KEY.clone();
-        other[r.nextInt(other.length)]++;
-        assertEquals("tag", refused(new DatagramCodec("lab", other), bytes));
-        assertEquals("fleet", refused(new DatagramCodec("other", KEY), bytes));
+        changed[random.nextInt(changed.length)] ^= (byte) random.nextInt(1, 256);
+        assertEquals("tag", rejectionCause(codec, changed));
+        assertTrue(List.of("tag", "length")
+                .contains(rejectionCause(codec, Arrays.copyOf(bytes, random.nextInt(bytes.length)))));
+        byte[] otherKey = KEY.clone();
+        otherKey[random.nextInt(otherKey.length)]++;
+        assertEquals("tag", rejectionCause(new DatagramCodec("lab", otherKey), bytes));
+        assertEquals("fleet", rejectionCause(new DatagramCodec("other", KEY), bytes));
     }
 
-    private static String refused(DatagramCodec codec, byte[] bytes) {
+    private static String rejectionCause(DatagramCodec codec, byte[] bytes) {
         return assertThrows(DatagramCodec.InvalidDatagramException.class, () -> codec.decode(bytes))
                 .getMessage();
     }
 
-    /** Guards: merging is associative, commutative and idempotent, whatever is merged. */
+    /** Merging records is associative, commutative and idempotent. */
     @Property(tries = 500, seed = "53")
-    void mergingIsAJoin(@ForAll long seed) {
-        SplittableRandom r = new SplittableRandom(seed);
-        MemberMetadata about = saying(r).metadata();
-        MembershipRecord[] s = new MembershipRecord[3];
+    void mergeIsAssociativeCommutativeAndIdempotent(@ForAll long seed) {
+        SplittableRandom random = new SplittableRandom(seed);
+        MemberMetadata metadata = randomRecord(random).metadata();
+        MembershipRecord[] records = new MembershipRecord[3];
         for (int i = 0; i < 3; i++) {
-            s[i] = new MembershipRecord(
+            records[i] = new MembershipRecord(
                     "d1",
-                    r.nextInt(2),
-                    r.nextInt(2),
-                    r.nextInt(2),
-                    MemberState.values()[r.nextInt(4)],
-                    "d" + r.nextInt(3),
-                    about);
+                    random.nextInt(2),
+                    random.nextInt(2),
+                    random.nextInt(2),
+                    MemberState.values()[random.nextInt(4)],
+                    "d" + random.nextInt(3),
+                    metadata);
         }
-        assertEquals(MembershipRecord.merge(s[0], s[1]), MembershipRecord.merge(s[1], s[0]));
+        assertEquals(MembershipRecord.merge(records[0], records[1]), MembershipRecord.merge(records[1], records[0]));
         assertEquals(
-                MembershipRecord.merge(MembershipRecord.merge(s[0], s[1]), s[2]),
-                MembershipRecord.merge(s[0], MembershipRecord.merge(s[1], s[2])));
-        assertEquals(s[0], MembershipRecord.merge(s[0], s[0]));
+                MembershipRecord.merge(MembershipRecord.merge(records[0], records[1]), records[2]),
+                MembershipRecord.merge(records[0], MembershipRecord.merge(records[1], records[2])));
+        assertEquals(records[0], MembershipRecord.merge(records[0], records[0]));
     }
 }
--- a/lab/src/test/java/barleyspur/lab/fleet/EmbeddedClocksTest.java
+++ b/lab/src/test/java/barleyspur/lab/fleet/EmbeddedClocksTest.java
@@ -30,35 +30,35 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Whole doormans embedded in one process, whose clocks run apart by the most that is allowed. */
+/** Tests doormans that are embedded in one process and whose clocks drift apart by the maximum that is allowed. */
 class EmbeddedClocksTest {
 
-    private static final int WHOLE = 4;
+    private static final int CAPACITY = 4;
     private static final double[] RATES = {1, 1.01, 0.99};
 
     @TempDir
     Path folder;
 
-    /** A clock of an event loop that runs fast or slow, timers included. */
-    private record Skewed(LoopClock clock, double startMs, double rate) implements Clock {
-        Skewed(EventLoop loop, SocketPolls polls, double rate) {
+    /** The clock of an event loop that runs fast or slow by a rate, timers included. */
+    private record SkewedClock(LoopClock loopClock, double startMs, double rate) implements Clock {
+        SkewedClock(EventLoop loop, SocketPolls polls, double rate) {
             this(new LoopClock(loop, polls), System.currentTimeMillis(), rate);
         }
 
         @Override
         public double nowMs() {
-            return startMs + (clock.nowMs() - startMs) * rate;
+            return startMs + (loopClock.nowMs() - startMs) * rate;
         }
 
         @Override
         public Timer after(double delayMs, Runnable task) {
-            return clock.after(delayMs / rate, task);
+            return loopClock.after(delayMs / rate, task);
         }
     }
 
-    /** Guards: shares that are counted on clocks that drift apart, and what a box has at once, never go over the whole. */
+    /** With holders of shares on drifting clocks, a box never has more concurrent calls than the budget allows. */
     @Test
-    void clocksThatRunApartDontMakeTheWholeLarger() throws Exception {
+    void clockDriftDoesNotExceedTheBudget() throws Exception {
         String network = "127." + (20 + ProcessHandle.current().pid() % 200) + ".210.";
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         List<Node> nodes = new ArrayList<>();
@@ -81,7 +81,7 @@
                 nodes.add(new Node(
                         configuration(network, i, channel, listed),
                         settings(network, i),
-                        (loop, polls) -> new Skewed(loop, polls, rate)));
+                        (loop, polls) -> new SkewedClock(loop, polls, rate)));
                 nodes.get(i).start();
             }
             StandClients clients =
@@ -93,8 +93,8 @@
             first.awaitEnd();
             TimeUnit.SECONDS.sleep(6);
             Tally tally = boxes.tally(new InetSocketAddress(network + "50", 7001));
-            assertTrue(tally.arrived() > 0, "the box saw nothing");
-            assertTrue(tally.mostAtOnce() <= WHOLE, tally.mostAtOnce() + " at once of " + WHOLE);
+            assertTrue(tally.arrived() > 0, "the box received no calls");
+            assertTrue(tally.mostAtOnce() <= CAPACITY, tally.mostAtOnce() + " concurrent calls, limit " + CAPACITY);
         } finally {
             nodes.forEach(Node::drain);
             for (Node node : nodes) {
@@ -104,32 +104,33 @@
         }
     }
 
-    private Configuration configuration(String network, int i, InetSocketAddress channel, NodeList listed)
+    private Configuration configuration(String network, int index, InetSocketAddress channel, NodeList listed)
             throws Exception {
         JSONObject json = new JSONObject(new JSONTokener(Node.class.getResourceAsStream("/barleyspur/rehearsal.json")))
-                .put("name", "e" + i)
-                .put("listen", network + (i + 1) + ":7001")
+                .put("name", "e" + index)
+                .put("listen", network + (index + 1) + ":7001")
                 .put("channel", channel.getHostString() + ":7001")
                 .put("known", listed.known());
-        Path file = Files.writeString(folder.resolve("c" + i + ".json"), json.toString(1));
+        Path file = Files.writeString(folder.resolve("c" + index + ".json"), json.toString(1));
         return Configuration.load(Map.of("RELAY_CONFIG", file.toString(), "TMPDIR", folder.toString()));
     }
 
-    private OwnSettings settings(String network, int i) throws Exception {
+    private OwnSettings settings(String network, int index) throws Exception {
         StringBuilder addresses = new StringBuilder();
         StringBuilder others = new StringBuilder();
         for (int k = 0; k < RATES.length; k++) {
             String address = "\"" + network + (k + 1) + ":7101\"";
             addresses.append(k > 0 ? ", " : "").append(address);
-            others.append(k == i ? "" : (others.isEmpty() ? "" : ", ") + address);
+            others.append(k == index ? "" : (others.isEmpty() ? "" : ", ") + address);
         }
         return OwnSettings.load(Files.writeString(
-                folder.resolve("s" + i + ".hcl"),
+                folder.resolve("s" + index + ".hcl"),
                 "fleet \"skewed\" {\n  listen = \"" + network
-                        + (i + 1) + ":7101\"\n  seeds = [" + others
+                        + (index + 1) + ":7101\"\n  seeds = [" + others
                         + "]\n  key_file = \"fleet.key\"\n}\nbudgets {\n  voters = [" + addresses
-                        + "]\n  term = \"1s\"\n  hold = \"500ms\"\n}\nbudget \"calls\" {\n  kind = \"places\"\n  whole = "
-                        + WHOLE
+                        + "]\n  term = \"1s\"\n  hold = \"500ms\"\n}\nbudget \"calls\" {\n  kind = \"places\"\n  "
+                        + "whole = "
+                        + CAPACITY
                         + "\n  lease = \"2s\"\n  at = \"cache\"\n}\n"));
     }
 }
--- a/lab/src/test/java/barleyspur/lab/fleet/FleetProcessesTest.java
+++ b/lab/src/test/java/barleyspur/lab/fleet/FleetProcessesTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.parallel.ExecutionMode;
 
 /**
- * Several real processes of the built jar under faults between them. What must never be is checked on every change that
- * each process told; that views settle is waited for, for as long as half a minute a step, and no speed is judged.
+ * Runs fault scenarios on several real processes of the built jar. Invariants are checked on every change that a
+ * process reports. Each step waits up to half a minute for the views to converge; how long that takes is not asserted.
  */
 @Execution(ExecutionMode.CONCURRENT)
 class FleetProcessesTest {
@@ -25,7 +25,7 @@
     Path folder;
 
     private Watch play(String file) throws Exception {
-        assertTrue(Files.isReadable(JAR), "the doorman's jar is built first: mvn verify");
+        assertTrue(Files.isReadable(JAR), "the jar of the doorman is missing; run mvn verify first");
         Watch watch = new Watch(true);
         try (RealFleet fleet = new RealFleet(
                 ScenarioFile.load(Path.of("..", "examples", "fleet", file)), watch, JAR, folder, System.out::println)) {
@@ -35,65 +35,73 @@
         return watch;
     }
 
-    private static List<Watch.Told> verdicts(Watch watch) {
+    private static List<Watch.Told> lostChanges(Watch watch) {
         return watch.all().stream()
                 .filter(t -> t.kind().equals("Lost") && !t.why().equals("STOOD_STILL"))
                 .toList();
     }
 
     /**
-     * Guards: kill -9 of one, a third, all but one; a freeze shorter and one longer than the suspicion; halves, thirds of
-     * which two meet before all do: every component agrees on itself, and all agree after the heal.
+     * Kills of one member, a third and all but one; a freeze shorter and one longer than the suspicion; partitions into
+     * halves, and into thirds of which two are rejoined first. Views converge within each part, and overall after the
+     * heal.
      */
     @Test
-    void crashesFreezesAndPartitionsSettle() throws Exception {
+    void viewsConvergeAfterCrashesFreezesAndPartitions() throws Exception {
         play("faults.hcl");
     }
 
-    /** Guards: with one way between two cut, and doormans at a tenth and a fifth of a core, nobody is given up. */
+    /**
+     * Nobody is declared dead with one direction between two cut, or with doormans at a tenth and a fifth of a core.
+     */
     @Test
-    void nobodyIsGivenUpForOneWayOrForSlowness() throws Exception {
-        assertEquals(List.of(), verdicts(play("ways.hcl")));
+    void asymmetricPartitionAndSlowProcessesRemoveNobody() throws Exception {
+        assertEquals(List.of(), lostChanges(play("ways.hcl")));
     }
 
-    /** Guards: who is heard by none is out of all other views, and back after; a third lost and garbage break nothing. */
+    /**
+     * A member that nobody receives leaves all other views and returns later; a third of packets lost and garbage do no
+     * harm.
+     */
     @Test
-    void whoIsHeardByNoneIsGivenUp() throws Exception {
+    void unreachableMemberIsRemoved() throws Exception {
         Watch watch = play("noise.hcl");
-        long by = verdicts(watch).stream()
+        long reporters = lostChanges(watch).stream()
                 .filter(t -> t.member().equals("d4"))
                 .map(Watch.Told::slot)
                 .distinct()
                 .count();
-        assertEquals(8, by);
+        assertEquals(8, reporters);
     }
 
     /**
-     * Guards: a restart within the suspicion, one with the clock an hour back, one at another's former address, a
-     * second process under one name, leaving, older formats beside newer, quiesce: the newest life holds its name.
+     * The newest process holds its name after a restart within the suspicion, one with the clock an hour back, one at
+     * another member's former address, a second process of one name, a leave, mixed formats and a quiesce.
      */
     @Test
-    void newerLivesReplaceOlderOnes() throws Exception {
+    void newerProcessesReplaceOlderOnes() throws Exception {
         Watch watch = play("lives.hcl");
         assertTrue(watch.all().stream()
                 .anyMatch(t -> t.kind().equals("Lost") && t.standing().equals("LEFT")));
-        Set<String> phases =
+        Set<String> kinds =
                 Set.copyOf(watch.all().stream().map(Watch.Told::kind).toList());
-        assertTrue(phases.contains("Name"), "a second process of a name is noticed: " + phases);
+        assertTrue(kinds.contains("Name"), "a second process of the same name must be reported, kinds: " + kinds);
     }
 
-    /** Guards: all are replaced one by one, older formats beside newer, and each is seen to leave and not to die. */
+    /** In a rolling restart with mixed formats each member is reported as LEFT and never as DEAD. */
     @Test
-    void aRollingRestartOfMixedFormatsSettles() throws Exception {
+    void rollingRestartWithMixedFormatsConverges() throws Exception {
         Watch watch = play("rolling.hcl");
         assertEquals(
                 Set.of("LEFT"),
-                Set.copyOf(verdicts(watch).stream().map(Watch.Told::standing).toList()));
+                Set.copyOf(lostChanges(watch).stream().map(Watch.Told::standing).toList()));
     }
 
-    /** Guards: all that start at once with one dead seed find each other when it comes, and again after a power cut. */
+    /**
+     * Members started at once with their seed down find each other when it starts, and again after all are restarted.
+     */
     @Test
-    void aStartStormSettles() throws Exception {
+    void simultaneousStartConverges() throws Exception {
         play("storm.hcl");
     }
 }
--- a/lab/src/test/java/barleyspur/lab/fleet/MembershipMutationTest.java
+++ b/lab/src/test/java/barleyspur/lab/fleet/MembershipMutationTest.java
@@ -15,13 +15,13 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Wrong versions of the view's decisions, made by changing one piece of their source, each caught by a named check of
- * {@link VirtualFleetTest}. Guards the checks: one that can't fail would let its wrong version pass.
+ * Mutation tests of the membership protocol: each mutation changes one piece of its source, and must be caught by
+ * random fault schedules or by the named test of {@link VirtualFleetTest}. Guards against checks that can't fail.
  */
 class MembershipMutationTest {
 
     private static final Path SOURCES = Path.of("..", "doorman", "src", "main", "java", "barleyspur", "fleet");
-    private static final String RANDOM = "random";
+    private static final String RANDOM_SCHEDULES = "random";
 
     @TempDir
     Path folder;
@@ -33,128 +33,129 @@
                         "Membership.java",
                         "updateSelf(context.self.withIncarnationAbove(record.incarnation(), context.self.metadata()));",
                         "updateSelf(context.self);",
-                        "aLiarGivesNobodyUp"),
+                        "falseAccusationsRemoveNobody"),
                 Arguments.of(
-                        "an old life is accepted",
+                        "records of an older generation are accepted",
                         "MembershipRecord.java",
                         "Comparator.comparingLong(MembershipRecord::generation)\n"
                                 + "            .thenComparingLong(MembershipRecord::nonce)",
                         "Comparator.comparingLong(MembershipRecord::nonce)",
-                        RANDOM),
+                        RANDOM_SCHEDULES),
                 Arguments.of(
-                        "a verdict from elsewhere is believed at once",
+                        "a DEAD record from elsewhere is accepted at once",
                         "Membership.java",
                         "            failureDetector.probeSoon(entry);\n"
                                 + "            sendClaim(entry, record, entry.record.metadata().address());",
                         "            apply(entry, record, ChangeReason.PASSED_ON, source);",
-                        "aLiarGivesNobodyUp"),
+                        "falseAccusationsRemoveNobody"),
                 Arguments.of(
-                        "who leaves doesn't say so",
+                        "a leaving member does not announce it",
                         "Membership.java",
                         "context.self = context.self.withState(MemberState.LEFT, \"\");",
                         "context.self = context.self;",
-                        "leavingIsSeenAsSuch"),
+                        "leavingIsReportedAsLeft"),
                 Arguments.of(
-                        "a suspicion never ends",
+                        "a suspicion never expires",
                         "Membership.java",
                         "if (context.nowMs < entry.suspicion.endsMs) {",
                         "if (context.nowMs < entry.suspicion.endsMs + 1e9) {",
-                        RANDOM),
+                        RANDOM_SCHEDULES),
                 Arguments.of(
-                        "a standstill is not noticed by who asks",
+                        "a query does not detect a process pause",
                         "Membership.java",
                         "return inDoubt || nowMs - lastTimeMs > context.timings.pauseThresholdMs();",
                         "return inDoubt;",
-                        "afterAStandstillTheViewIsInDoubt"),
+                        "viewIsInDoubtAfterProcessPause"),
                 Arguments.of(
-                        "a standstill is not told",
+                        "a process pause is not reported",
                         "Membership.java",
                         "notifyChange(new Change.Doubt(++version, true));\n        for (",
                         "for (",
-                        "afterAStandstillTheViewIsInDoubt"),
+                        "viewIsInDoubtAfterProcessPause"),
                 Arguments.of(
-                        "the dead are never tried again",
+                        "dead members are never contacted again",
                         "AntiEntropy.java",
                         "if (!entry.listed && !candidates.contains(address)) {",
                         "if (entry.name.isEmpty()) {",
-                        "partsFindEachOtherWithoutSeeds"),
+                        "partitionsMergeWithoutSeeds"),
                 Arguments.of(
-                        "the digest leaves out incarnations and standings",
+                        "the digest ignores incarnations and states",
                         "MemberTable.java",
                         "return HASH.hashLong(hash\n"
                                 + "                ^ (record.incarnation() * MemberState.values().length\n"
                                 + "                        + record.state().ordinal()));",
                         "return hash;",
-                        "missedNewsAreMadeUpFor"),
+                        "antiEntropyRepairsMissedGossip"),
                 Arguments.of(
-                        "a clock that was stepped back is not overcome",
+                        "the generation is not raised after the clock was set back",
                         "Membership.java",
                         "if (sameAddress || !record.state().isMember()) {\n            raiseGenerationAbove(record);",
                         "if (sameAddress || !record.state().isMember()) {\n            unverifiedProcess = null;",
-                        RANDOM),
+                        RANDOM_SCHEDULES),
                 Arguments.of(
-                        "of two with one name each goes above the other",
+                        "two processes of one name outbid each other",
                         "Membership.java",
                         "        newerProcessHeardMs = context.nowMs;\n        unverifiedProcess = null;",
                         "        newerProcessHeardMs = context.nowMs;\n        raiseGenerationAbove(record);\n"
                                 + "        if (generationRaises > 0) {\n            return;\n        }",
-                        "ofTwoWithOneNameTheNewerHoldsIt"),
+                        "newerProcessKeepsSharedName"),
                 Arguments.of(
-                        "nobody is asked for others",
+                        "indirect probes are not sent",
                         "FailureDetector.java",
                         "if (helper.record.state() == MemberState.ALIVE) {",
                         "if (helper.name.isEmpty()) {",
-                        "oneWayCutGivesNobodyUp"),
+                        "asymmetricPartitionRemovesNobody"),
                 Arguments.of(
-                        "a version is left out",
+                        "a view version is skipped",
                         "Membership.java",
                         "notifyChange(new Change.Lost(++version, record, reason, source));",
                         "notifyChange(new Change.Lost(version += 2, record, reason, source));",
-                        RANDOM),
+                        RANDOM_SCHEDULES),
                 Arguments.of(
-                        "the older saying holds",
+                        "the older record wins",
                         "Membership.java",
                         "int order = record.compareTo(entry.record);",
                         "int order = entry.record.compareTo(record);",
-                        RANDOM),
+                        RANDOM_SCHEDULES),
                 Arguments.of(
-                        "who doesn't answer once is dead",
+                        "one failed probe makes a member DEAD",
                         "Membership.java",
                         "entry.record.withState(MemberState.SUSPECT, context.self.name()),\n"
                                 + "                    ChangeReason.NO_ANSWER",
                         "entry.record.withState(MemberState.DEAD, context.self.name()),\n"
                                 + "                    ChangeReason.NO_ANSWER",
-                        "lossAndSlownessGiveNobodyUp"),
+                        "packetLossAndSlowProcessesRemoveNobody"),
                 Arguments.of(
-                        "a change of one's own has no new incarnation",
+                        "new metadata has no new incarnation",
                         "Membership.java",
                         "updateSelf(context.self.withIncarnationAbove(0, metadata));",
                         "updateSelf(new MembershipRecord(context.self.name(), context.self.generation(), "
-                                + "context.self.nonce(), context.self.incarnation(), MemberState.ALIVE, \"\", metadata));",
-                        "quiesceIsSeen"));
+                                + "context.self.nonce(), context.self.incarnation(), "
+                                + "MemberState.ALIVE, \"\", metadata));",
+                        "quiesceReachesAllViews"));
     }
 
-    /** Guards: the way that wrong versions are made: the right one, compiled so, passes. */
+    /** The unchanged sources pass when compiled and loaded in the same way as a mutation. */
     @Test
-    void theRightVersionPasses() throws Exception {
-        check(loader("Membership.java", "++version", "++version"), "aLiarGivesNobodyUp");
-        check(loader("Membership.java", "++version", "++version"), RANDOM);
+    void unchangedVersionPasses() throws Exception {
+        check(loader("Membership.java", "++version", "++version"), "falseAccusationsRemoveNobody");
+        check(loader("Membership.java", "++version", "++version"), RANDOM_SCHEDULES);
     }
 
     @ParameterizedTest(name = "{0}")
     @MethodSource("versions")
-    void aWrongVersionIsCaught(String name, String file, String from, String to, String by) throws Exception {
+    void mutationIsCaught(String description, String file, String from, String to, String caughtBy) throws Exception {
         assertEquals(
                 2,
                 Files.readString(SOURCES.resolve(file)).split(java.util.regex.Pattern.quote(from), -1).length,
-                "stands once: " + from);
-        ClassLoader wrong = loader(file, from, to);
-        assertThrows(AssertionError.class, () -> check(wrong, by));
+                "must occur exactly once: " + from);
+        ClassLoader mutated = loader(file, from, to);
+        assertThrows(AssertionError.class, () -> check(mutated, caughtBy));
     }
 
-    /** Plays a check of {@link VirtualFleetTest} on the classes of {@code loader}. */
+    /** Runs random schedules or a test of {@link VirtualFleetTest} on the classes of {@code loader}. */
     private static void check(ClassLoader loader, String name) throws Exception {
-        if (name.equals(RANDOM)) {
+        if (name.equals(RANDOM_SCHEDULES)) {
             for (long seed = 1; seed <= 60; seed++) {
                 assertEquals(
                         List.of(),
--- a/lab/src/test/java/barleyspur/lab/fleet/SourceMutation.java
+++ b/lab/src/test/java/barleyspur/lab/fleet/SourceMutation.java
@@ -15,57 +15,67 @@
 import javax.tools.JavaCompiler;
 import javax.tools.ToolProvider;
 
-/** Makes wrong versions of decisions, so that checks are seen to fail. */
+/** Compiles mutated versions of a package of the doorman, to verify that checks fail on them. */
 final class SourceMutation {
 
     private SourceMutation() {}
 
-    /** Calls a check on the classes of {@code loader}; what it asserts in vain is thrown as it is. */
-    static Object invokeCheck(ClassLoader loader, String type, String method, Class<?>[] types, Object... arguments)
+    /** Calls a check on the classes of {@code loader}; an assertion error of the check is rethrown unchanged. */
+    static Object invokeCheck(
+            ClassLoader loader, String type, String method, Class<?>[] parameterTypes, Object... arguments)
             throws Exception {
-        Class<?> checks = Class.forName("barleyspur.lab.fleet." + type, true, loader);
-        Method check = checks.getDeclaredMethod(method, types);
+        Class<?> checkClass = Class.forName("barleyspur.lab.fleet." + type, true, loader);
+        Method check = checkClass.getDeclaredMethod(method, parameterTypes);
         check.setAccessible(true);
-        Object on = null;
+        Object instance = null;
         if (!Modifier.isStatic(check.getModifiers())) {
-            var constructor = checks.getDeclaredConstructor();
+            var constructor = checkClass.getDeclaredConstructor();
             constructor.setAccessible(true);
-            on = constructor.newInstance();
+            instance = constructor.newInstance();
         }
         try {
-            return check.invoke(on, arguments);
+            return check.invoke(instance, arguments);
         } catch (InvocationTargetException e) {
-            if (e.getCause() instanceof AssertionError broken) {
-                throw broken;
+            if (e.getCause() instanceof AssertionError failed) {
+                throw failed;
             }
             throw e;
         }
     }
 
-    /** One package's decisions with one change, and all of the lab that plays them, beside the real ones. */
-    static ClassLoader compile(Path folder, Path decisions, String changed, String file, String from, String to)
+    /**
+     * Compiles the sources of a package with one text replaced. The returned class loader loads that package from the
+     * mutated version and the lab's fleet package anew, so that the lab uses the mutated classes.
+     *
+     * @param sourceFolder the source directory of the package
+     * @param classPrefix  the prefix of the class names of the package
+     * @param file         the name of the source file to change
+     * @param from         the text to replace
+     * @param to           the replacement
+     */
+    static ClassLoader compile(Path folder, Path sourceFolder, String classPrefix, String file, String from, String to)
             throws IOException {
         Path classes = Files.createTempDirectory(folder, "classes");
         List<String> sources = new ArrayList<>();
-        try (Stream<Path> all = Files.list(decisions)) {
-            for (Path p : all.filter(p -> p.toString().endsWith(".java")).toList()) {
-                String text = Files.readString(p);
-                Path copy = classes.resolve(p.getFileName().toString());
-                Files.writeString(copy, p.endsWith(file) ? text.replace(from, to) : text);
+        try (Stream<Path> all = Files.list(sourceFolder)) {
+            for (Path source : all.filter(p -> p.toString().endsWith(".java")).toList()) {
+                String text = Files.readString(source);
+                Path copy = classes.resolve(source.getFileName().toString());
+                Files.writeString(copy, source.endsWith(file) ? text.replace(from, to) : text);
                 sources.add(copy.toString());
             }
         }
         JavaCompiler compiler = ToolProvider.getSystemJavaCompiler();
-        StringWriter said = new StringWriter();
+        StringWriter compilerOutput = new StringWriter();
         if (!compiler.getTask(
-                        said,
+                        compilerOutput,
                         null,
                         null,
                         List.of("-nowarn", "-d", classes.toString(), "-cp", System.getProperty("java.class.path")),
                         null,
                         compiler.getStandardFileManager(null, null, null).getJavaFileObjectsFromStrings(sources))
                 .call()) {
-            throw new IllegalArgumentException("the wrong version does not compile: " + said);
+            throw new IllegalArgumentException("the mutated version does not compile: " + compilerOutput);
         }
         List<URL> path = new ArrayList<>(List.of(classes.toUri().toURL()));
         for (String entry : System.getProperty("java.class.path").split(java.io.File.pathSeparator)) {
@@ -75,7 +85,7 @@
             @Override
             protected Class<?> loadClass(String name, boolean resolve) throws ClassNotFoundException {
                 synchronized (getClassLoadingLock(name)) {
-                    if (name.startsWith(changed) || name.startsWith("barleyspur.lab.fleet.")) {
+                    if (name.startsWith(classPrefix) || name.startsWith("barleyspur.lab.fleet.")) {
                         Class<?> loaded = findLoadedClass(name);
                         return loaded != null ? loaded : findClass(name);
                     }
--- a/lab/src/test/java/barleyspur/lab/fleet/VirtualFleetTest.java
+++ b/lab/src/test/java/barleyspur/lab/fleet/VirtualFleetTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The view's decisions in virtual time: whatever the schedule, the promises hold. Seeds are in the messages. */
+/** Tests of the membership protocol in virtual time. Assertion messages contain the seeds of random schedules. */
 class VirtualFleetTest {
 
     private static final double SETTLE_MS = 30_000;
@@ -24,28 +24,28 @@
         return new Schedule("test", doormans, started, List.of(0, 1), 500, steps, SETTLE_MS, 7);
     }
 
-    private static List<Watch.Told> verdicts(Watch watch) {
+    private static List<Watch.Told> lostChanges(Watch watch) {
         return watch.all().stream().filter(t -> t.kind().equals("Lost")).toList();
     }
 
-    /** Guards: no random schedule of faults breaks a promise; 10,000 are played by hand, some hundred here. */
+    /** No random fault schedule violates a guarantee. A few hundred schedules run here; 10,000 are run manually. */
     @ParameterizedTest
     @CsvSource({"3, 8, 100", "5, 8, 150", "14, 12, 40"})
-    void randomSchedulesBreakNothing(int doormans, int faults, int seeds) {
+    void randomFaultSchedulesKeepGuarantees(int doormans, int faults, int seeds) {
         for (long seed = 1; seed <= seeds; seed++) {
             assertEquals(List.of(), Shrinker.broken(doormans, faults, seed), "seed " + seed);
         }
     }
 
-    /** Guards: a schedule that is written reads as the same, so that a broken seed's file replays it. */
+    /** A schedule survives being written and read, so that the file of a failing seed reproduces the failure. */
     @Test
-    void aWrittenScheduleReplays() throws Exception {
-        Schedule s = Schedule.random(5, 10, 500, SETTLE_MS, 3);
-        Schedule again = ScenarioFile.read("x.hcl", ScenarioFile.write(s));
-        assertEquals(ScenarioFile.write(s), ScenarioFile.write(again));
-        assertEquals(s.steps().size(), again.steps().size());
-        // Also when it was drawn: other seeds draw others, but what is written out is played as it stands.
-        Schedule shrunk = s.with(s.steps().subList(0, 3));
+    void scheduleFileRoundTrips() throws Exception {
+        Schedule schedule = Schedule.random(5, 10, 500, SETTLE_MS, 3);
+        Schedule again = ScenarioFile.read("x.hcl", ScenarioFile.write(schedule));
+        assertEquals(ScenarioFile.write(schedule), ScenarioFile.write(again));
+        assertEquals(schedule.steps().size(), again.steps().size());
+        // Another seed generates other steps, except for a schedule whose steps are written in the file.
+        Schedule shrunk = schedule.with(schedule.steps().subList(0, 3));
         assertEquals(
                 3,
                 ScenarioFile.read("x.hcl", ScenarioFile.write(shrunk))
@@ -53,12 +53,15 @@
                         .steps()
                         .size());
         assertEquals(
-                Schedule.random(5, 10, 500, SETTLE_MS, 9).steps(), s.with(9).steps());
+                Schedule.random(5, 10, 500, SETTLE_MS, 9).steps(),
+                schedule.with(9).steps());
     }
 
-    /** Guards: 900 that join a fleet of 100 within a second are all known to all, and nobody is given up meanwhile. */
+    /**
+     * 900 members that join a fleet of 100 within a second reach all views, and no member is declared dead meanwhile.
+     */
     @Test
-    void nineHundredJoinAHundred() {
+    void nineHundredMembersJoinFleetOfOneHundred() {
         Watch watch = new Watch(false);
         VirtualFleet fleet = new VirtualFleet(
                 quiet(
@@ -72,25 +75,37 @@
         assertEquals(1_000, fleet.in(500).membership.memberCount());
     }
 
-    /** A member that says of everybody else, all the time, that they are dead, or tells news of foreign incarnations. */
-    private static Watch withLiar(MemberState standing, long ahead) {
+    /**
+     * Plays a minute in which one member puts forged records of six others into all its gossip, and checks that no
+     * member leaves any view.
+     *
+     * @param state             the state in the forged records
+     * @param incarnationsAhead how far their incarnations are ahead of the real ones
+     */
+    private static Watch playWithForgedGossip(MemberState state, long incarnationsAhead) {
         Watch watch = new Watch(true);
         VirtualFleet fleet = new VirtualFleet(quiet(14, 14, List.of()), watch, true);
         fleet.begin();
         fleet.playTo(5_000);
         assertNull(fleet.settled());
-        int before = verdicts(watch).size();
-        fleet.tamper(0, d -> {
-            List<MembershipRecord> lies = new ArrayList<>();
+        int before = lostChanges(watch).size();
+        fleet.tamper(0, datagram -> {
+            List<MembershipRecord> forged = new ArrayList<>();
             for (int slot = 1; slot < 7; slot++) {
-                MembershipRecord s = fleet.in(slot).membership.self();
-                lies.add(new MembershipRecord(
-                        s.name(), s.generation(), s.nonce(), s.incarnation() + ahead, standing, "d1", s.metadata()));
+                MembershipRecord real = fleet.in(slot).membership.self();
+                forged.add(new MembershipRecord(
+                        real.name(),
+                        real.generation(),
+                        real.nonce(),
+                        real.incarnation() + incarnationsAhead,
+                        state,
+                        "d1",
+                        real.metadata()));
             }
-            return new Datagram(d.sender(), d.digest(), d.message(), lies);
+            return new Datagram(datagram.sender(), datagram.digest(), datagram.message(), forged);
         });
         fleet.playTo(65_000);
-        assertEquals(before, verdicts(watch).size(), "verdicts");
+        assertEquals(before, lostChanges(watch).size(), "changes of kind Lost");
         fleet.tamper(-1, null);
         fleet.playTo(75_000);
         assertNull(fleet.settled());
@@ -98,40 +113,40 @@
         return watch;
     }
 
-    /** Guards: a liar that declares everyone dead for a minute brings nobody out of any view. */
+    /** A member that spreads false DEAD or SUSPECT records for a minute removes nobody from any view. */
     @Test
-    void aLiarGivesNobodyUp() {
-        withLiar(MemberState.DEAD, 0);
-        withLiar(MemberState.SUSPECT, 0);
+    void falseAccusationsRemoveNobody() {
+        playWithForgedGossip(MemberState.DEAD, 0);
+        playWithForgedGossip(MemberState.SUSPECT, 0);
     }
 
-    /** Guards: a member of which foreign incarnations are told, alive or dead, goes above them and stays. */
+    /** A member for which forged higher incarnations are spread supersedes them and stays in all views. */
     @Test
-    void foreignIncarnationsAreOvertaken() {
-        withLiar(MemberState.ALIVE, 5);
-        withLiar(MemberState.DEAD, 5);
+    void forgedIncarnationsAreSuperseded() {
+        playWithForgedGossip(MemberState.ALIVE, 5);
+        playWithForgedGossip(MemberState.DEAD, 5);
     }
 
-    /** Guards: leaving is not dying: who has SIGTERM is out of all views as one that left, at once. */
+    /** A member that receives SIGTERM leaves all views at once, in the state LEFT rather than DEAD. */
     @Test
-    void leavingIsSeenAsSuch() {
+    void leavingIsReportedAsLeft() {
         Watch watch = new Watch(true);
         VirtualFleet fleet = new VirtualFleet(quiet(14, 14, List.of()), watch, true);
         fleet.begin();
         fleet.playTo(5_000);
         fleet.apply(new Fault.Term(Set.of(4)));
         fleet.playTo(5_500);
-        assertEquals(13, verdicts(watch).size());
-        assertTrue(verdicts(watch).stream()
+        assertEquals(13, lostChanges(watch).size());
+        assertTrue(lostChanges(watch).stream()
                 .allMatch(t -> t.standing().equals("LEFT") && t.member().equals("d5")));
     }
 
     /**
-     * Guards: two processes of one name end up with the newer one holding it, and stay so; the older one has it back
-     * once the newer one is gone for good.
+     * Of two processes with one name the newer one keeps it, and the views stay stable; the older one takes the name
+     * back after the newer one is gone for good.
      */
     @Test
-    void ofTwoWithOneNameTheNewerHoldsIt() {
+    void newerProcessKeepsSharedName() {
         Watch watch = new Watch(true);
         VirtualFleet fleet = new VirtualFleet(quiet(6, 5, List.of()), watch, true);
         fleet.begin();
@@ -142,23 +157,23 @@
         assertTrue(fleet.in(1).membership.view(fleet.nowMs).nameGivenUp());
         long changes = watch.all().size();
         fleet.playTo(60_000);
-        assertEquals(changes, watch.all().size(), "neither flaps the other");
+        assertEquals(changes, watch.all().size(), "the two processes must not replace each other repeatedly");
         fleet.apply(new Fault.Kill(Set.of(5)));
         fleet.playTo(90_000);
         assertNull(fleet.settled());
         assertTrue(!fleet.in(1).membership.view(fleet.nowMs).nameGivenUp());
     }
 
-    /** Guards: a process that stood still knows that its view is in doubt before anything else is done with it. */
+    /** After a pause a process reports its view as in doubt, even when asked before it has processed any input. */
     @Test
-    void afterAStandstillTheViewIsInDoubt() {
+    void viewIsInDoubtAfterProcessPause() {
         Watch watch = new Watch(true);
         VirtualFleet fleet = new VirtualFleet(quiet(5, 5, List.of()), watch, true);
         fleet.begin();
         fleet.playTo(5_000);
         fleet.apply(new Fault.Freeze(Set.of(2)));
         fleet.playTo(15_000);
-        assertTrue(fleet.in(2).membership.isInDoubt(15_000), "asked before it is told the time");
+        assertTrue(fleet.in(2).membership.isInDoubt(15_000), "asked before the membership has seen the new time");
         fleet.apply(new Fault.Thaw(Set.of(2)));
         fleet.playTo(16_500);
         assertNull(fleet.settled());
@@ -168,25 +183,25 @@
         assertEquals("Doubt", own.get(0).kind());
     }
 
-    /** Guards: where one way between two is cut the others ask for them, and nobody is given up. */
+    /** With one direction between two members cut, indirect probes succeed and nobody is suspected. */
     @Test
-    void oneWayCutGivesNobodyUp() {
+    void asymmetricPartitionRemovesNobody() {
         Watch watch = new Watch(true);
         VirtualFleet fleet = new VirtualFleet(quiet(9, 9, List.of()), watch, true);
         fleet.begin();
         fleet.playTo(5_000);
         fleet.apply(new Fault.Cut(Set.of(2), Set.of(4), false));
         fleet.playTo(120_000);
-        assertEquals(0, verdicts(watch).size());
+        assertEquals(0, lostChanges(watch).size());
         assertEquals(
                 0,
                 watch.all().stream().filter(t -> t.standing().equals("SUSPECT")).count(),
-                "nor suspected");
+                "suspected members");
     }
 
-    /** Guards: with all seeds dead, parts that were cut off find each other by whom they remember. */
+    /** With all seeds dead, the parts of a healed partition find each other through remembered members. */
     @Test
-    void partsFindEachOtherWithoutSeeds() {
+    void partitionsMergeWithoutSeeds() {
         VirtualFleet fleet = new VirtualFleet(
                 quiet(
                         8,
@@ -200,9 +215,9 @@
         assertTrue(fleet.play().get(3) < SETTLE_MS);
     }
 
-    /** Guards: who missed a change while it was cut off for a second has it soon after, though nobody tells it any more. */
+    /** A member that missed a change while cut off gets it by anti-entropy, after gossip no longer spreads it. */
     @Test
-    void missedNewsAreMadeUpFor() {
+    void antiEntropyRepairsMissedGossip() {
         VirtualFleet fleet = new VirtualFleet(quiet(100, 100, List.of()), new Watch(false), true);
         fleet.begin();
         fleet.playTo(20_000);
@@ -214,9 +229,9 @@
         assertNull(fleet.settled());
     }
 
-    /** Guards: no false verdict in ten minutes of 10% loss, nor beside doormans at a fifth of a core. */
+    /** Nobody is declared dead in ten minutes of 10% packet loss, nor while some doormans get a fifth of a core. */
     @Test
-    void lossAndSlownessGiveNobodyUp() {
+    void packetLossAndSlowProcessesRemoveNobody() {
         Watch watch = new Watch(true);
         VirtualFleet fleet = new VirtualFleet(quiet(14, 14, List.of()), watch, true);
         fleet.begin();
@@ -226,12 +241,12 @@
         fleet.apply(new Fault.Weather(Schedule.range(0, 14), Schedule.range(0, 14), Fault.Noise.NONE));
         fleet.apply(new Fault.Starve(Set.of(1, 5, 9, 13), 0.2));
         fleet.playTo(905_000);
-        assertEquals(List.of(), verdicts(watch));
+        assertEquals(List.of(), lostChanges(watch));
     }
 
-    /** Guards: a quiesce is seen in all views within a second, by a new incarnation. */
+    /** A quiesce reaches all views within a second, by a new incarnation. */
     @Test
-    void quiesceIsSeen() {
+    void quiesceReachesAllViews() {
         Watch watch = new Watch(false);
         VirtualFleet fleet = new VirtualFleet(quiet(14, 14, List.of()), watch, true);
         fleet.begin();
@@ -247,9 +262,9 @@
         }
     }
 
-    /** Guards: traffic in calm doesn't grow with the fleet, beside its digests. */
+    /** The traffic per member without changes or faults does not grow with the fleet size. */
     @Test
-    void calmTrafficDoesNotGrowWithTheFleet() {
+    void idleTrafficIsIndependentOfFleetSize() {
         double[] perSecond = new double[2];
         for (int i = 0; i < 2; i++) {
             VirtualFleet fleet =
@@ -266,17 +281,17 @@
         assertTrue(perSecond[0] < 2_000 && perSecond[1] < 1.1 * perSecond[0], perSecond[0] + " and " + perSecond[1]);
     }
 
-    /** Guards: a datagram that was caught on the way and comes again long after changes nothing. */
+    /** Datagrams of an earlier process that are captured and replayed after its restart change nothing. */
     @Test
-    void datagramsOfAnEarlierLifeChangeNothing() {
+    void replayedDatagramsChangeNothing() {
         Watch watch = new Watch(true);
         VirtualFleet fleet = new VirtualFleet(quiet(5, 5, List.of()), watch, true);
-        List<Datagram> caught = new ArrayList<>();
-        fleet.tamper(2, d -> {
-            if (d.message() instanceof Message.Ping) {
-                caught.add(d);
+        List<Datagram> captured = new ArrayList<>();
+        fleet.tamper(2, datagram -> {
+            if (datagram.message() instanceof Message.Ping) {
+                captured.add(datagram);
             }
-            return d;
+            return datagram;
         });
         fleet.begin();
         fleet.playTo(5_000);
@@ -286,9 +301,9 @@
         fleet.playTo(12_000);
         assertNull(fleet.settled());
         int before = watch.all().size();
-        for (Datagram d : caught) {
+        for (Datagram datagram : captured) {
             for (int slot = 0; slot < 5; slot++) {
-                fleet.in(slot).membership.receive(fleet.nowMs, d);
+                fleet.in(slot).membership.receive(fleet.nowMs, datagram);
             }
         }
         fleet.playTo(20_000);
