--- a/doorman/src/main/java/barleyspur/DoormanServer.java
+++ b/doorman/src/main/java/barleyspur/DoormanServer.java
@@ -16,7 +16,7 @@
 import barleyspur.doorman.Doorman;
 import barleyspur.doorman.EventLoopClock;
 import barleyspur.doorman.SocketPollTimes;
-import barleyspur.fleet.net.FleetPort;
+import barleyspur.fleet.net.FleetService;
 import barleyspur.front.thrift.ThriftServer;
 import barleyspur.lifecycle.Lifecycle;
 import barleyspur.log.LogEvent;
@@ -144,9 +144,9 @@
         // The configuration's seed is not used here: several doormans, and successive processes of one, may share it
         // but have to be distinguishable.
         long incarnation = ownSettings.fleet() == null ? 0 : new SecureRandom().nextLong();
-        FleetPort fleetPort = ownSettings.fleet() == null
+        FleetService fleetPort = ownSettings.fleet() == null
                 ? null
-                : new FleetPort(
+                : new FleetService(
                         eventLoops,
                         clock,
                         ownSettings.fleet(),
--- a/doorman/src/main/java/barleyspur/budget/net/BudgetService.java
+++ b/doorman/src/main/java/barleyspur/budget/net/BudgetService.java
@@ -9,9 +9,9 @@
 import barleyspur.budget.BudgetMessage;
 import barleyspur.doorman.Clock;
 import barleyspur.doorman.RateLimitedLog;
-import barleyspur.fleet.Saying;
-import barleyspur.fleet.net.FleetPort;
-import barleyspur.fleet.net.Passenger;
+import barleyspur.fleet.MembershipRecord;
+import barleyspur.fleet.net.FleetService;
+import barleyspur.fleet.net.PayloadListener;
 import barleyspur.log.LogEvent;
 import io.micrometer.core.instrument.Counter;
 import io.micrometer.core.instrument.MeterRegistry;
@@ -22,13 +22,13 @@
 import org.slf4j.LoggerFactory;
 
 /** Runs the budgets of one doorman on the event loop and the datagrams of the fleet view. */
-public final class BudgetService implements Passenger {
+public final class BudgetService implements PayloadListener {
 
     private static final Logger LOG = LoggerFactory.getLogger("budget");
     private static final double NANOS_PER_MS = 1e6;
     private static final int OK = 200;
 
-    private final FleetPort fleet;
+    private final FleetService fleet;
     private final Clock clock;
     private final BudgetConfig config;
     private final String name;
@@ -53,18 +53,18 @@
      *
      * @param name of this doorman
      */
-    public BudgetService(FleetPort fleet, Clock clock, BudgetConfig config, String name, long seed) {
+    public BudgetService(FleetService fleet, Clock clock, BudgetConfig config, String name, long seed) {
         this.fleet = fleet;
         this.clock = clock;
         this.config = config;
         this.name = name;
         this.seed = seed;
         cappedLog = new RateLimitedLog(LOG, clock);
-        metrics = fleet.metrics();
+        metrics = fleet.meterRegistry();
         acquiredCounter = metrics.counter("budget.taken");
         rejectedCounter = metrics.counter("budget.turned.away");
         sentMessagesCounter = metrics.counter("budget.words", "way", "sent");
-        fleet.board(this);
+        fleet.setPayloadListener(this);
     }
 
     /** Adds the call for the budgets to the routes of the admin address. */
@@ -125,14 +125,14 @@
     // ---- calls of the fleet ----------------------------------------------------------------------------
 
     @Override
-    public void start() {
+    public void onStart() {
         agent = new BudgetAgent(config, name, fleet.address(), fleet.nonce(), seed, clock.nowMs(), this::execute);
         changedBudgets.values().forEach(budget -> agent.reconfigure(clock.nowMs(), budget));
         schedule();
     }
 
     @Override
-    public void received(Saying sender, byte[] body) {
+    public void onPayload(MembershipRecord sender, byte[] body) {
         BudgetMessage message;
         try {
             message = codec.decode(body);
@@ -142,20 +142,20 @@
             return;
         }
         if (message != null && agent != null) {
-            agent.receive(clock.nowMs(), sender.about().address(), sender.name(), sender.nonce(), message);
+            agent.receive(clock.nowMs(), sender.metadata().address(), sender.name(), sender.nonce(), message);
             schedule();
         }
     }
 
     @Override
-    public void there(Set<String> addresses) {
+    public void onPeersChanged(Set<String> addresses) {
         if (agent != null) {
             agent.setReachable(addresses);
         }
     }
 
     @Override
-    public void leaving() {
+    public void onLeavePending() {
         if (agent != null) {
             agent.resign(clock.nowMs());
             schedule();
@@ -163,7 +163,7 @@
     }
 
     @Override
-    public void leave() {
+    public void onLeave() {
         if (agent != null) {
             agent.leave(clock.nowMs());
         }
@@ -194,9 +194,9 @@
     private void execute(BudgetAction action) {
         double monotonicMs = System.nanoTime() / NANOS_PER_MS;
         if (action instanceof BudgetAction.SendMessage send) {
-            for (byte[] body : codec.encode(send.message(), fleet.room())) {
+            for (byte[] body : codec.encode(send.message(), fleet.maxPayloadBytes())) {
                 sentMessagesCounter.increment();
-                fleet.carry(send.address(), body);
+                fleet.sendPayload(send.address(), body);
             }
         } else if (action instanceof BudgetAction.LeaseChanged lease) {
             LogEvent.log(
--- a/lab/src/test/java/barleyspur/lab/fleet/BudgetMutationTest.java
+++ b/lab/src/test/java/barleyspur/lab/fleet/BudgetMutationTest.java
@@ -171,8 +171,8 @@
     /** The unchanged source, compiled in the same way as the mutants, passes the checks. */
     @Test
     void unchangedSourcePasses() throws Exception {
-        ClassLoader unchanged =
-                WrongVersion.loader(folder, SOURCES, "barleyspur.budget.", "BudgetLimiter.java", "inUse++", "inUse++");
+        ClassLoader unchanged = SourceMutation.compile(
+                folder, SOURCES, "barleyspur.budget.", "BudgetLimiter.java", "inUse++", "inUse++");
         check(unchanged, RANDOM);
         check(unchanged, EXPLORE + "PLACES");
         check(unchanged, "otherConfigurationsGetNothing");
@@ -185,13 +185,13 @@
                 2,
                 Files.readString(SOURCES.resolve(file)).split(Pattern.quote(original), -1).length,
                 "occurs once in the source: " + original);
-        ClassLoader mutant = WrongVersion.loader(folder, SOURCES, "barleyspur.budget.", file, original, replacement);
+        ClassLoader mutant = SourceMutation.compile(folder, SOURCES, "barleyspur.budget.", file, original, replacement);
         assertThrows(AssertionError.class, () -> check(mutant, check));
     }
 
     private static void check(ClassLoader loader, String name) throws Exception {
         if (name.startsWith(EXPLORE)) {
-            WrongVersion.call(
+            SourceMutation.invokeCheck(
                     loader,
                     "BudgetMutationTest",
                     "explore",
@@ -199,7 +199,7 @@
                     name.substring(EXPLORE.length()));
         } else if (name.equals(RANDOM)) {
             for (int doormans : new int[] {3, 5}) {
-                WrongVersion.call(
+                SourceMutation.invokeCheck(
                         loader,
                         "BudgetSimulationTest",
                         "randomSchedulesNeverExceedTheCapacity",
@@ -209,7 +209,7 @@
                         150);
             }
         } else {
-            WrongVersion.call(loader, "BudgetSimulationTest", name, new Class<?>[0]);
+            SourceMutation.invokeCheck(loader, "BudgetSimulationTest", name, new Class<?>[0]);
         }
     }
 
