--- a/doorman/src/main/java/barleyspur/cli/ExpectCommand.java
+++ b/doorman/src/main/java/barleyspur/cli/ExpectCommand.java
@@ -5,10 +5,10 @@
 import barleyspur.config.Hcl;
 import barleyspur.config.Traces;
 import barleyspur.expect.Checker;
-import barleyspur.expect.Comparison;
+import barleyspur.expect.Deployment;
 import barleyspur.expect.Expectation;
-import barleyspur.expect.Site;
-import barleyspur.expect.Story;
+import barleyspur.expect.RoutingComparison;
+import barleyspur.expect.TraceNarrative;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -103,7 +103,7 @@
             if (line.hasOption("diff")) {
                 return diff(line, files);
             }
-            Site site = ExpectationCheck.site(configurationPath(line));
+            Deployment site = ExpectationCheck.site(configurationPath(line));
             if (line.hasOption("fleet")) {
                 files.add(line.getOptionValue("fleet"));
             }
@@ -125,26 +125,26 @@
     private static int check(CommandLine line, ExpectationCheck check, String only)
             throws Command.InvalidInputException, IOException {
         long startNanos = System.nanoTime();
-        Checker.Book book = check.book(only, (int) Command.integer(line, "depth", 0, 1, 6));
+        Checker.Suite book = check.book(only, (int) Command.integer(line, "depth", 0, 1, 6));
         Checker.Result result = Checker.of(book, progress(startNanos))
                 .run(Command.integer(line, "seed", 1, 0, Long.MAX_VALUE / 64), runLimit(line));
         double seconds = (System.nanoTime() - startNanos) / 1e9;
         Path folder = Path.of(line.getOptionValue("traces", "."));
         JSONArray report = new JSONArray();
-        for (Checker.Finding finding : result.findings()) {
+        for (Checker.ExpectationResult finding : result.expectationResults()) {
             report.put(printFinding(finding, check, folder));
         }
         for (Checker.Conflict conflict : result.conflicts()) {
             System.out.printf(
                     "warning: \"%s\" (%s) and \"%s\" (%s) contradict each other or one is always violated: "
                             + "of %d situations to which both apply, none satisfied both%n",
-                    conflict.one().name(),
-                    conflict.one().place(),
-                    conflict.other().name(),
-                    conflict.other().place(),
-                    conflict.moments());
+                    conflict.first().name(),
+                    conflict.first().location(),
+                    conflict.second().name(),
+                    conflict.second().location(),
+                    conflict.eventCount());
         }
-        result.covered().forEach(covered -> System.out.println("covered: " + covered));
+        result.coverageSummaries().forEach(covered -> System.out.println("covered: " + covered));
         System.out.printf(
                 Locale.ROOT,
                 "played: %d scenarios, %d requests, %d events decided, in %.1f s%n",
@@ -159,10 +159,10 @@
                     .put("requests", result.requests())
                     .put("decisions", result.decisions())
                     .put("seconds", seconds)
-                    .put("covered", new JSONArray(result.covered()));
+                    .put("covered", new JSONArray(result.coverageSummaries()));
             Files.writeString(Path.of(line.getOptionValue("json")), json.toString(1) + "\n");
         }
-        return result.good(line.hasOption("strict")) ? Command.OK : Command.FAILED;
+        return result.isSuccess(line.hasOption("strict")) ? Command.OK : Command.FAILED;
     }
 
     private static Checker.Progress progress(long startNanos) {
@@ -170,7 +170,7 @@
             private double last;
 
             @Override
-            public void played(long scenarios, long decisions, int refuted) {
+            public void onScenario(long scenarios, long decisions, int refuted) {
                 double now = (System.nanoTime() - startNanos) / 1e9;
                 if (now - last >= PROGRESS_INTERVAL_S) {
                     last = now;
@@ -185,38 +185,38 @@
             }
 
             @Override
-            public void shrinking(String expectation) {
+            public void onShrink(String expectation) {
                 System.err.println("minimizing the counterexample of \"" + expectation + "\"");
             }
         };
     }
 
-    private static JSONObject printFinding(Checker.Finding finding, ExpectationCheck check, Path folder)
+    private static JSONObject printFinding(Checker.ExpectationResult finding, ExpectationCheck check, Path folder)
             throws IOException {
         System.out.printf(
                 "%-8s \"%s\" (%s): held in %d of %d%n",
-                finding.verdict().word(),
+                finding.verdict().label(),
                 finding.expectation().name(),
-                finding.expectation().place(),
-                finding.held(),
-                finding.judged());
+                finding.expectation().location(),
+                finding.satisfied(),
+                finding.evaluated());
         JSONObject json = new JSONObject()
                 .put("name", finding.expectation().name())
-                .put("place", finding.expectation().place())
-                .put("verdict", finding.verdict().word())
-                .put("judged", finding.judged())
-                .put("held", finding.held());
+                .put("place", finding.expectation().location())
+                .put("verdict", finding.verdict().label())
+                .put("judged", finding.evaluated())
+                .put("held", finding.satisfied());
         Checker.Counterexample counterexample = finding.counterexample();
         if (finding.verdict() == Checker.Verdict.VACUOUS) {
             System.out.println(
                     "  no simulated request matched it: does it name a class, state or event that does not occur?");
         }
-        if (finding.expectation().form() instanceof Expectation.Figures figures) {
-            figures.broken()
+        if (finding.expectation().requirement() instanceof Expectation.SettingRanges figures) {
+            figures.violated()
                     .forEach(figure -> System.out.printf(
                             Locale.ROOT,
                             "  %s: settings.%s does not hold; it is %s%n",
-                            figure.place(),
+                            figure.location(),
                             figure.text(),
                             figure.value()));
         }
@@ -226,24 +226,25 @@
         System.out.printf(
                 "  found in scenario %d with %d events, %d requests and %d boxes; now %d, %d and %d, after %d plays%n",
                 finding.refutedAtScenario(),
-                counterexample.foundEvents(),
-                counterexample.foundRequests(),
-                counterexample.foundBoxes(),
+                counterexample.originalFaults(),
+                counterexample.originalRequests(),
+                counterexample.originalBoxes(),
                 counterexample.scenario().faults().size(),
-                counterexample.scenario().asks().size(),
-                counterexample.scenario().site().boxes().size(),
-                counterexample.plays());
-        System.out.println("  " + Story.fleet(counterexample.scenario().site()));
-        List<Story.Step> steps = Story.of(counterexample.scenario(), finding.expectation());
+                counterexample.scenario().requests().size(),
+                counterexample.scenario().deployment().boxes().size(),
+                counterexample.shrinkRuns());
+        System.out.println("  "
+                + TraceNarrative.describeDeployment(counterexample.scenario().deployment()));
+        List<TraceNarrative.Step> steps = TraceNarrative.narrate(counterexample.scenario(), finding.expectation());
         int end = steps.size();
-        while (end > 0 && !steps.get(end - 1).broken()) {
+        while (end > 0 && !steps.get(end - 1).isViolation()) {
             end--;
         }
         int from = Math.max(0, end - MAX_STEPS);
         if (from > 0) {
             System.out.println("  the first " + from + " steps are left out here");
         }
-        for (Story.Step step : steps.subList(from, end)) {
+        for (TraceNarrative.Step step : steps.subList(from, end)) {
             System.out.printf(Locale.ROOT, "  %9.1f ms  %s%n", step.atMs(), step.text());
         }
         Path file = folder.resolve(finding.expectation().name().replaceAll("[^A-Za-z0-9_-]+", "-") + ".trace.json");
@@ -253,48 +254,49 @@
         return json.put("trace", file.toString())
                 .put("scenario", finding.refutedAtScenario())
                 .put("events", counterexample.scenario().faults().size())
-                .put("requests", counterexample.scenario().asks().size())
-                .put("boxes", counterexample.scenario().site().boxes().size());
+                .put("requests", counterexample.scenario().requests().size())
+                .put("boxes", counterexample.scenario().deployment().boxes().size());
     }
 
     private static int diff(CommandLine line, List<String> files)
             throws Command.InvalidInputException, Hcl.Invalid, Configuration.Invalid {
         String[] configs = line.getOptionValues("diff");
-        Site before = ExpectationCheck.site(Path.of(configs[0]));
-        Site after = ExpectationCheck.site(Path.of(configs[1]));
+        Deployment before = ExpectationCheck.site(Path.of(configs[0]));
+        Deployment after = ExpectationCheck.site(Path.of(configs[1]));
         ExpectationCheck check = ExpectationCheck.of(before, files, false);
-        if (!before.classes().equals(after.classes()) || !before.zones().equals(after.zones())) {
+        if (!before.classNames().equals(after.classNames())
+                || !before.stationNames().equals(after.stationNames())) {
             throw Command.InvalidInputException.input(configs[1] + ": key settings."
-                    + (before.classes().equals(after.classes())
+                    + (before.classNames().equals(after.classNames())
                             ? "areas has other stations"
                             : "grades has other classes")
                     + " than " + configs[0]
                     + ": requests can't be compared");
         }
-        Comparison.Result comparison = Comparison.of(
+        RoutingComparison.Result comparison = RoutingComparison.of(
                 before,
                 after,
                 check.loads(),
                 check.cases(),
                 Command.integer(line, "seed", 1, 0, Long.MAX_VALUE / 64),
-                check.book("", 0).depth(),
+                check.book("", 0).maxSequenceLength(),
                 runLimit(line));
-        for (Comparison.Difference difference : comparison.first()) {
+        for (RoutingComparison.Difference difference : comparison.examples()) {
             System.out.printf(
                     Locale.ROOT,
                     "request %d at %.0f ms (%s, object %x, part %d): other %s%n  before: %s%n  after:  %s%n",
-                    difference.ask().number(),
-                    difference.ask().atMs(),
-                    difference.category(),
-                    difference.ask().object(),
-                    difference.ask().part(),
-                    difference.what(),
+                    difference.request().index(),
+                    difference.request().arrivalMs(),
+                    difference.className(),
+                    difference.request().objectId(),
+                    difference.request().partIndex(),
+                    difference.aspect(),
                     difference.before(),
                     difference.after());
         }
         System.out.printf(
                 "%d of %d requests go another way in %d scenarios: %s%n",
-                comparison.changed(), comparison.requests(), comparison.scenarios(), comparison.kinds());
+                comparison.changed(), comparison.requests(), comparison.scenarios(), comparison.countsByAspect());
         return comparison.changed() == 0 ? Command.OK : Command.FAILED;
     }
 
@@ -311,11 +313,11 @@
         } catch (Hcl.Invalid e) {
             throw Command.InvalidInputException.input(e.getMessage());
         }
-        System.out.println(Story.fleet(trace.scenario().site()));
+        System.out.println(TraceNarrative.describeDeployment(trace.scenario().deployment()));
         boolean broken = false;
-        for (Story.Step step : Story.of(trace.scenario(), trace.expectation())) {
+        for (TraceNarrative.Step step : TraceNarrative.narrate(trace.scenario(), trace.expectation())) {
             System.out.printf(Locale.ROOT, "%9.1f ms  %s%n", step.atMs(), step.text());
-            broken |= step.broken();
+            broken |= step.isViolation();
             if (line.hasOption("step") && System.in.read() < 0) {
                 break;
             }
--- a/doorman/src/main/java/barleyspur/config/ExpectationCheck.java
+++ b/doorman/src/main/java/barleyspur/config/ExpectationCheck.java
@@ -1,9 +1,9 @@
 package barleyspur.config;
 
-import barleyspur.expect.Case;
 import barleyspur.expect.Checker;
-import barleyspur.expect.Load;
-import barleyspur.expect.Site;
+import barleyspur.expect.Deployment;
+import barleyspur.expect.FaultScript;
+import barleyspur.expect.Workload;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -18,14 +18,14 @@
 
     private final ExpectationFiles.Read read;
     private final List<String> files;
-    private final Site site;
-    private final List<Site> fleets;
+    private final Deployment site;
+    private final List<Deployment> fleets;
 
-    private ExpectationCheck(ExpectationFiles.Read read, List<String> files, Site site, boolean describedOnly) {
+    private ExpectationCheck(ExpectationFiles.Read read, List<String> files, Deployment site, boolean describedOnly) {
         this.read = read;
         this.files = files;
         this.site = site;
-        List<Site> all = new ArrayList<>(read.fleets());
+        List<Deployment> all = new ArrayList<>(read.fleets());
         if (!describedOnly || all.isEmpty()) {
             all.add(0, site);
         }
@@ -33,7 +33,7 @@
     }
 
     /** The fleet of a configuration file. */
-    public static Site site(Path config) throws Configuration.Invalid {
+    public static Deployment site(Path config) throws Configuration.Invalid {
         try {
             return Sites.read(new JSONObject(Files.readString(config)));
         } catch (IOException e) {
@@ -50,7 +50,7 @@
      *
      * @param describedOnly whether the fleets that files describe stand in for the configuration's own
      */
-    public static ExpectationCheck of(Site site, List<String> files, boolean describedOnly) throws Hcl.Invalid {
+    public static ExpectationCheck of(Deployment site, List<String> files, boolean describedOnly) throws Hcl.Invalid {
         return new ExpectationCheck(
                 ExpectationFiles.read(files, ExpectationCheck::text, site), files, site, describedOnly);
     }
@@ -70,8 +70,8 @@
     }
 
     /** What the checker is given; {@code only} empty: all expectations; {@code depth} 0: as the files say. */
-    public Checker.Book book(String only, int depth) {
-        return new Checker.Book(
+    public Checker.Suite book(String only, int depth) {
+        return new Checker.Suite(
                 read.expectations().stream()
                         .filter(e -> only.isEmpty() || e.name().equals(only))
                         .toList(),
@@ -82,12 +82,12 @@
     }
 
     /** The loads that files lay down, or the usual one. */
-    public List<Load> loads() {
-        return read.loads().isEmpty() ? List.of(Load.usual(site.any())) : read.loads();
+    public List<Workload> loads() {
+        return read.loads().isEmpty() ? List.of(Workload.defaultFor(site.sharedSettings())) : read.loads();
     }
 
     /** The cases that were read. */
-    public List<Case> cases() {
+    public List<FaultScript> cases() {
         return read.cases();
     }
 
@@ -104,12 +104,13 @@
         int[] left = {wanted.scenarios()};
         BooleanSupplier more = () -> left[0]-- > 0;
         List<String> broken = new ArrayList<>();
-        for (Checker.Finding f : Checker.of(check.book("", 0), Checker.Progress.NONE)
+        for (Checker.ExpectationResult f : Checker.of(check.book("", 0), Checker.Progress.NONE)
                 .run(wanted.seed(), more)
-                .findings()) {
+                .expectationResults()) {
             if (f.verdict() == Checker.Verdict.REFUTED) {
                 broken.add("expectation \"" + f.expectation().name() + "\" ("
-                        + f.expectation().place() + ") is refuted: it held in " + f.held() + " of " + f.judged());
+                        + f.expectation().location() + ") is refuted: it held in " + f.satisfied() + " of "
+                        + f.evaluated());
             }
         }
         return broken;
--- a/doorman/src/main/java/barleyspur/config/ExpectationFiles.java
+++ b/doorman/src/main/java/barleyspur/config/ExpectationFiles.java
@@ -1,14 +1,14 @@
 package barleyspur.config;
 
 import barleyspur.decision.Director;
-import barleyspur.expect.Case;
 import barleyspur.expect.Condition;
+import barleyspur.expect.Deployment;
+import barleyspur.expect.EventField;
 import barleyspur.expect.Expectation;
 import barleyspur.expect.Fault;
-import barleyspur.expect.Field;
-import barleyspur.expect.Load;
-import barleyspur.expect.Moment;
-import barleyspur.expect.Site;
+import barleyspur.expect.FaultScript;
+import barleyspur.expect.RoutingEvent;
+import barleyspur.expect.Workload;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Collection;
@@ -45,25 +45,25 @@
      */
     public record Read(
             List<Expectation> expectations,
-            List<Site> fleets,
-            List<Load> loads,
-            List<Case> cases,
+            List<Deployment> fleets,
+            List<Workload> loads,
+            List<FaultScript> cases,
             int depth,
             Map<String, String> texts) {}
 
     private final Texts texts;
-    private final Site site;
+    private final Deployment site;
     private final Map<String, String> read = new LinkedHashMap<>();
     private final List<Hcl.Block> files = new ArrayList<>();
     private final Map<String, Double> names = new HashMap<>();
     private final Quantity quantity = new Quantity(names);
-    private final List<Site> fleets = new ArrayList<>();
-    private final List<Case> cases = new ArrayList<>();
+    private final List<Deployment> fleets = new ArrayList<>();
+    private final List<FaultScript> cases = new ArrayList<>();
     private final List<Expectation> expectations = new ArrayList<>();
-    private final List<Load> loads = new ArrayList<>();
+    private final List<Workload> loads = new ArrayList<>();
     private int depth;
 
-    private ExpectationFiles(Texts texts, Site site) {
+    private ExpectationFiles(Texts texts, Deployment site) {
         this.texts = texts;
         this.site = site;
     }
@@ -73,7 +73,7 @@
      *
      * @param site the configuration's own fleet, whose settings give the names of figures their values
      */
-    public static Read read(List<String> names, Texts texts, Site site) throws Hcl.Invalid {
+    public static Read read(List<String> names, Texts texts, Deployment site) throws Hcl.Invalid {
         ExpectationFiles reader = new ExpectationFiles(texts, site);
         reader.names.putAll(figures(site));
         for (String name : names) {
@@ -90,8 +90,8 @@
     }
 
     /** The settings' figures by the names that expectations use. */
-    static Map<String, Double> figures(Site site) {
-        Director.Settings s = site.any();
+    static Map<String, Double> figures(Deployment site) {
+        Director.Settings s = site.sharedSettings();
         Map<String, Double> figures = new LinkedHashMap<>();
         figures.put("drain_grace", s.drainGraceMs());
         figures.put("purge_grace", s.purgeGraceMs());
@@ -103,13 +103,13 @@
         figures.put("parent_warm", s.coldParent().warmAfterMs());
         figures.put("longest_w", s.maxRetryAfterMs());
         figures.put("most_attempts", (double) s.maxAttempts());
-        figures.put("doormans", (double) site.settings().size());
-        for (int i = 0; i < site.classes().size(); i++) {
+        figures.put("doormans", (double) site.doormanSettings().size());
+        for (int i = 0; i < site.classNames().size(); i++) {
             Director.RequestClass c = s.classes().get(i);
-            figures.put("aim." + site.classes().get(i), c.aimMs());
-            figures.put("deadline." + site.classes().get(i), c.deadlineMs());
-            figures.put("fresh." + site.classes().get(i), c.freshMs());
-            figures.put("stale." + site.classes().get(i), c.freshMs() + c.graceMs());
+            figures.put("aim." + site.classNames().get(i), c.aimMs());
+            figures.put("deadline." + site.classNames().get(i), c.deadlineMs());
+            figures.put("fresh." + site.classNames().get(i), c.freshMs());
+            figures.put("stale." + site.classNames().get(i), c.freshMs() + c.graceMs());
         }
         return figures;
     }
@@ -173,14 +173,14 @@
 
     // ---- shared things ---------------------------------------------------------------------------------
 
-    private Site fleet(Hcl.Block b) throws Hcl.Invalid {
+    private Deployment fleet(Hcl.Block b) throws Hcl.Invalid {
         int stations = (int) figure(b, "stations", 1, 1, 10_000);
         int caches = (int) figure(b, "caches", 3, 1, 10_000);
         int districts = (int) figure(b, "district_caches", 2, 0, 10_000);
         int offices = (int) figure(b, "head_offices", 1, 0, 8);
         int doormans = (int) figure(b, "doormans", 2, 1, 1_000);
         double size = figure(b, "size", 8, 0.1, 1e6);
-        String cacheModel = word(b, "model", modelOf(Site.Role.CACHE), site.kinds());
+        String cacheModel = word(b, "model", modelOf(Deployment.Role.CACHE), site.modelNames());
         b.close(List.of());
         List<String> zones = new ArrayList<>(List.of("central"));
         List<Box> boxes = new ArrayList<>();
@@ -188,17 +188,18 @@
         for (int z = 1; z <= stations; z++) {
             zones.add("station-" + z);
             for (int i = 1; i <= caches; i++) {
-                boxes.add(new Box("cache-" + z + "-" + i, z, site.kinds().indexOf(cacheModel), size));
+                boxes.add(new Box("cache-" + z + "-" + i, z, site.modelNames().indexOf(cacheModel), size));
             }
             for (int i = 0; i < doormans; i++) {
                 doormanZones.add(z);
             }
         }
         for (int i = 1; i <= districts; i++) {
-            boxes.add(new Box("district-" + i, 0, site.any().parentKind(), size * caches * stations / districts));
+            boxes.add(new Box(
+                    "district-" + i, 0, site.sharedSettings().parentKind(), size * caches * stations / districts));
         }
         for (int i = 1; i <= offices; i++) {
-            boxes.add(new Box("head-office-" + i, 0, site.any().originKind(), size * caches * stations * 4));
+            boxes.add(new Box("head-office-" + i, 0, site.sharedSettings().originKind(), size * caches * stations * 4));
         }
         return Sites.described(b.label(), site, zones, doormanZones, boxes);
     }
@@ -206,42 +207,43 @@
     /** A box of a described fleet, before it has a number. */
     record Box(String uid, int zone, int kind, double size) {}
 
-    private String modelOf(Site.Role role) {
-        for (int kind = 0; kind < site.kinds().size(); kind++) {
-            boolean fits = kind != site.any().parentKind() && kind != site.any().originKind();
-            if (fits == (role == Site.Role.CACHE)) {
-                return site.kinds().get(kind);
+    private String modelOf(Deployment.Role role) {
+        for (int kind = 0; kind < site.modelNames().size(); kind++) {
+            boolean fits = kind != site.sharedSettings().parentKind()
+                    && kind != site.sharedSettings().originKind();
+            if (fits == (role == Deployment.Role.CACHE)) {
+                return site.modelNames().get(kind);
             }
         }
-        return site.kinds().get(0);
+        return site.modelNames().get(0);
     }
 
-    private Load load(Hcl.Block b) throws Hcl.Invalid {
-        Load usual = Load.usual(site.any());
-        List<Load.OfClass> classes = new ArrayList<>(usual.classes());
+    private Workload load(Hcl.Block b) throws Hcl.Invalid {
+        Workload usual = Workload.defaultFor(site.sharedSettings());
+        List<Workload.ClassShare> classes = new ArrayList<>(usual.classes());
         for (Hcl.Block c : b.blocks("class")) {
-            int place = site.classes().indexOf(c.label());
+            int place = site.classNames().indexOf(c.label());
             if (place < 0) {
-                throw c.invalid("\"" + c.label() + "\" is no class" + Hcl.near(c.label(), site.classes()));
+                throw c.invalid("\"" + c.label() + "\" is no class" + Hcl.near(c.label(), site.classNames()));
             }
             classes.set(
                     place,
-                    new Load.OfClass(
+                    new Workload.ClassShare(
                             figure(c, "share", classes.get(place).share(), 0, 1e6),
                             figure(c, "work", classes.get(place).workMs(), 0.01, 1e6)));
             c.close(List.of());
         }
         Hcl.Value marks = b.value("marks_retries");
-        int objects = (int) figure(b, "objects", usual.objects(), 1, 1 << 19);
-        Load read = new Load(
+        int objects = (int) figure(b, "objects", usual.objectCount(), 1, 1 << 19);
+        Workload read = new Workload(
                 b.label(),
                 figure(b, "utilisation", usual.utilisation(), 0.01, 10),
-                figure(b, "length", usual.lengthMs(), 100, 600_000),
-                (int) figure(b, "requests", usual.most(), 1, 1e6),
+                figure(b, "length", usual.durationMs(), 100, 600_000),
+                (int) figure(b, "requests", usual.maxRequests(), 1, 1e6),
                 objects,
-                (int) figure(b, "hot", Math.min(objects, usual.hot()), 0, objects),
-                figure(b, "once", usual.onceShare(), 0, 1),
-                (int) figure(b, "retries", usual.retries(), 0, 10),
+                (int) figure(b, "hot", Math.min(objects, usual.hotObjectCount()), 0, objects),
+                figure(b, "once", usual.singleUseShare(), 0, 1),
+                (int) figure(b, "retries", usual.maxRetries(), 0, 10),
                 marks != null && marks.flag(),
                 classes);
         b.close(List.of("class"));
@@ -251,10 +253,10 @@
         return read;
     }
 
-    private Case aCase(Hcl.Block b) throws Hcl.Invalid {
-        List<Case.Step> steps = new ArrayList<>();
+    private FaultScript aCase(Hcl.Block b) throws Hcl.Invalid {
+        List<FaultScript.ScriptedFault> steps = new ArrayList<>();
         for (Hcl.Block e : b.blocks("event")) {
-            Fault.Kind kind = find(e, e.label(), Fault.Kind.values(), Fault.Kind::word, "event");
+            Fault.Kind kind = find(e, e.label(), Fault.Kind.values(), Fault.Kind::label, "event");
             Hcl.Value at = e.value("at");
             if (at == null) {
                 throw e.invalid("has no key at");
@@ -264,21 +266,21 @@
             Hcl.Value boxes = e.value("boxes");
             boolean all = boxes != null && "all".equals(boxes.value());
             Hcl.Value role = e.value("kind");
-            steps.add(new Case.Step(
+            steps.add(new FaultScript.ScriptedFault(
                     kind,
-                    role == null ? null : find(role, Site.Role.values(), Site.Role::word, "kind"),
+                    role == null ? null : find(role, Deployment.Role.values(), Deployment.Role::label, "kind"),
                     word(e, "station", "", null),
                     word(e, "box", "", null),
                     all ? Integer.MAX_VALUE : (int) figure(e, "boxes", 1, 1, 1e6),
                     quantity.of(at),
-                    delay.least(),
-                    delay.most(),
+                    delay.min(),
+                    delay.max(),
                     figure(e, "lasts", 5_000, 0, 1e9),
-                    figure(e, "size", kind.usualSize(), 0, 1e12)));
+                    figure(e, "size", kind.defaultMagnitude(), 0, 1e12)));
             e.close(List.of());
         }
         b.close(List.of("event"));
-        return new Case(b.label(), steps);
+        return new FaultScript(b.label(), steps);
     }
 
     // ---- expectations ----------------------------------------------------------------------------------
@@ -288,11 +290,13 @@
     private Expectation expectation(Hcl.Block b) throws Hcl.Invalid {
         String about = word(b, "about", "", null);
         Set<String> fleetNames =
-                new LinkedHashSet<>(fleets.stream().map(Site::name).toList());
+                new LinkedHashSet<>(fleets.stream().map(Deployment::name).toList());
         fleetNames.add(site.name());
         Set<String> inFleets = namesOf(b, "fleets", fleetNames);
-        Set<String> inCases = namesOf(b, "cases", cases.stream().map(Case::name).toList());
-        Set<String> atLoads = namesOf(b, "loads", loads.stream().map(Load::name).toList());
+        Set<String> inCases =
+                namesOf(b, "cases", cases.stream().map(FaultScript::name).toList());
+        Set<String> atLoads =
+                namesOf(b, "loads", loads.stream().map(Workload::name).toList());
         List<Condition> given = new ArrayList<>();
         for (Hcl.Block g : b.blocks("given")) {
             given.add(condition(g));
@@ -300,7 +304,7 @@
         List<Hcl.Block> forms =
                 b.blocks().stream().filter(f -> FORMS.contains(f.type())).toList();
         Set<String> types = new HashSet<>(forms.stream().map(Hcl.Block::type).toList());
-        Expectation.After after = null;
+        Expectation.Window after = null;
         for (Hcl.Block a : b.blocks("after")) {
             after = after(a);
         }
@@ -314,17 +318,17 @@
         if (b.blocks("after").size() > 1 || forms.size() > 1 && !types.contains("must")) {
             throw b.invalid("\"" + b.label() + "\" may have several given and must blocks, one of all others");
         }
-        Expectation.Form form = form(b, forms);
+        Expectation.Requirement form = form(b, forms);
         if (form instanceof Expectation.Eventually && after == null) {
             throw b.invalid("\"" + b.label() + "\" wants a block after: since when must it come?");
         }
         Expectation e = new Expectation(
-                b.label(), about, b.place(), inFleets, inCases, atLoads, new Condition.All(given), form, after);
+                b.label(), about, b.place(), inFleets, inCases, atLoads, new Condition.AllOf(given), form, after);
         kinds(b, e);
         return e;
     }
 
-    private Expectation.Form form(Hcl.Block b, List<Hcl.Block> forms) throws Hcl.Invalid {
+    private Expectation.Requirement form(Hcl.Block b, List<Hcl.Block> forms) throws Hcl.Invalid {
         Hcl.Block f = forms.get(0);
         switch (f.type()) {
             case "must" -> {
@@ -332,7 +336,7 @@
                 for (Hcl.Block must : forms) {
                     parts.add(condition(must));
                 }
-                return new Expectation.Must(new Condition.All(parts));
+                return new Expectation.Must(new Condition.AllOf(parts));
             }
             case "never" -> {
                 return new Expectation.Never(condition(f));
@@ -346,17 +350,17 @@
                 return new Expectation.Share(condition(f), least, most);
             }
             case "settings" -> {
-                List<Expectation.Figure> figures = new ArrayList<>();
+                List<Expectation.SettingRange> figures = new ArrayList<>();
                 for (Hcl.Value v : f.values()) {
                     Double figure = names.get(v.key());
                     if (figure == null) {
                         throw v.invalid("names no figure of the settings" + Hcl.near(v.key(), names.keySet()));
                     }
-                    figures.add(
-                            new Expectation.Figure(figure, quantity.range(v), v.place(), v.key() + " = " + v.value()));
+                    figures.add(new Expectation.SettingRange(
+                            figure, quantity.range(v), v.place(), v.key() + " = " + v.value()));
                 }
                 f.close(List.of());
-                return new Expectation.Figures(figures);
+                return new Expectation.SettingRanges(figures);
             }
             case "eventually" -> {
                 int chances = (int) figure(f, "chances", 20, 1, 1e6);
@@ -371,8 +375,8 @@
                 double least = figure(f, "at_least", 0, 0, 1e9);
                 double most = figure(f, "at_most", Double.POSITIVE_INFINITY, 0, Double.POSITIVE_INFINITY);
                 return new Expectation.Count(
-                        find(of, Expectation.Of.values(), o -> o.name().toLowerCase(), "of"),
-                        find(per, Expectation.Per.values(), p -> p.name().toLowerCase(), "per"),
+                        find(of, Expectation.CountedItem.values(), o -> o.name().toLowerCase(), "of"),
+                        find(per, Expectation.CountScope.values(), p -> p.name().toLowerCase(), "per"),
                         least,
                         most,
                         condition(f));
@@ -383,36 +387,36 @@
     /** An expectation speaks of attempts or of answers: a test of the one says nothing of the other. */
     private static void kinds(Hcl.Block b, Expectation e) throws Hcl.Invalid {
         Set<String> spoken = new HashSet<>();
-        tests(e.given(), spoken);
-        tests(e.form().that(), spoken);
+        tests(e.precondition(), spoken);
+        tests(e.requirement().condition(), spoken);
         boolean attempts = spoken.contains("attempt")
                 || spoken.contains("target")
                 || spoken.contains("source")
-                || e.form() instanceof Expectation.Count;
+                || e.requirement() instanceof Expectation.Count;
         if (attempts && spoken.contains("answer")) {
             throw b.invalid("\"" + b.label() + "\" speaks of attempts and of answers: they are different moments");
         }
     }
 
     private static void tests(Condition c, Set<String> blocks) {
-        if (c instanceof Condition.Test t) {
+        if (c instanceof Condition.FieldTest t) {
             blocks.add(t.field().block());
-        } else if (c instanceof Condition.All all) {
-            all.parts().forEach(p -> tests(p, blocks));
-        } else if (c instanceof Condition.Either either) {
-            either.parts().forEach(p -> tests(p, blocks));
+        } else if (c instanceof Condition.AllOf all) {
+            all.conditions().forEach(p -> tests(p, blocks));
+        } else if (c instanceof Condition.AnyOf either) {
+            either.conditions().forEach(p -> tests(p, blocks));
         } else if (c instanceof Condition.Not not) {
-            tests(not.part(), blocks);
+            tests(not.condition(), blocks);
         }
     }
 
     private Condition condition(Hcl.Block b) throws Hcl.Invalid {
         List<Condition> parts = new ArrayList<>();
         List<Condition> either = new ArrayList<>();
-        List<String> known = new ArrayList<>(Field.blocks());
+        List<String> known = new ArrayList<>(EventField.blockNames());
         known.addAll(List.of("either", "not"));
         for (Hcl.Block inner : b.blocks()) {
-            if (Field.blocks().contains(inner.type())) {
+            if (EventField.blockNames().contains(inner.type())) {
                 parts.addAll(tests(inner));
             } else if (inner.type().equals("either")) {
                 either.add(condition(inner));
@@ -422,27 +426,27 @@
         }
         b.close(known);
         if (!either.isEmpty()) {
-            parts.add(new Condition.Either(either));
+            parts.add(new Condition.AnyOf(either));
         }
         if (parts.isEmpty()) {
             throw b.invalid("asks for nothing");
         }
-        return new Condition.All(parts);
+        return new Condition.AllOf(parts);
     }
 
     private List<Condition> tests(Hcl.Block b) throws Hcl.Invalid {
         List<Condition> tests = new ArrayList<>();
-        List<Field> fields = Field.in(b.type());
+        List<EventField> fields = EventField.inBlock(b.type());
         for (Hcl.Value v : b.values()) {
-            Field field = fields.stream()
+            EventField field = fields.stream()
                     .filter(f -> f.key().equals(v.key()))
                     .findFirst()
                     .orElse(null);
             if (field == null) {
                 throw v.invalid("is unknown in block " + b.type()
-                        + Hcl.near(v.key(), fields.stream().map(Field::key).toList()));
+                        + Hcl.near(v.key(), fields.stream().map(EventField::key).toList()));
             }
-            tests.add(new Condition.Test(
+            tests.add(new Condition.FieldTest(
                     field, matcher(field, v), v.place(), b.type() + "." + v.key() + " = " + v.value()));
         }
         b.close(List.of());
@@ -452,9 +456,9 @@
         return tests;
     }
 
-    private Condition.Matcher matcher(Field field, Hcl.Value v) throws Hcl.Invalid {
-        return switch (field.type()) {
-            case FLAG -> new Condition.Flag(v.flag());
+    private Condition.Matcher matcher(EventField field, Hcl.Value v) throws Hcl.Invalid {
+        return switch (field.valueType()) {
+            case FLAG -> new Condition.BooleanValue(v.flag());
             case NUMBER, TIME -> quantity.range(v);
             case WORD -> {
                 List<String> words = v.texts();
@@ -469,62 +473,68 @@
                         throw v.invalid("names " + w + ", which is none" + Hcl.near(w, known));
                     }
                 }
-                yield new Condition.Words(wanted, not);
+                yield new Condition.OneOfWords(wanted, not);
             }
         };
     }
 
     /** The words that a field can have; null where they can't be known. */
-    private Collection<String> words(Field field) {
+    private Collection<String> words(EventField field) {
         return switch (field) {
-            case CLASS -> site.classes();
+            case CLASS -> site.classNames();
             case EFFECT ->
                 Arrays.stream(Director.Effect.values())
                         .map(e -> e.name().toLowerCase())
                         .toList();
             case OBJECTS -> List.of("hot", "ordinary", "once");
             case TARGET_ROLE, SOURCE_ROLE ->
-                Arrays.stream(Site.Role.values()).map(Site.Role::word).toList();
-            case TARGET_MODEL, SOURCE_MODEL -> site.kinds();
+                Arrays.stream(Deployment.Role.values())
+                        .map(Deployment.Role::label)
+                        .toList();
+            case TARGET_MODEL, SOURCE_MODEL -> site.modelNames();
             case TARGET_STATE, SOURCE_STATE, TARGET_ACTUAL, SOURCE_ACTUAL ->
-                Arrays.stream(Moment.Told.values()).map(Moment.Told::word).toList();
+                Arrays.stream(RoutingEvent.ListedState.values())
+                        .map(RoutingEvent.ListedState::label)
+                        .toList();
             case TARGET_FAULT, SOURCE_FAULT -> List.of("none", "hang", "slow", "full", "fail");
             case OUTCOME ->
-                Arrays.stream(Moment.Ending.values()).map(Moment.Ending::word).toList();
+                Arrays.stream(RoutingEvent.TryOutcome.values())
+                        .map(RoutingEvent.TryOutcome::label)
+                        .toList();
             case REQUEST_STATION, TARGET_STATION, SOURCE_STATION -> {
-                Set<String> stations = new LinkedHashSet<>(site.zones());
-                fleets.forEach(f -> stations.addAll(f.zones()));
+                Set<String> stations = new LinkedHashSet<>(site.stationNames());
+                fleets.forEach(f -> stations.addAll(f.stationNames()));
                 yield stations;
             }
             default -> null;
         };
     }
 
-    private Expectation.After after(Hcl.Block b) throws Hcl.Invalid {
-        Set<Moment.Told> told = new LinkedHashSet<>();
+    private Expectation.Window after(Hcl.Block b) throws Hcl.Invalid {
+        Set<RoutingEvent.ListedState> told = new LinkedHashSet<>();
         boolean started = false;
         Hcl.Value toldOf = b.value("told");
         for (String w : toldOf == null ? List.<String>of() : toldOf.texts()) {
             if (w.equals("started")) {
                 started = true;
             } else {
-                told.add(find(toldOf, w, Moment.Told.values(), Moment.Told::word, "told"));
+                told.add(find(toldOf, w, RoutingEvent.ListedState.values(), RoutingEvent.ListedState::label, "told"));
             }
         }
         Set<Fault.Kind> happens = new LinkedHashSet<>();
         Hcl.Value happensOf = b.value("happens");
         for (String w : happensOf == null ? List.<String>of() : happensOf.texts()) {
-            happens.add(find(happensOf, w, Fault.Kind.values(), Fault.Kind::word, "happens"));
+            happens.add(find(happensOf, w, Fault.Kind.values(), Fault.Kind::label, "happens"));
         }
-        Set<Site.Role> roles = new LinkedHashSet<>();
+        Set<Deployment.Role> roles = new LinkedHashSet<>();
         Hcl.Value kind = b.value("kind");
         for (String w : kind == null ? List.<String>of() : kind.texts()) {
-            roles.add(find(kind, w, Site.Role.values(), Site.Role::word, "kind"));
+            roles.add(find(kind, w, Deployment.Role.values(), Deployment.Role::label, "kind"));
         }
-        Set<Moment.Told> until = new LinkedHashSet<>();
+        Set<RoutingEvent.ListedState> until = new LinkedHashSet<>();
         Hcl.Value untilOf = b.value("until");
         for (String w : untilOf == null ? List.<String>of() : untilOf.texts()) {
-            until.add(find(untilOf, w, Moment.Told.values(), Moment.Told::word, "until"));
+            until.add(find(untilOf, w, RoutingEvent.ListedState.values(), RoutingEvent.ListedState::label, "until"));
         }
         Hcl.Value own = b.value("own");
         boolean ownOnly = own != null && own.flag();
@@ -538,7 +548,7 @@
         if (by <= from) {
             throw b.invalid("ends before it begins: within must be more than from");
         }
-        return new Expectation.After(told, started, happens, roles, ownOnly, from, by, until);
+        return new Expectation.Window(told, started, happens, roles, ownOnly, from, by, until);
     }
 
     // ---- values ----------------------------------------------------------------------------------------
--- a/doorman/src/main/java/barleyspur/config/Sites.java
+++ b/doorman/src/main/java/barleyspur/config/Sites.java
@@ -3,7 +3,7 @@
 import barleyspur.decision.Director;
 import barleyspur.doorman.NodeListing;
 import barleyspur.expect.Box;
-import barleyspur.expect.Site;
+import barleyspur.expect.Deployment;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
@@ -27,7 +27,7 @@
      * boxes that are in service at its end, with the numbers that doormans give them. Where it knows of none, a small fleet is made up, with the stations and
      * doormans that the settings count.
      */
-    public static Site read(JSONObject json) throws Configuration.Invalid {
+    public static Deployment read(JSONObject json) throws Configuration.Invalid {
         Configuration configuration = Configuration.read(json, Map.of());
         Map<String, String> told = SettingsReader.flatten(json.getJSONObject("settings"));
         Director.Settings base = configuration.settings();
@@ -46,7 +46,7 @@
         if (boxes.isEmpty()) {
             boxes = madeUp(base, names, new HashSet<>(doormans));
         }
-        return Site.of(OWN, told, base, doormans, names.zones(), names.kinds(), names.classes(), boxes);
+        return Deployment.of(OWN, told, base, doormans, names.zones(), names.kinds(), names.classes(), boxes);
     }
 
     private static List<Box> known(JSONObject known, Configuration.Names names) throws Configuration.Invalid {
@@ -109,9 +109,9 @@
     }
 
     /** A described fleet with the settings of another. */
-    static Site described(
+    static Deployment described(
             String name,
-            Site like,
+            Deployment like,
             List<String> zones,
             List<Integer> doormanZones,
             List<ExpectationFiles.Box> described) {
@@ -119,6 +119,14 @@
         for (ExpectationFiles.Box b : described) {
             boxes.add(new Box(b.uid(), boxes.size() + 1L, b.zone(), b.kind(), 0, b.size()));
         }
-        return Site.of(name, like.told(), like.any(), doormanZones, zones, like.kinds(), like.classes(), boxes);
+        return Deployment.of(
+                name,
+                like.rawSettings(),
+                like.sharedSettings(),
+                doormanZones,
+                zones,
+                like.modelNames(),
+                like.classNames(),
+                boxes);
     }
 }
--- a/doorman/src/main/java/barleyspur/config/Traces.java
+++ b/doorman/src/main/java/barleyspur/config/Traces.java
@@ -1,12 +1,12 @@
 package barleyspur.config;
 
-import barleyspur.expect.Ask;
 import barleyspur.expect.Box;
 import barleyspur.expect.Checker;
+import barleyspur.expect.ClientRequest;
+import barleyspur.expect.Deployment;
 import barleyspur.expect.Expectation;
 import barleyspur.expect.Fault;
 import barleyspur.expect.Scenario;
-import barleyspur.expect.Site;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -28,51 +28,53 @@
     /** The file's text. */
     public static String write(Checker.Counterexample c, List<String> files, Map<String, String> texts) {
         Scenario s = c.scenario();
-        Site site = s.site();
+        Deployment site = s.deployment();
         JSONObject json = new JSONObject();
         json.put("barleyspur_trace", VERSION)
-                .put("expectation", c.expectation())
+                .put("expectation", c.expectationName())
                 .put("files", new JSONArray(files))
                 .put("texts", new JSONObject(texts));
         json.put(
                 "fleet",
                 new JSONObject()
                         .put("name", site.name())
-                        .put("zones", new JSONArray(site.zones()))
-                        .put("kinds", new JSONArray(site.kinds()))
-                        .put("classes", new JSONArray(site.classes()))
+                        .put("zones", new JSONArray(site.stationNames()))
+                        .put("kinds", new JSONArray(site.modelNames()))
+                        .put("classes", new JSONArray(site.classNames()))
                         .put("doormans", new JSONArray(site.doormanZones()))
-                        .put("settings", new JSONObject(site.told())));
+                        .put("settings", new JSONObject(site.rawSettings())));
         JSONArray boxes = new JSONArray();
         for (Box b : site.boxes()) {
-            boxes.put(new JSONArray(List.of(b.uid(), b.node(), b.zone(), b.kind(), b.cell(), b.size())));
+            boxes.put(new JSONArray(
+                    List.of(b.uid(), b.nodeId(), b.zoneIndex(), b.modelIndex(), b.cell(), b.concurrentTransfers())));
         }
         JSONArray faults = new JSONArray();
         for (Fault f : s.faults()) {
-            faults.put(new JSONArray(List.of(f.kind().word(), f.node(), f.atMs(), f.toldMs(), f.forMs(), f.size())));
+            faults.put(new JSONArray(
+                    List.of(f.kind().label(), f.nodeId(), f.atMs(), f.listDelayMs(), f.durationMs(), f.magnitude())));
         }
         JSONArray asks = new JSONArray();
-        for (Ask a : s.asks()) {
+        for (ClientRequest a : s.requests()) {
             asks.put(new JSONArray(List.of(
-                    a.number(),
-                    a.atMs(),
-                    a.doorman(),
-                    a.category(),
-                    a.object(),
-                    a.set(),
-                    a.part(),
-                    a.group(),
+                    a.index(),
+                    a.arrivalMs(),
+                    a.doormanIndex(),
+                    a.classIndex(),
+                    a.objectId(),
+                    a.objectSet(),
+                    a.partIndex(),
+                    a.groupId(),
                     a.sizeKb(),
-                    a.remainingMs(),
-                    a.leavesMs())));
+                    a.timeoutMs(),
+                    a.leavesAfterMs())));
         }
-        json.put("mean_work", new JSONArray(s.meanWork()))
+        json.put("mean_work", new JSONArray(s.meanWorkMs()))
                 .put("boxes", boxes)
                 .put("events", faults)
                 .put("requests", asks)
                 .put("seed", s.seed())
-                .put("retries", s.retries())
-                .put("marked", s.marked());
+                .put("retries", s.maxRetries())
+                .put("marked", s.marksRetries());
         return json.toString(1);
     }
 
@@ -94,7 +96,7 @@
                 JSONArray b = (JSONArray) o;
                 boxes.add(new Box(b.getString(0), b.getLong(1), b.getInt(2), b.getInt(3), b.getInt(4), b.getDouble(5)));
             }
-            Site site = Site.of(
+            Deployment site = Deployment.of(
                     fleet.getString("name"),
                     told,
                     SettingsReader.read(told),
@@ -114,10 +116,10 @@
                         f.getDouble(4),
                         f.getDouble(5)));
             }
-            List<Ask> asks = new ArrayList<>();
+            List<ClientRequest> asks = new ArrayList<>();
             for (Object o : json.getJSONArray("requests")) {
                 JSONArray a = (JSONArray) o;
-                asks.add(new Ask(
+                asks.add(new ClientRequest(
                         a.getInt(0),
                         a.getDouble(1),
                         a.getInt(2),
@@ -146,7 +148,7 @@
         }
     }
 
-    private static Expectation expectation(String file, JSONObject json, Site site) throws Hcl.Invalid {
+    private static Expectation expectation(String file, JSONObject json, Deployment site) throws Hcl.Invalid {
         JSONObject texts = json.getJSONObject("texts");
         ExpectationFiles.Read read = ExpectationFiles.read(
                 texts(json.getJSONArray("files")),
@@ -167,7 +169,7 @@
 
     private static Fault.Kind kind(String word) {
         for (Fault.Kind kind : Fault.Kind.values()) {
-            if (kind.word().equals(word)) {
+            if (kind.label().equals(word)) {
                 return kind;
             }
         }
--- a/doorman/src/main/java/barleyspur/expect/Checker.java
+++ b/doorman/src/main/java/barleyspur/expect/Checker.java
@@ -12,8 +12,12 @@
 public final class Checker {
 
     /** What is to be checked: expectations, and where. */
-    public record Book(
-            List<Expectation> expectations, List<Site> fleets, List<Load> loads, List<Case> cases, int depth) {}
+    public record Suite(
+            List<Expectation> expectations,
+            List<Deployment> deployments,
+            List<Workload> workloads,
+            List<FaultScript> faultScripts,
+            int maxSequenceLength) {}
 
     /** How it went with one expectation. */
     public enum Verdict {
@@ -21,15 +25,15 @@
         REFUTED("refuted"),
         VACUOUS("vacuous");
 
-        private final String word;
+        private final String labelText;
 
         Verdict(String word) {
-            this.word = word;
+            this.labelText = word;
         }
 
         /** The verdict in one word, as it is printed. */
-        public String word() {
-            return word;
+        public String label() {
+            return labelText;
         }
     }
 
@@ -40,36 +44,41 @@
      * @param scenario what is left of it
      */
     public record Counterexample(
-            Scenario scenario, String expectation, int foundEvents, int foundRequests, int foundBoxes, int plays) {}
+            Scenario scenario,
+            String expectationName,
+            int originalFaults,
+            int originalRequests,
+            int originalBoxes,
+            int shrinkRuns) {}
 
     /**
-     * @param judged how many moments or windows it spoke of
-     * @param held   of how many of them it held
+     * @param evaluated how many moments or windows it spoke of
+     * @param satisfied   of how many of them it held
      * @param counterexample null unless refuted
      */
-    public record Finding(
+    public record ExpectationResult(
             Expectation expectation,
             Verdict verdict,
-            long judged,
-            long held,
+            long evaluated,
+            long satisfied,
             int refutedAtScenario,
             Counterexample counterexample) {}
 
     /** Two expectations that no moment met both of. */
-    public record Conflict(Expectation one, Expectation other, long moments) {}
+    public record Conflict(Expectation first, Expectation second, long eventCount) {}
 
     /** All that was found, and how much was played. */
     public record Result(
-            List<Finding> findings,
+            List<ExpectationResult> expectationResults,
             List<Conflict> conflicts,
             long scenarios,
             long decisions,
             long requests,
-            List<String> covered) {
+            List<String> coverageSummaries) {
 
         /** Whether every expectation holds; vacuous ones do where {@code strict} is false. */
-        public boolean good(boolean strict) {
-            return findings.stream()
+        public boolean isSuccess(boolean strict) {
+            return expectationResults.stream()
                     .noneMatch(f -> f.verdict() == Verdict.REFUTED || strict && f.verdict() == Verdict.VACUOUS);
         }
     }
@@ -77,178 +86,188 @@
     /** Told how far a check has come. */
     public interface Progress {
         /** So many scenarios and decisions have been played, and so many expectations are refuted. */
-        void played(long scenarios, long decisions, int refuted);
+        void onScenario(long scenarios, long decisions, int refuted);
 
         /** A counterexample to this expectation is being made shorter. */
-        void shrinking(String expectation);
+        void onShrink(String expectation);
 
         /** Tells nobody. */
         Progress NONE = new Progress() {
             @Override
-            public void played(long scenarios, long decisions, int refuted) {}
+            public void onScenario(long scenarios, long decisions, int refuted) {}
 
             @Override
-            public void shrinking(String expectation) {}
+            public void onShrink(String expectation) {}
         };
     }
 
-    private static final int SHRINK_PLAYS = 1_500;
+    private static final int MAX_SHRINK_RUNS = 1_500;
     /** Moments that two expectations must both have spoken of before they are said to contradict each other. */
-    private static final int LEAST_SHARED = 20;
+    private static final int MIN_JOINT_EVENTS = 20;
 
-    private final Book book;
-    private final World.Maker maker;
+    private final Suite suite;
+    private final ScenarioSimulation.PolicyFactory policyFactory;
     private final Progress progress;
-    private final List<Judge.Tally> totals = new ArrayList<>();
-    private final Map<Integer, Judge.Violation> violations = new HashMap<>();
-    private final Map<Integer, Explorer.Plan> foundIn = new HashMap<>();
-    private final Map<Integer, Integer> foundAt = new HashMap<>();
+    private final List<ExpectationEvaluator.Evaluation> totals = new ArrayList<>();
+    private final Map<Integer, ExpectationEvaluator.Violation> firstViolations = new HashMap<>();
+    private final Map<Integer, ScenarioGenerator.PlannedScenario> violatingScenarios = new HashMap<>();
+    private final Map<Integer, Integer> violatingScenarioNumbers = new HashMap<>();
     private long scenarios;
     private long decisions;
     private long requests;
 
-    Checker(Book book, World.Maker maker, Progress progress) {
-        this.book = book;
-        this.maker = maker;
+    Checker(Suite book, ScenarioSimulation.PolicyFactory maker, Progress progress) {
+        this.suite = book;
+        this.policyFactory = maker;
         this.progress = progress;
-        book.expectations().forEach(e -> totals.add(new Judge.Tally()));
+        book.expectations().forEach(e -> totals.add(new ExpectationEvaluator.Evaluation()));
     }
 
     /** With the decision module as it is. */
-    public static Checker of(Book book, Progress progress) {
-        return new Checker(book, Decide::new, progress);
+    public static Checker of(Suite suite, Progress progress) {
+        return new Checker(suite, Decide::new, progress);
     }
 
     /**
      * Plays scenarios as long as {@code more} says so, but each case and the fleet in which nothing happens in any
      * case, and makes counterexamples small.
      */
-    public Result run(long seed, BooleanSupplier more) {
-        List<Explorer> explorers = new ArrayList<>();
-        for (Site site : book.fleets()) {
-            explorers.add(new Explorer(site, book.loads(), book.cases(), seed, book.depth(), true));
+    public Result run(long seed, BooleanSupplier continueRunning) {
+        List<ScenarioGenerator> generators = new ArrayList<>();
+        for (Deployment deployment : suite.deployments()) {
+            generators.add(new ScenarioGenerator(
+                    deployment, suite.workloads(), suite.faultScripts(), seed, suite.maxSequenceLength(), true));
         }
-        int least = (book.cases().size() * Explorer.VARIANTS + 1) * book.loads().size();
-        boolean over = false;
-        for (int round = 0; !over; round++) {
-            for (int i = 0; i < explorers.size() && !over; i++) {
-                if (round >= least && !more.getAsBoolean()) {
-                    over = true;
+        int requiredRounds = (suite.faultScripts().size() * ScenarioGenerator.VARIANTS_PER_SCRIPT + 1)
+                * suite.workloads().size();
+        boolean stopped = false;
+        for (int round = 0; !stopped; round++) {
+            for (int i = 0; i < generators.size() && !stopped; i++) {
+                if (round >= requiredRounds && !continueRunning.getAsBoolean()) {
+                    stopped = true;
                 } else {
-                    play(explorers.get(i).next(), book.fleets().get(i));
+                    playScenario(generators.get(i).next(), suite.deployments().get(i));
                 }
             }
         }
-        List<Finding> findings = new ArrayList<>();
+        List<ExpectationResult> results = new ArrayList<>();
         for (int i = 0; i < totals.size(); i++) {
-            findings.add(finding(i));
+            results.add(resultOf(i));
         }
         return new Result(
-                findings,
-                conflicts(),
+                results,
+                findConflicts(),
                 scenarios,
                 decisions,
                 requests,
-                explorers.stream().map(Explorer::covered).toList());
+                generators.stream().map(ScenarioGenerator::coverageSummary).toList());
     }
 
-    private void play(Explorer.Plan plan, Site fleet) {
-        List<Expectation> about = new ArrayList<>();
-        List<Integer> places = new ArrayList<>();
-        for (int i = 0; i < book.expectations().size(); i++) {
-            Expectation e = book.expectations().get(i);
-            if (speaksOf(e.fleets(), fleet.name())
-                    && speaksOf(e.cases(), plan.caseName())
-                    && speaksOf(e.loads(), plan.loadName())) {
-                about.add(e);
-                places.add(i);
+    private void playScenario(ScenarioGenerator.PlannedScenario plan, Deployment deployment) {
+        List<Expectation> applicable = new ArrayList<>();
+        List<Integer> indexes = new ArrayList<>();
+        for (int i = 0; i < suite.expectations().size(); i++) {
+            Expectation expectation = suite.expectations().get(i);
+            if (matches(expectation.deployments(), deployment.name())
+                    && matches(expectation.cases(), plan.caseName())
+                    && matches(expectation.workloads(), plan.workloadName())) {
+                applicable.add(expectation);
+                indexes.add(i);
             }
         }
-        Judge judge = judge(plan.scenario(), about);
+        ExpectationEvaluator evaluator = evaluate(plan.scenario(), applicable);
         scenarios++;
-        requests += plan.scenario().asks().size();
-        for (int k = 0; k < places.size(); k++) {
-            Judge.Tally tally = judge.tallies().get(k);
-            int place = places.get(k);
-            Judge.Tally total = totals.get(place);
-            total.judged += tally.judged;
-            total.held += tally.held;
-            tally.shared.forEach((with, counts) -> {
-                long[] all = total.shared.computeIfAbsent(places.get(with), x -> new long[2]);
-                all[0] += counts[0];
-                all[1] += counts[1];
+        requests += plan.scenario().requests().size();
+        for (int k = 0; k < indexes.size(); k++) {
+            ExpectationEvaluator.Evaluation evaluation = evaluator.results().get(k);
+            int index = indexes.get(k);
+            ExpectationEvaluator.Evaluation total = totals.get(index);
+            total.evaluated += evaluation.evaluated;
+            total.satisfied += evaluation.satisfied;
+            evaluation.jointCounts.forEach((with, counts) -> {
+                long[] sums = total.jointCounts.computeIfAbsent(indexes.get(with), x -> new long[2]);
+                sums[0] += counts[0];
+                sums[1] += counts[1];
             });
-            if (tally.first != null && !violations.containsKey(place)) {
-                violations.put(place, tally.first);
-                foundIn.put(place, plan);
-                foundAt.put(place, (int) scenarios);
+            if (evaluation.firstViolation != null && !firstViolations.containsKey(index)) {
+                firstViolations.put(index, evaluation.firstViolation);
+                violatingScenarios.put(index, plan);
+                violatingScenarioNumbers.put(index, (int) scenarios);
             }
         }
         // A share is not refuted by one moment.
-        int refuted = (int) violations.values().stream()
-                .filter(v -> !(v.expectation().form() instanceof Expectation.Share))
+        int refuted = (int) firstViolations.values().stream()
+                .filter(v -> !(v.expectation().requirement() instanceof Expectation.Share))
                 .count();
-        progress.played(scenarios, decisions, refuted);
+        progress.onScenario(scenarios, decisions, refuted);
     }
 
-    private static boolean speaksOf(Set<String> names, String name) {
+    private static boolean matches(Set<String> names, String name) {
         return names.isEmpty() || names.contains(name);
     }
 
-    private Judge judge(Scenario scenario, List<Expectation> about) {
-        Judge judge = new Judge(scenario.site(), about);
-        World world = new World(scenario, maker, judge);
-        world.play();
-        judge.end();
-        decisions += world.decisions();
-        return judge;
+    private ExpectationEvaluator evaluate(Scenario scenario, List<Expectation> expectations) {
+        ExpectationEvaluator evaluator = new ExpectationEvaluator(scenario.deployment(), expectations);
+        ScenarioSimulation simulation = new ScenarioSimulation(scenario, policyFactory, evaluator);
+        simulation.run();
+        evaluator.finish();
+        decisions += simulation.decisionCount();
+        return evaluator;
     }
 
-    private Finding finding(int i) {
-        Expectation e = book.expectations().get(i);
-        if (e.form() instanceof Expectation.Figures f) {
-            int broken = f.broken().size();
-            return new Finding(
-                    e,
-                    broken == 0 ? Verdict.HOLDS : Verdict.REFUTED,
-                    f.figures().size(),
-                    f.figures().size() - broken,
+    private ExpectationResult resultOf(int index) {
+        Expectation expectation = suite.expectations().get(index);
+        if (expectation.requirement() instanceof Expectation.SettingRanges ranges) {
+            int violated = ranges.violated().size();
+            return new ExpectationResult(
+                    expectation,
+                    violated == 0 ? Verdict.HOLDS : Verdict.REFUTED,
+                    ranges.settings().size(),
+                    ranges.settings().size() - violated,
                     0,
                     null);
         }
-        Judge.Tally t = totals.get(i);
-        boolean refuted = violations.containsKey(i);
-        if (e.form() instanceof Expectation.Share s) {
-            double share = t.judged == 0 ? 1 : (double) t.held / t.judged;
-            refuted = share < s.least() || share > s.most();
+        ExpectationEvaluator.Evaluation total = totals.get(index);
+        boolean refuted = firstViolations.containsKey(index);
+        if (expectation.requirement() instanceof Expectation.Share requirement) {
+            double share = total.evaluated == 0 ? 1 : (double) total.satisfied / total.evaluated;
+            refuted = share < requirement.min() || share > requirement.max();
         }
-        Verdict verdict = t.judged == 0 ? Verdict.VACUOUS : refuted ? Verdict.REFUTED : Verdict.HOLDS;
-        Counterexample example = refuted && violations.containsKey(i) ? shrink(i, e) : null;
-        return new Finding(e, verdict, t.judged, t.held, refuted ? foundAt.getOrDefault(i, 0) : 0, example);
+        Verdict verdict = total.evaluated == 0 ? Verdict.VACUOUS : refuted ? Verdict.REFUTED : Verdict.HOLDS;
+        Counterexample counterexample =
+                refuted && firstViolations.containsKey(index) ? shrink(index, expectation) : null;
+        return new ExpectationResult(
+                expectation,
+                verdict,
+                total.evaluated,
+                total.satisfied,
+                refuted ? violatingScenarioNumbers.getOrDefault(index, 0) : 0,
+                counterexample);
     }
 
-    private Counterexample shrink(int i, Expectation e) {
-        progress.shrinking(e.name());
-        Scenario from = foundIn.get(i).scenario();
-        Shrinker shrinker = new Shrinker(s -> judge(s, List.of(e)).tallies().get(0).first != null, SHRINK_PLAYS);
-        Scenario small = shrinker.shrink(from, violations.get(i).atMs());
+    private Counterexample shrink(int index, Expectation expectation) {
+        progress.onShrink(expectation.name());
+        Scenario original = violatingScenarios.get(index).scenario();
+        Shrinker shrinker = new Shrinker(
+                s -> evaluate(s, List.of(expectation)).results().get(0).firstViolation != null, MAX_SHRINK_RUNS);
+        Scenario shrunk = shrinker.shrink(original, firstViolations.get(index).atMs());
         return new Counterexample(
-                small,
-                e.name(),
-                from.faults().size(),
-                from.asks().size(),
-                from.site().boxes().size(),
-                SHRINK_PLAYS - Math.max(0, shrinker.left()));
+                shrunk,
+                expectation.name(),
+                original.faults().size(),
+                original.requests().size(),
+                original.deployment().boxes().size(),
+                MAX_SHRINK_RUNS - Math.max(0, shrinker.unusedRuns()));
     }
 
-    private List<Conflict> conflicts() {
+    private List<Conflict> findConflicts() {
         List<Conflict> conflicts = new ArrayList<>();
         for (int i = 0; i < totals.size(); i++) {
-            for (Map.Entry<Integer, long[]> shared : totals.get(i).shared.entrySet()) {
+            for (Map.Entry<Integer, long[]> shared : totals.get(i).jointCounts.entrySet()) {
                 long[] counts = shared.getValue();
-                if (counts[0] >= LEAST_SHARED && counts[1] == 0) {
+                if (counts[0] >= MIN_JOINT_EVENTS && counts[1] == 0) {
                     conflicts.add(new Conflict(
-                            book.expectations().get(i), book.expectations().get(shared.getKey()), counts[0]));
+                            suite.expectations().get(i), suite.expectations().get(shared.getKey()), counts[0]));
                 }
             }
         }
--- a/doorman/src/main/java/barleyspur/expect/Condition.java
+++ b/doorman/src/main/java/barleyspur/expect/Condition.java
@@ -4,10 +4,10 @@
 import java.util.Set;
 
 /** What an expectation asks of a moment. */
-public sealed interface Condition permits Condition.All, Condition.Either, Condition.Not, Condition.Test {
+public sealed interface Condition permits Condition.AllOf, Condition.AnyOf, Condition.Not, Condition.FieldTest {
 
     /** Of which moments it speaks. */
-    enum Kind {
+    enum EventKind {
         ANY,
         ATTEMPT,
         ANSWER
@@ -16,22 +16,22 @@
     /**
      * Whether it holds of a moment.
      *
-     * @param trigger the box of the change that opened the window, or -1
+     * @param triggerNode the box of the change that opened the window, or -1
      */
-    boolean holds(Moment moment, long trigger);
+    boolean holds(RoutingEvent event, long triggerNode);
 
     /** What kind of values it compares. */
-    Kind kind();
+    EventKind eventKind();
 
     /** The first part of it, in the order of the file, that does not hold; null where it holds. */
-    Test broken(Moment moment, long trigger);
+    FieldTest firstFailure(RoutingEvent event, long triggerNode);
 
     /** Each of them holds; of none it holds always. */
-    record All(List<Condition> parts) implements Condition {
+    record AllOf(List<Condition> conditions) implements Condition {
         @Override
-        public boolean holds(Moment moment, long trigger) {
-            for (Condition part : parts) {
-                if (!part.holds(moment, trigger)) {
+        public boolean holds(RoutingEvent event, long triggerNode) {
+            for (Condition condition : conditions) {
+                if (!condition.holds(event, triggerNode)) {
                     return false;
                 }
             }
@@ -39,16 +39,16 @@
         }
 
         @Override
-        public Kind kind() {
-            return common(parts);
+        public EventKind eventKind() {
+            return commonKind(conditions);
         }
 
         @Override
-        public Test broken(Moment moment, long trigger) {
-            for (Condition part : parts) {
-                Test broken = part.broken(moment, trigger);
-                if (broken != null) {
-                    return broken;
+        public FieldTest firstFailure(RoutingEvent event, long triggerNode) {
+            for (Condition condition : conditions) {
+                FieldTest failure = condition.firstFailure(event, triggerNode);
+                if (failure != null) {
+                    return failure;
                 }
             }
             return null;
@@ -56,11 +56,11 @@
     }
 
     /** At least one of them holds. */
-    record Either(List<Condition> parts) implements Condition {
+    record AnyOf(List<Condition> conditions) implements Condition {
         @Override
-        public boolean holds(Moment moment, long trigger) {
-            for (Condition part : parts) {
-                if (part.holds(moment, trigger)) {
+        public boolean holds(RoutingEvent event, long triggerNode) {
+            for (Condition condition : conditions) {
+                if (condition.holds(event, triggerNode)) {
                     return true;
                 }
             }
@@ -68,31 +68,33 @@
         }
 
         @Override
-        public Kind kind() {
-            return common(parts);
+        public EventKind eventKind() {
+            return commonKind(conditions);
         }
 
         @Override
-        public Test broken(Moment moment, long trigger) {
-            return holds(moment, trigger) ? null : parts.get(parts.size() - 1).broken(moment, trigger);
+        public FieldTest firstFailure(RoutingEvent event, long triggerNode) {
+            return holds(event, triggerNode)
+                    ? null
+                    : conditions.get(conditions.size() - 1).firstFailure(event, triggerNode);
         }
     }
 
     /** It does not hold. */
-    record Not(Condition part) implements Condition {
+    record Not(Condition condition) implements Condition {
         @Override
-        public boolean holds(Moment moment, long trigger) {
-            return !part.holds(moment, trigger);
+        public boolean holds(RoutingEvent event, long triggerNode) {
+            return !condition.holds(event, triggerNode);
         }
 
         @Override
-        public Kind kind() {
-            return part.kind();
+        public EventKind eventKind() {
+            return condition.eventKind();
         }
 
         @Override
-        public Test broken(Moment moment, long trigger) {
-            return holds(moment, trigger) ? null : first(part);
+        public FieldTest firstFailure(RoutingEvent event, long triggerNode) {
+            return holds(event, triggerNode) ? null : firstTest(condition);
         }
     }
 
@@ -100,72 +102,72 @@
      * One line of an expectation: a field and what its value is to be. A field that has no value at that moment
      * (the source, where nothing is filled) fails every test.
      *
-     * @param place where it stands, as {@code FILE:LINE: KEY}
+     * @param location where it stands, as {@code FILE:LINE: KEY}
      */
-    record Test(Field field, Matcher matcher, String place, String text) implements Condition {
+    record FieldTest(EventField field, Matcher matcher, String location, String text) implements Condition {
         @Override
-        public boolean holds(Moment moment, long trigger) {
-            Object value = field.of(moment, trigger);
+        public boolean holds(RoutingEvent event, long triggerNode) {
+            Object value = field.extract(event, triggerNode);
             return value != null && matcher.matches(value);
         }
 
         @Override
-        public Kind kind() {
-            return field.kind();
+        public EventKind eventKind() {
+            return field.eventKind();
         }
 
         @Override
-        public Test broken(Moment moment, long trigger) {
-            return holds(moment, trigger) ? null : this;
+        public FieldTest firstFailure(RoutingEvent event, long triggerNode) {
+            return holds(event, triggerNode) ? null : this;
         }
     }
 
     /** What a value is compared with. */
-    sealed interface Matcher permits Words, Range, Flag {
+    sealed interface Matcher permits OneOfWords, Range, BooleanValue {
         /** Whether a value meets it. */
         boolean matches(Object value);
     }
 
     /** One of these words, or with {@code not} none of them. */
-    record Words(Set<String> words, boolean not) implements Matcher {
+    record OneOfWords(Set<String> words, boolean negated) implements Matcher {
         @Override
         public boolean matches(Object value) {
-            return words.contains(value.toString()) != not;
+            return words.contains(value.toString()) != negated;
         }
     }
 
     /** From least to most; ends that are not {@code open} belong to it. */
-    record Range(double least, boolean leastOpen, double most, boolean mostOpen) implements Matcher {
+    record Range(double min, boolean minExclusive, double max, boolean maxExclusive) implements Matcher {
         @Override
         public boolean matches(Object value) {
-            double v = ((Number) value).doubleValue();
-            return (leastOpen ? v > least : v >= least) && (mostOpen ? v < most : v <= most);
+            double number = ((Number) value).doubleValue();
+            return (minExclusive ? number > min : number >= min) && (maxExclusive ? number < max : number <= max);
         }
     }
 
     /** Exactly this. */
-    record Flag(boolean wanted) implements Matcher {
+    record BooleanValue(boolean expected) implements Matcher {
         @Override
         public boolean matches(Object value) {
-            return wanted == (Boolean) value;
+            return expected == (Boolean) value;
         }
     }
 
-    private static Kind common(List<Condition> parts) {
-        Kind kind = Kind.ANY;
-        for (Condition part : parts) {
-            kind = part.kind() == Kind.ANY ? kind : part.kind();
+    private static EventKind commonKind(List<Condition> conditions) {
+        EventKind kind = EventKind.ANY;
+        for (Condition condition : conditions) {
+            kind = condition.eventKind() == EventKind.ANY ? kind : condition.eventKind();
         }
         return kind;
     }
 
-    private static Test first(Condition condition) {
-        if (condition instanceof Test test) {
+    private static FieldTest firstTest(Condition condition) {
+        if (condition instanceof FieldTest test) {
             return test;
         }
-        List<Condition> parts = condition instanceof All all
-                ? all.parts()
-                : condition instanceof Either either ? either.parts() : List.of(((Not) condition).part());
-        return parts.isEmpty() ? null : first(parts.get(0));
+        List<Condition> conditions = condition instanceof AllOf all
+                ? all.conditions()
+                : condition instanceof AnyOf either ? either.conditions() : List.of(((Not) condition).condition());
+        return conditions.isEmpty() ? null : firstTest(conditions.get(0));
     }
 }
--- /dev/null
+++ b/doorman/src/main/java/barleyspur/expect/ExpectationEvaluator.java
@@ -0,0 +1,333 @@
+package barleyspur.expect;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Locale;
+import java.util.Map;
+import java.util.Set;
+
+/** Judges the moments of one scenario by a list of expectations. */
+final class ExpectationEvaluator implements SimulationObserver {
+
+    /**
+     * A moment that an expectation does not allow.
+     *
+     * @param event null where something was to come and did not
+     * @param failedTest the line of the expectation that does not hold; null where none can be named
+     * @param message   in words
+     */
+    record Violation(
+            Expectation expectation, double atMs, RoutingEvent event, Condition.FieldTest failedTest, String message) {}
+
+    /** How one expectation fared in one scenario, or in many. */
+    static final class Evaluation {
+        /** Moments or windows that it spoke of. */
+        long evaluated;
+
+        long satisfied;
+        /** Moments that it spoke of as well as the expectation of that place in the list, and how many both hold of. */
+        final Map<Integer, long[]> jointCounts = new HashMap<>();
+
+        Violation firstViolation;
+
+        void add(Evaluation other) {
+            evaluated += other.evaluated;
+            satisfied += other.satisfied;
+            other.jointCounts.forEach((with, counts) -> {
+                long[] sums = jointCounts.computeIfAbsent(with, k -> new long[2]);
+                sums[0] += counts[0];
+                sums[1] += counts[1];
+            });
+        }
+    }
+
+    private static final class OpenWindow {
+        final int doormanIndex;
+        final long nodeId;
+        final double opensAtMs;
+        double closesAtMs;
+        boolean satisfied;
+        boolean closedEarly;
+        int eventCount;
+
+        OpenWindow(int doorman, long node, double from, double by) {
+            this.doormanIndex = doorman;
+            this.nodeId = node;
+            this.opensAtMs = from;
+            this.closesAtMs = by;
+        }
+    }
+
+    private record AttemptCount(Set<Object> distinctNodes, long[] attemptCounter) {}
+
+    private final Deployment deployment;
+    private final List<Expectation> expectations;
+    private final List<Condition.EventKind> eventKinds;
+    private final List<Evaluation> evaluations = new ArrayList<>();
+    private final List<List<OpenWindow>> openWindows = new ArrayList<>();
+    private final List<Map<Object, AttemptCount>> attemptCounts = new ArrayList<>();
+    /** What each expectation said of the moment at hand: null: nothing. */
+    private final Boolean[] currentResults;
+
+    private double lastEventMs;
+
+    ExpectationEvaluator(Deployment site, List<Expectation> expectations) {
+        this.deployment = site;
+        this.expectations = expectations;
+        eventKinds = expectations.stream().map(Expectation::eventKind).toList();
+        expectations.forEach(e -> {
+            evaluations.add(new Evaluation());
+            openWindows.add(new ArrayList<>());
+            attemptCounts.add(new HashMap<>());
+        });
+        currentResults = new Boolean[expectations.size()];
+    }
+
+    List<Evaluation> results() {
+        return evaluations;
+    }
+
+    @Override
+    public void onFault(double atMs, Fault fault, Box box) {
+        lastEventMs = atMs;
+        for (int i = 0; i < expectations.size(); i++) {
+            Expectation.Window window = expectations.get(i).window();
+            if (window != null && window.faults().contains(fault.kind()) && (box == null || matchesRole(window, box))) {
+                openWindow(i, window, -1, box == null ? -1 : box.nodeId(), atMs);
+            }
+        }
+    }
+
+    @Override
+    public void onListUpdate(double atMs, int doormanIndex, Box box, RoutingEvent.ListedState state, boolean newStart) {
+        lastEventMs = atMs;
+        for (int i = 0; i < expectations.size(); i++) {
+            Expectation.Window window = expectations.get(i).window();
+            boolean applies = window != null
+                    && (!window.ownStationOnly()
+                            || deployment.doormanSettings().get(doormanIndex).zone() == box.zoneIndex());
+            if (!applies || !matchesRole(window, box)) {
+                continue;
+            }
+            if (window.closingStates().contains(state)) {
+                for (OpenWindow openWindow : openWindows.get(i)) {
+                    if (openWindow.nodeId == box.nodeId()
+                            && (openWindow.doormanIndex < 0 || openWindow.doormanIndex == doormanIndex)
+                            && atMs < openWindow.closesAtMs) {
+                        openWindow.closesAtMs = atMs;
+                        openWindow.closedEarly = true;
+                    }
+                }
+            }
+            if (window.listedStates().contains(state) || newStart && window.onStart()) {
+                openWindow(i, window, doormanIndex, box.nodeId(), atMs);
+            }
+        }
+    }
+
+    private boolean matchesRole(Expectation.Window window, Box box) {
+        return window.roles().isEmpty() || window.roles().contains(deployment.roleOf(box));
+    }
+
+    private void openWindow(int index, Expectation.Window window, int doormanIndex, long nodeId, double atMs) {
+        openWindows
+                .get(index)
+                .add(new OpenWindow(doormanIndex, nodeId, atMs + window.opensAfterMs(), atMs + window.closesAfterMs()));
+    }
+
+    @Override
+    public void onRoutingEvent(RoutingEvent event) {
+        lastEventMs = event.atMs();
+        Condition.EventKind kind =
+                event instanceof RoutingEvent.Attempt ? Condition.EventKind.ATTEMPT : Condition.EventKind.ANSWER;
+        for (int i = 0; i < expectations.size(); i++) {
+            Expectation expectation = expectations.get(i);
+            currentResults[i] = null;
+            if (eventKinds.get(i) != kind || expectation.requirement() instanceof Expectation.SettingRanges) {
+                continue;
+            }
+            if (expectation.window() == null) {
+                evaluate(i, event, -1, null);
+            } else {
+                for (OpenWindow openWindow : openWindows.get(i)) {
+                    boolean applies = openWindow.doormanIndex < 0
+                            || openWindow.doormanIndex
+                                    == event.clientTry().request().doormanIndex();
+                    if (applies && event.atMs() >= openWindow.opensAtMs && event.atMs() < openWindow.closesAtMs) {
+                        evaluate(i, event, openWindow.nodeId, openWindow);
+                    }
+                }
+            }
+        }
+        countAgreements();
+    }
+
+    private void evaluate(int index, RoutingEvent event, long triggerNode, OpenWindow openWindow) {
+        Expectation expectation = expectations.get(index);
+        if (!expectation.precondition().holds(event, triggerNode)) {
+            return;
+        }
+        Evaluation evaluation = evaluations.get(index);
+        boolean conditionHolds = expectation.requirement().condition().holds(event, triggerNode);
+        Expectation.Requirement requirement = expectation.requirement();
+        if (requirement instanceof Expectation.Share share) {
+            // Where too many are so, one that is so shows why; else one that is not.
+            boolean isExample = share.min() > 0 ? !conditionHolds : conditionHolds;
+            record(
+                    index,
+                    conditionHolds,
+                    event,
+                    conditionHolds
+                            ? null
+                            : expectation.requirement().condition().firstFailure(event, triggerNode),
+                    share.min() > 0 ? "does not hold" : "holds too often",
+                    isExample);
+        } else if (requirement instanceof Expectation.Must) {
+            record(
+                    index,
+                    conditionHolds,
+                    event,
+                    conditionHolds
+                            ? null
+                            : expectation.requirement().condition().firstFailure(event, triggerNode),
+                    "does not hold",
+                    !conditionHolds);
+        } else if (requirement instanceof Expectation.Never) {
+            record(
+                    index,
+                    !conditionHolds,
+                    event,
+                    conditionHolds
+                            ? new Condition.Not(expectation.requirement().condition()).firstFailure(event, triggerNode)
+                            : null,
+                    "must never hold",
+                    conditionHolds);
+        } else if (requirement instanceof Expectation.Eventually) {
+            openWindow.eventCount++;
+            openWindow.satisfied |= conditionHolds;
+        } else if (requirement instanceof Expectation.Count count && conditionHolds) {
+            evaluation.evaluated++;
+            evaluation.satisfied++;
+            countAttempt(index, count, (RoutingEvent.Attempt) event);
+        }
+    }
+
+    private void record(
+            int index,
+            boolean isSatisfied,
+            RoutingEvent event,
+            Condition.FieldTest failedTest,
+            String message,
+            boolean isExample) {
+        Evaluation evaluation = evaluations.get(index);
+        evaluation.evaluated++;
+        evaluation.satisfied += isSatisfied ? 1 : 0;
+        if (!(expectations.get(index).requirement() instanceof Expectation.Share)) {
+            currentResults[index] = isSatisfied && (currentResults[index] == null || currentResults[index]);
+        }
+        if (isExample && evaluation.firstViolation == null) {
+            evaluation.firstViolation =
+                    new Violation(expectations.get(index), event.atMs(), event, failedTest, message);
+        }
+    }
+
+    private void countAttempt(int index, Expectation.Count count, RoutingEvent.Attempt attempt) {
+        Object key =
+                switch (count.scope()) {
+                    case REQUEST -> attempt.clientTry().id();
+                    case OBJECT -> attempt.clientTry().request().objectId();
+                    case BOX -> attempt.target().box().nodeId();
+                    case STATION -> attempt.clientTry().zoneIndex();
+                    case SCENARIO -> 0;
+                };
+        AttemptCount attemptCount =
+                attemptCounts.get(index).computeIfAbsent(key, k -> new AttemptCount(new HashSet<>(), new long[1]));
+        attemptCount.attemptCounter[0]++;
+        if (count.item() == Expectation.CountedItem.TARGETS) {
+            attemptCount.distinctNodes.add(attempt.target().box().nodeId());
+        } else if (count.item() == Expectation.CountedItem.SOURCES && attempt.source() != null) {
+            attemptCount.distinctNodes.add(attempt.source().box().nodeId());
+        }
+        double number = currentCount(count, attemptCount);
+        if (number > count.max() && evaluations.get(index).firstViolation == null) {
+            evaluations.get(index).satisfied--;
+            evaluations.get(index).firstViolation = new Violation(
+                    expectations.get(index),
+                    attempt.atMs(),
+                    attempt,
+                    null,
+                    describeCount(count, number) + ", more than " + formatNumber(count.max()));
+        }
+    }
+
+    private static double currentCount(Expectation.Count count, AttemptCount attemptCount) {
+        return count.item() == Expectation.CountedItem.ATTEMPTS
+                ? attemptCount.attemptCounter[0]
+                : attemptCount.distinctNodes.size();
+    }
+
+    private static String describeCount(Expectation.Count count, double number) {
+        return formatNumber(number) + " " + count.item().name().toLowerCase(Locale.ROOT) + " per "
+                + count.scope().name().toLowerCase(Locale.ROOT);
+    }
+
+    private static String formatNumber(double number) {
+        return number == Math.rint(number) ? Long.toString((long) number) : Double.toString(number);
+    }
+
+    /** The play is over: what was to come by now has not. */
+    void finish() {
+        for (int i = 0; i < expectations.size(); i++) {
+            Expectation expectation = expectations.get(i);
+            Evaluation evaluation = evaluations.get(i);
+            if (expectation.requirement() instanceof Expectation.Eventually eventually) {
+                for (OpenWindow openWindow : openWindows.get(i)) {
+                    // A window that was closed early, that the play did not outlast or with few chances shows nothing.
+                    if (openWindow.satisfied
+                            || !openWindow.closedEarly
+                                    && openWindow.closesAtMs <= lastEventMs
+                                    && openWindow.eventCount >= eventually.minEvents()) {
+                        evaluation.evaluated++;
+                        evaluation.satisfied += openWindow.satisfied ? 1 : 0;
+                        if (!openWindow.satisfied && evaluation.firstViolation == null) {
+                            evaluation.firstViolation = new Violation(
+                                    expectation,
+                                    openWindow.closesAtMs,
+                                    null,
+                                    null,
+                                    "nothing of the kind in " + openWindow.eventCount + " moments");
+                        }
+                    }
+                }
+            } else if (expectation.requirement() instanceof Expectation.Count count && count.min() > 0) {
+                for (AttemptCount attemptCount : attemptCounts.get(i).values()) {
+                    double number = currentCount(count, attemptCount);
+                    if (number < count.min() && evaluation.firstViolation == null) {
+                        evaluation.satisfied--;
+                        evaluation.firstViolation = new Violation(
+                                expectation,
+                                lastEventMs,
+                                null,
+                                null,
+                                describeCount(count, number) + ", fewer than " + formatNumber(count.min()));
+                    }
+                }
+            }
+        }
+    }
+
+    /** Counts the moments that two expectations spoke of, and those that both allow. */
+    private void countAgreements() {
+        for (int i = 0; i < currentResults.length; i++) {
+            for (int j = i + 1; currentResults[i] != null && j < currentResults.length; j++) {
+                if (currentResults[j] != null) {
+                    long[] agreement = evaluations.get(i).jointCounts.computeIfAbsent(j, k -> new long[2]);
+                    agreement[0]++;
+                    agreement[1] += currentResults[i] && currentResults[j] ? 1 : 0;
+                }
+            }
+        }
+    }
+}
--- a/doorman/src/main/java/barleyspur/expect/Fault.java
+++ b/doorman/src/main/java/barleyspur/expect/Fault.java
@@ -4,13 +4,13 @@
  * Something that happens to the fleet in a scenario.
  *
  * @param kind   what
- * @param node   the box it happens to; of a station's link, any box of that station; -1 for the whole fleet
+ * @param nodeId   the box it happens to; of a station's link, any box of that station; -1 for the whole fleet
  * @param atMs   when, from the scenario's start
- * @param toldMs how long after that the doormans' list tells it, for those kinds that a list tells
- * @param forMs  for how long, for those kinds that end
- * @param size   how much: times slower, share of failures, how far a list lags in ms, the purged object
+ * @param listDelayMs how long after that the doormans' list tells it, for those kinds that a list tells
+ * @param durationMs  for how long, for those kinds that end
+ * @param magnitude   how much: times slower, share of failures, how far a list lags in ms, the purged object
  */
-public record Fault(Kind kind, long node, double atMs, double toldMs, double forMs, double size) {
+public record Fault(Kind kind, long nodeId, double atMs, double listDelayMs, double durationMs, double magnitude) {
 
     /** What can happen. */
     public enum Kind {
@@ -41,21 +41,21 @@
         /** The object whose number is {@code size} is purged. */
         PURGE("purge", true);
 
-        private final String word;
-        private final boolean told;
+        private final String labelText;
+        private final boolean reportedByList;
 
         Kind(String word, boolean told) {
-            this.word = word;
-            this.told = told;
+            this.labelText = word;
+            this.reportedByList = told;
         }
 
         /** As expectation files name it. */
-        public String word() {
-            return word;
+        public String label() {
+            return labelText;
         }
 
         /** The size where none is said: times slower, share of failures, lag in ms, object. */
-        public double usualSize() {
+        public double defaultMagnitude() {
             return switch (this) {
                 case SLOW -> 6;
                 case FAIL -> 0.7;
@@ -66,14 +66,16 @@
         }
 
         /** Whether the command channel tells it. */
-        public boolean told() {
-            return told;
+        public boolean isReportedByList() {
+            return reportedByList;
         }
     }
 
     @Override
     public String toString() {
-        return kind.word + (node < 0 ? "" : " of node " + node) + " at " + Math.round(atMs) + " ms"
-                + (kind.told ? ", told after " + Math.round(toldMs) + " ms" : " for " + Math.round(forMs) + " ms");
+        return kind.labelText + (nodeId < 0 ? "" : " of node " + nodeId) + " at " + Math.round(atMs) + " ms"
+                + (kind.reportedByList
+                        ? ", told after " + Math.round(listDelayMs) + " ms"
+                        : " for " + Math.round(durationMs) + " ms");
     }
 }
--- a/doorman/src/main/java/barleyspur/expect/Scenario.java
+++ b/doorman/src/main/java/barleyspur/expect/Scenario.java
@@ -9,39 +9,60 @@
  * down and played again.
  *
  * @param seed     of the doormans and of what the boxes draw
- * @param retries  how often a client tries again by itself
- * @param marked   whether it says so
- * @param meanWork how long it takes to send a request of each class on average, in ms, as the rule on cold boxes
+ * @param maxRetries  how often a client tries again by itself
+ * @param marksRetries   whether it says so
+ * @param meanWorkMs how long it takes to send a request of each class on average, in ms, as the rule on cold boxes
  *                 counts it; it stays when requests are left out
  */
 public record Scenario(
-        Site site, long seed, int retries, boolean marked, List<Double> meanWork, List<Fault> faults, List<Ask> asks) {
+        Deployment deployment,
+        long seed,
+        int maxRetries,
+        boolean marksRetries,
+        List<Double> meanWorkMs,
+        List<Fault> faults,
+        List<ClientRequest> requests) {
 
     /** With the mean work of these requests. */
-    static Scenario of(Site site, long seed, int retries, boolean marked, List<Fault> faults, List<Ask> asks) {
-        List<Double> sums = new ArrayList<>(Collections.nCopies(site.classes().size(), 0.0));
-        int[] counts = new int[sums.size()];
-        for (Ask a : asks) {
-            sums.set(
-                    a.category(),
-                    sums.get(a.category()) + a.sizeKb() / site.any().paceKbPerMs());
-            counts[a.category()]++;
+    static Scenario of(
+            Deployment deployment,
+            long seed,
+            int maxRetries,
+            boolean marksRetries,
+            List<Fault> faults,
+            List<ClientRequest> requests) {
+        List<Double> meanWorkMs =
+                new ArrayList<>(Collections.nCopies(deployment.classNames().size(), 0.0));
+        int[] counts = new int[meanWorkMs.size()];
+        for (ClientRequest request : requests) {
+            meanWorkMs.set(
+                    request.classIndex(),
+                    meanWorkMs.get(request.classIndex())
+                            + request.sizeKb() / deployment.sharedSettings().paceKbPerMs());
+            counts[request.classIndex()]++;
         }
         for (int i = 0; i < counts.length; i++) {
-            sums.set(i, sums.get(i) / Math.max(1, counts[i]));
+            meanWorkMs.set(i, meanWorkMs.get(i) / Math.max(1, counts[i]));
         }
-        return new Scenario(site, seed, retries, marked, List.copyOf(sums), List.copyOf(faults), List.copyOf(asks));
+        return new Scenario(
+                deployment,
+                seed,
+                maxRetries,
+                marksRetries,
+                List.copyOf(meanWorkMs),
+                List.copyOf(faults),
+                List.copyOf(requests));
     }
 
-    Scenario with(Site other) {
-        return new Scenario(other, seed, retries, marked, meanWork, faults, asks);
+    Scenario withDeployment(Deployment reduced) {
+        return new Scenario(reduced, seed, maxRetries, marksRetries, meanWorkMs, faults, requests);
     }
 
-    Scenario withFaults(List<Fault> fewer) {
-        return new Scenario(site, seed, retries, marked, meanWork, List.copyOf(fewer), asks);
+    Scenario withFaults(List<Fault> remaining) {
+        return new Scenario(deployment, seed, maxRetries, marksRetries, meanWorkMs, List.copyOf(remaining), requests);
     }
 
-    Scenario withAsks(List<Ask> fewer) {
-        return new Scenario(site, seed, retries, marked, meanWork, faults, List.copyOf(fewer));
+    Scenario withRequests(List<ClientRequest> remaining) {
+        return new Scenario(deployment, seed, maxRetries, marksRetries, meanWorkMs, faults, List.copyOf(remaining));
     }
 }
--- a/doorman/src/main/java/barleyspur/expect/Shrinker.java
+++ b/doorman/src/main/java/barleyspur/expect/Shrinker.java
@@ -11,67 +11,75 @@
  */
 final class Shrinker {
 
-    private final Predicate<Scenario> refuted;
-    private int plays;
+    private final Predicate<Scenario> stillFails;
+    private int remainingRuns;
 
     /** @param plays how often it may play at most */
     Shrinker(Predicate<Scenario> refuted, int plays) {
-        this.refuted = refuted;
-        this.plays = plays;
+        this.stillFails = refuted;
+        this.remainingRuns = plays;
     }
 
     /** How many plays are left. */
-    int left() {
-        return plays;
+    int unusedRuns() {
+        return remainingRuns;
     }
 
     /** The smallest scenario that was found, from one that is refuted at {@code atMs}. */
-    Scenario shrink(Scenario from, double atMs) {
-        Scenario now = from;
-        Scenario cut = now.withAsks(
-                        now.asks().stream().filter(a -> a.atMs() <= atMs).toList())
-                .withFaults(now.faults().stream().filter(f -> f.atMs() <= atMs).toList());
-        now = holds(cut) ? cut : now;
-        int before;
+    Scenario shrink(Scenario original, double violationMs) {
+        Scenario smallest = original;
+        Scenario truncated = smallest.withRequests(smallest.requests().stream()
+                        .filter(a -> a.arrivalMs() <= violationMs)
+                        .toList())
+                .withFaults(smallest.faults().stream()
+                        .filter(f -> f.atMs() <= violationMs)
+                        .toList());
+        smallest = reproduces(truncated) ? truncated : smallest;
+        int previousSize;
         do {
-            before = size(now);
-            Scenario base = now;
-            now = base.withFaults(reduce(base.faults(), base::withFaults));
-            Scenario fewer = now;
-            now = fewer.withAsks(reduce(fewer.asks(), fewer::withAsks));
-            Scenario few = now;
-            now = few.with(few.site()
-                    .with(reduce(
-                            few.site().boxes(), boxes -> few.with(few.site().with(boxes)))));
-        } while (size(now) < before && plays > 0);
-        return now;
+            previousSize = size(smallest);
+            Scenario withAllFaults = smallest;
+            smallest = withAllFaults.withFaults(reduce(withAllFaults.faults(), withAllFaults::withFaults));
+            Scenario withAllRequests = smallest;
+            smallest = withAllRequests.withRequests(reduce(withAllRequests.requests(), withAllRequests::withRequests));
+            Scenario withAllBoxes = smallest;
+            smallest = withAllBoxes.withDeployment(withAllBoxes
+                    .deployment()
+                    .withBoxes(reduce(
+                            withAllBoxes.deployment().boxes(),
+                            boxes -> withAllBoxes.withDeployment(
+                                    withAllBoxes.deployment().withBoxes(boxes)))));
+        } while (size(smallest) < previousSize && remainingRuns > 0);
+        return smallest;
     }
 
-    private static int size(Scenario s) {
-        return s.faults().size() + s.asks().size() + s.site().boxes().size();
+    private static int size(Scenario scenario) {
+        return scenario.faults().size()
+                + scenario.requests().size()
+                + scenario.deployment().boxes().size();
     }
 
-    private boolean holds(Scenario s) {
-        return plays-- > 0 && refuted.test(s);
+    private boolean reproduces(Scenario scenario) {
+        return remainingRuns-- > 0 && stillFails.test(scenario);
     }
 
     /** Leaves out as many as it can: halves first, then ever smaller runs, at last one by one. */
-    private <T> List<T> reduce(List<T> from, Function<List<T>, Scenario> with) {
-        List<T> now = from;
-        if (!now.isEmpty() && holds(with.apply(List.of()))) {
+    private <T> List<T> reduce(List<T> original, Function<List<T>, Scenario> toScenario) {
+        List<T> smallest = original;
+        if (!smallest.isEmpty() && reproduces(toScenario.apply(List.of()))) {
             return List.of();
         }
-        for (int run = Math.max(1, now.size() / 2); run >= 1 && plays > 0; run /= 2) {
-            for (int at = 0; at < now.size() && plays > 0; ) {
-                List<T> fewer = new ArrayList<>(now.subList(0, at));
-                fewer.addAll(now.subList(Math.min(now.size(), at + run), now.size()));
-                if (fewer.size() < now.size() && holds(with.apply(fewer))) {
-                    now = fewer;
+        for (int chunkSize = Math.max(1, smallest.size() / 2); chunkSize >= 1 && remainingRuns > 0; chunkSize /= 2) {
+            for (int start = 0; start < smallest.size() && remainingRuns > 0; ) {
+                List<T> candidate = new ArrayList<>(smallest.subList(0, start));
+                candidate.addAll(smallest.subList(Math.min(smallest.size(), start + chunkSize), smallest.size()));
+                if (candidate.size() < smallest.size() && reproduces(toScenario.apply(candidate))) {
+                    smallest = candidate;
                 } else {
-                    at += run;
+                    start += chunkSize;
                 }
             }
         }
-        return now;
+        return smallest;
     }
 }
--- a/doorman/src/test/java/barleyspur/expect/HardCasesTest.java
+++ b/doorman/src/test/java/barleyspur/expect/CheckerTest.java
@@ -13,23 +13,23 @@
 import org.junit.jupiter.api.Test;
 
 /** What makes checking routing hard: boxes that change under a request, news that is late, and many doormans. */
-class HardCasesTest {
+class CheckerTest {
 
-    private static Checker.Verdict verdict(Checker.Result r, String name) {
-        return finding(r, name).verdict();
+    private static Checker.Verdict verdict(Checker.Result result, String name) {
+        return resultOf(result, name).verdict();
     }
 
-    private static Checker.Finding finding(Checker.Result r, String name) {
-        return r.findings().stream()
+    private static Checker.ExpectationResult resultOf(Checker.Result result, String name) {
+        return result.expectationResults().stream()
                 .filter(f -> f.expectation().name().equals(name))
                 .findFirst()
                 .orElseThrow();
     }
 
     /** The text of an expectation in a fleet of one station with this many caches. */
-    private static String fleet(int caches, int doormans, String rest) {
+    private static String withFleet(int caches, int doormans, String expectations) {
         return "fleet \"small\" {\n stations = 1\n caches = " + caches + "\n district_caches = 2\n doormans = "
-                + doormans + "\n}\n" + rest;
+                + doormans + "\n}\n" + expectations;
     }
 
     // ---- a box that changes while a request is in flight ------------------------------------------------
@@ -37,7 +37,7 @@
     /** Guards: what was sent before a drain may end there; only what is sent after the grace breaks an expectation. */
     @Test
     void aBoxThatDrainsWhileARequestIsInFlight() {
-        String text = fleet(
+        String text = withFleet(
                 2,
                 1,
                 """
@@ -61,18 +61,18 @@
               } }
             }
             """);
-        Checker.Result r = Texts.check(text, Decide::new, 1);
+        Checker.Result result = ExpectationFixtures.check(text, Decide::new, 1);
         // Between the drain and its news the box is named: told_for counts since the start, when it was in service.
-        assertEquals(Checker.Verdict.REFUTED, verdict(r, "in flight"));
-        Checker.Counterexample c = finding(r, "in flight").counterexample();
-        assertEquals(1, c.scenario().faults().size());
-        assertEquals(Checker.Verdict.HOLDS, verdict(r, "after the grace"));
+        assertEquals(Checker.Verdict.REFUTED, verdict(result, "in flight"));
+        Checker.Counterexample counterexample = resultOf(result, "in flight").counterexample();
+        assertEquals(1, counterexample.scenario().faults().size());
+        assertEquals(Checker.Verdict.HOLDS, verdict(result, "after the grace"));
     }
 
     /** Guards: a request whose box ends under it is judged with what the doorman was told at each of its attempts. */
     @Test
     void aBoxThatGoesMissingWhileARequestIsInFlight() {
-        String text = fleet(
+        String text = withFleet(
                 3,
                 1,
                 """
@@ -106,16 +106,16 @@
               must { attempt { maybe_ran = true } }
             }
             """);
-        Checker.Result r = Texts.check(text, Decide::new, 1);
-        assertEquals(Checker.Verdict.HOLDS, verdict(r, "not named when missing"));
-        assertEquals(Checker.Verdict.HOLDS, verdict(r, "served all the same"));
-        assertTrue(finding(r, "the reset is seen").judged() > 0, "no attempt followed another");
+        Checker.Result result = ExpectationFixtures.check(text, Decide::new, 1);
+        assertEquals(Checker.Verdict.HOLDS, verdict(result, "not named when missing"));
+        assertEquals(Checker.Verdict.HOLDS, verdict(result, "served all the same"));
+        assertTrue(resultOf(result, "the reset is seen").evaluated() > 0, "no attempt followed another");
     }
 
     /** Guards: a box that turns cold under a request counts with its new start, at attempts that follow as well. */
     @Test
     void aBoxThatTurnsColdWhileARequestIsInFlight() {
-        String text = fleet(
+        String text = withFleet(
                 2,
                 2,
                 """
@@ -149,9 +149,9 @@
               } }
             }
             """);
-        Checker.Result r = Texts.check(text, Decide::new, 1);
-        assertFalse(verdict(r, "further attempts spare it") == Checker.Verdict.REFUTED);
-        assertEquals(Checker.Verdict.HOLDS, verdict(r, "it is used while cold"));
+        Checker.Result result = ExpectationFixtures.check(text, Decide::new, 1);
+        assertFalse(verdict(result, "further attempts spare it") == Checker.Verdict.REFUTED);
+        assertEquals(Checker.Verdict.HOLDS, verdict(result, "it is used while cold"));
     }
 
     // ---- identity, staleness, loss ----------------------------------------------------------------------
@@ -159,7 +159,7 @@
     /** Guards: a new box in the place of another is another box, cold from its start, and what was known is void. */
     @Test
     void aBoxReplacedUnderANewId() {
-        String text = fleet(
+        String text = withFleet(
                 2,
                 1,
                 """
@@ -183,15 +183,15 @@
               } }
             }
             """);
-        Checker.Result r = Texts.check(text, Decide::new, 1);
-        assertEquals(Checker.Verdict.HOLDS, verdict(r, "the old one is out"));
-        assertEquals(Checker.Verdict.HOLDS, verdict(r, "the new one is cold"));
+        Checker.Result result = ExpectationFixtures.check(text, Decide::new, 1);
+        assertEquals(Checker.Verdict.HOLDS, verdict(result, "the old one is out"));
+        assertEquals(Checker.Verdict.HOLDS, verdict(result, "the new one is cold"));
     }
 
     /** Guards: with a stale list a box that has gone is named, and an expectation about what a doorman was told holds. */
     @Test
-    void aListThatIsStaleWhileTheBoxHasGone() {
-        String text = fleet(
+    void aStaleListNamesABoxThatHasEnded() {
+        String text = withFleet(
                 3,
                 1,
                 """
@@ -225,18 +225,20 @@
               never { target { same = true } }
             }
             """);
-        Checker.Result r = Texts.check(text, Decide::new, 1);
-        assertEquals(Checker.Verdict.HOLDS, verdict(r, "by the list"));
-        assertEquals(Checker.Verdict.REFUTED, verdict(r, "in truth"));
+        Checker.Result result = ExpectationFixtures.check(text, Decide::new, 1);
+        assertEquals(Checker.Verdict.HOLDS, verdict(result, "by the list"));
+        assertEquals(Checker.Verdict.REFUTED, verdict(result, "in truth"));
         // The news comes up to 20 ms after the lag: a trial may be under way until then, nothing after it.
-        Checker.Finding late = finding(r, "told late");
-        assertTrue(late.judged() - late.held() <= 3, (late.judged() - late.held()) + " attempts after the news");
+        Checker.ExpectationResult late = resultOf(result, "told late");
+        assertTrue(
+                late.evaluated() - late.satisfied() <= 3,
+                (late.evaluated() - late.satisfied()) + " attempts after the news");
     }
 
     /** Guards: with all district caches out, fills come from the head office, and an expectation on sources sees it. */
     @Test
-    void allDistrictCachesOfAHubOut() {
-        String text = fleet(
+    void allDistrictCachesEnd() {
+        String text = withFleet(
                 3,
                 2,
                 """
@@ -268,17 +270,18 @@
               never { source { kind = "head-office" } }
             }
             """);
-        Checker.Result r = Texts.check(text, Decide::new, 1);
-        assertEquals(Checker.Verdict.HOLDS, verdict(r, "filled from the head office"));
-        assertEquals(Checker.Verdict.REFUTED, verdict(r, "never from the head office"));
-        Checker.Counterexample c = finding(r, "never from the head office").counterexample();
-        assertEquals(1, c.scenario().asks().size());
+        Checker.Result result = ExpectationFixtures.check(text, Decide::new, 1);
+        assertEquals(Checker.Verdict.HOLDS, verdict(result, "filled from the head office"));
+        assertEquals(Checker.Verdict.REFUTED, verdict(result, "never from the head office"));
+        Checker.Counterexample counterexample =
+                resultOf(result, "never from the head office").counterexample();
+        assertEquals(1, counterexample.scenario().requests().size());
     }
 
     /** Guards: a station with one box, which has nowhere to turn to when that box drains. */
     @Test
     void aStationWithOneBox() {
-        String text = fleet(
+        String text = withFleet(
                 1,
                 1,
                 """
@@ -307,15 +310,15 @@
               eventually { target { kind = ["district", "head-office"] } }
             }
             """);
-        Checker.Result r = Texts.check(text, Decide::new, 1);
-        assertEquals(Checker.Verdict.HOLDS, verdict(r, "the drain is kept"));
-        assertEquals(Checker.Verdict.HOLDS, verdict(r, "round it"));
+        Checker.Result result = ExpectationFixtures.check(text, Decide::new, 1);
+        assertEquals(Checker.Verdict.HOLDS, verdict(result, "the drain is kept"));
+        assertEquals(Checker.Verdict.HOLDS, verdict(result, "round it"));
     }
 
     /** Guards: one expectation about the box and the source of its fill at once. */
     @Test
-    void theSourceOfAFillAsWellAsTheBox() {
-        String text = fleet(
+    void anExpectationOnTargetAndSource() {
+        String text = withFleet(
                 2,
                 1,
                 """
@@ -337,19 +340,20 @@
               }
             }
             """);
-        Checker.Finding f = finding(Texts.check(text, Decide::new, 60), "small files by way of a district");
+        Checker.ExpectationResult f =
+                resultOf(ExpectationFixtures.check(text, Decide::new, 60), "small files by way of a district");
         assertEquals(Checker.Verdict.REFUTED, f.verdict());
         // Only events at district caches can bring a fill from elsewhere: what is left of the scenario shows it.
         assertTrue(f.counterexample().scenario().faults().stream()
-                .allMatch(fault ->
-                        f.counterexample().scenario().site().boxes().stream().noneMatch(b -> b.node() == fault.node())
-                                || fault.kind() != Fault.Kind.SLOW));
+                .allMatch(fault -> f.counterexample().scenario().deployment().boxes().stream()
+                                .noneMatch(b -> b.nodeId() == fault.nodeId())
+                        || fault.kind() != Fault.Kind.SLOW));
     }
 
     /** Guards: a second purge does not bring back what boxes dropped for the first one. */
     @Test
     void aSecondPurgeOfTheSameObject() {
-        String text = fleet(
+        String text = withFleet(
                 3,
                 1,
                 """
@@ -383,9 +387,9 @@
               }
             }
             """);
-        Checker.Result r = Texts.check(text, Decide::new, 1);
-        assertEquals(Checker.Verdict.HOLDS, verdict(r, "no copy from before a purge is served"));
-        assertEquals(Checker.Verdict.HOLDS, verdict(r, "copies are served"));
+        Checker.Result result = ExpectationFixtures.check(text, Decide::new, 1);
+        assertEquals(Checker.Verdict.HOLDS, verdict(result, "no copy from before a purge is served"));
+        assertEquals(Checker.Verdict.HOLDS, verdict(result, "copies are served"));
     }
 
     // ---- many doormans ----------------------------------------------------------------------------------
@@ -394,7 +398,7 @@
      * Sends what a doorman with the whole budget to itself may send: the rule's multiple of a cold box's capacity,
      * but for a seventh. Alone it keeps to the rule; nothing tells it of the others.
      */
-    private static World.Maker greedy(double share) {
+    private static ScenarioSimulation.PolicyFactory policyOverusingColdBox(double share) {
         return (settings, seed) -> new Director() {
             private double tokens;
             private double at = Double.NaN;
@@ -441,7 +445,7 @@
         };
     }
 
-    private static final String COLD =
+    private static final String COLD_CACHE_EXPECTATIONS =
             """
         load "rush" {
           utilisation = 4
@@ -465,26 +469,30 @@
 
     /** Guards: a cold box's budget is one for all doormans; each keeps to it alone, and two together push it over. */
     @Test
-    void twoDoormansThatAreEachFineAndTogetherPushAColdBoxOver() {
+    void twoDoormansTogetherOverloadAColdBox() {
         String name = "no cold cache is pushed over";
-        Checker.Result alone = Texts.check(fleet(4, 1, COLD), greedy(0.7), 1);
+        Checker.Result alone =
+                ExpectationFixtures.check(withFleet(4, 1, COLD_CACHE_EXPECTATIONS), policyOverusingColdBox(0.7), 1);
         assertEquals(Checker.Verdict.HOLDS, verdict(alone, name));
-        Checker.Result both = Texts.check(fleet(4, 2, COLD), greedy(0.7), 1);
+        Checker.Result both =
+                ExpectationFixtures.check(withFleet(4, 2, COLD_CACHE_EXPECTATIONS), policyOverusingColdBox(0.7), 1);
         assertEquals(Checker.Verdict.REFUTED, verdict(both, name));
         // What is left of the counterexample still needs both.
         assertEquals(
                 2,
-                finding(both, name).counterexample().scenario().asks().stream()
-                        .map(Ask::doorman)
+                resultOf(both, name).counterexample().scenario().requests().stream()
+                        .map(ClientRequest::doormanIndex)
                         .distinct()
                         .count());
-        assertEquals(Checker.Verdict.HOLDS, verdict(Texts.check(fleet(4, 2, COLD), Decide::new, 1), name));
+        assertEquals(
+                Checker.Verdict.HOLDS,
+                verdict(ExpectationFixtures.check(withFleet(4, 2, COLD_CACHE_EXPECTATIONS), Decide::new, 1), name));
     }
 
     // ---- long orders ------------------------------------------------------------------------------------
 
     /** A module that forgets drains from the tenth piece of news on. */
-    private static Director forgetful(Director.Settings settings, long seed) {
+    private static Director policyIgnoringLateDrains(Director.Settings settings, long seed) {
         Decide decide = new Decide(settings, seed);
         int[] news = {0};
         return (now, event, out) -> {
@@ -513,8 +521,8 @@
 
     /** Guards: what only fails with the tenth event is found by random orders, and its ten events stay. */
     @Test
-    void anExpectationThatOnlyFailsWithTheTenthEvent() {
-        String text = fleet(
+    void aViolationThatNeedsTenEventsIsFound() {
+        String text = withFleet(
                 3,
                 1,
                 """
@@ -525,7 +533,8 @@
               } }
             }
             """);
-        Checker.Finding f = finding(Texts.check(text, HardCasesTest::forgetful, 400), "drains are kept");
+        Checker.ExpectationResult f = resultOf(
+                ExpectationFixtures.check(text, CheckerTest::policyIgnoringLateDrains, 400), "drains are kept");
         assertEquals(Checker.Verdict.REFUTED, f.verdict());
         int events = f.counterexample().scenario().faults().size();
         assertTrue(events >= 5 && events <= 12, events + " events");
@@ -541,7 +550,7 @@
 
     /** Guards: repeats reach the module where clients mark them, and further tries are told from first ones. */
     @Test
-    void clientsRepeatsAreMarkedWhereTheLoadSaysSo() {
+    void retriesAreMarkedIfTheWorkloadSaysSo() {
         String text =
                 """
             load "marked" {
@@ -566,16 +575,16 @@
               }
             }
             """;
-        Checker.Result r = Texts.check(text, Decide::new, 1);
-        assertEquals(Checker.Verdict.HOLDS, verdict(r, "told"));
-        assertEquals(Checker.Verdict.HOLDS, verdict(r, "one station at a time"));
+        Checker.Result result = ExpectationFixtures.check(text, Decide::new, 1);
+        assertEquals(Checker.Verdict.HOLDS, verdict(result, "told"));
+        assertEquals(Checker.Verdict.HOLDS, verdict(result, "one station at a time"));
     }
 
     // ---- the checker's own honesty ----------------------------------------------------------------------
 
     /** Guards: an expectation that nothing met is said to be vacuous, and two that no moment meets both of are named. */
     @Test
-    void vacuousAndContradictingExpectationsAreNamed() {
+    void vacuousAndContradictingExpectationsAreReported() {
         String text =
                 """
             expectation "of a class with no such state" {
@@ -591,17 +600,17 @@
               never { attempt { renew = true } }
             }
             """;
-        Checker.Result r = Texts.check(text, Decide::new, 3);
-        assertEquals(Checker.Verdict.VACUOUS, verdict(r, "of a class with no such state"));
-        assertFalse(r.good(true));
-        assertEquals(1, r.conflicts().size());
-        assertEquals("always filled", r.conflicts().get(0).one().name());
+        Checker.Result result = ExpectationFixtures.check(text, Decide::new, 3);
+        assertEquals(Checker.Verdict.VACUOUS, verdict(result, "of a class with no such state"));
+        assertFalse(result.isSuccess(true));
+        assertEquals(1, result.conflicts().size());
+        assertEquals("always filled", result.conflicts().get(0).first().name());
     }
 
     /** Guards: the same input gives the same verdicts, counts and counterexamples. */
     @Test
-    void theSameSeedFindsTheSame() {
-        String text = fleet(
+    void theSameSeedGivesTheSameResult() {
+        String text = withFleet(
                 2,
                 2,
                 """
@@ -609,14 +618,17 @@
               never { attempt { number = 2 } }
             }
             """);
-        Checker.Finding one = finding(Texts.check(text, Decide::new, 20), "never a second attempt");
-        Checker.Finding two = finding(Texts.check(text, Decide::new, 20), "never a second attempt");
+        Checker.ExpectationResult one =
+                resultOf(ExpectationFixtures.check(text, Decide::new, 20), "never a second attempt");
+        Checker.ExpectationResult two =
+                resultOf(ExpectationFixtures.check(text, Decide::new, 20), "never a second attempt");
         assertNotNull(one.counterexample());
         assertEquals(one.counterexample(), two.counterexample());
-        assertEquals(Map.of(one.judged(), one.held()), Map.of(two.judged(), two.held()));
-        List<Story.Step> told = Story.of(one.counterexample().scenario(), one.expectation());
-        assertEquals(told, Story.of(two.counterexample().scenario(), two.expectation()));
-        String all = told.stream().map(Story.Step::text).collect(Collectors.joining("\n"));
+        assertEquals(Map.of(one.evaluated(), one.satisfied()), Map.of(two.evaluated(), two.satisfied()));
+        List<TraceNarrative.Step> told =
+                TraceNarrative.narrate(one.counterexample().scenario(), one.expectation());
+        assertEquals(told, TraceNarrative.narrate(two.counterexample().scenario(), two.expectation()));
+        String all = told.stream().map(TraceNarrative.Step::text).collect(Collectors.joining("\n"));
         assertTrue(
                 all.contains("NOT as expected by \"never a second attempt\" (test.hcl:7): test.hcl:8: attempt.number"),
                 all);
--- /dev/null
+++ b/doorman/src/test/java/barleyspur/expect/ExpectationFixtures.java
@@ -0,0 +1,60 @@
+package barleyspur.expect;
+
+import barleyspur.config.Configuration;
+import barleyspur.config.ExpectationCheck;
+import barleyspur.config.ExpectationFiles;
+import barleyspur.config.Hcl;
+import java.nio.file.Path;
+import java.util.List;
+
+/** Expectations from text, for tests. */
+final class ExpectationFixtures {
+
+    static final Path STATION_CONFIG = Path.of("../examples/expectations/station.json");
+
+    private ExpectationFixtures() {}
+
+    static Deployment stationDeployment() {
+        try {
+            return ExpectationCheck.site(STATION_CONFIG);
+        } catch (Configuration.Invalid e) {
+            throw new AssertionError(e);
+        }
+    }
+
+    static ExpectationFiles.Read read(Deployment deployment, String text) throws Hcl.Invalid {
+        return ExpectationFiles.read(
+                List.of("test.hcl"),
+                (from, name) -> {
+                    if (!name.equals("test.hcl")) {
+                        throw new Hcl.Invalid("test.hcl", 1, "file " + name + " can't be read");
+                    }
+                    return text;
+                },
+                deployment);
+    }
+
+    /** Checks a text in its fleets, or in the station where it describes none: this many scenarios. */
+    static Checker.Result check(String text, ScenarioSimulation.PolicyFactory policyFactory, int scenarios) {
+        try {
+            Deployment deployment = stationDeployment();
+            ExpectationFiles.Read read = read(deployment, text);
+            List<Deployment> deployments = read.fleets().isEmpty() ? List.of(deployment) : read.fleets();
+            List<Workload> workloads =
+                    read.loads().isEmpty() ? List.of(Workload.defaultFor(deployment.sharedSettings())) : read.loads();
+            int[] remaining = {scenarios};
+            return new Checker(
+                            new Checker.Suite(
+                                    read.expectations(),
+                                    deployments,
+                                    workloads,
+                                    read.cases(),
+                                    Math.max(1, read.depth())),
+                            policyFactory,
+                            Checker.Progress.NONE)
+                    .run(1, () -> remaining[0]-- > 0);
+        } catch (Hcl.Invalid e) {
+            throw new AssertionError(e);
+        }
+    }
+}
--- a/doorman/src/test/java/barleyspur/expect/LargeObjectsTest.java
+++ b/doorman/src/test/java/barleyspur/expect/LargeObjectsTest.java
@@ -19,64 +19,64 @@
 
     private static final int SEEDS = 6;
     private static final int REQUESTS = 20_000;
-    private static final double LENGTH_MS = 8_000;
+    private static final double DURATION_MS = 8_000;
     /** Of what the caches can send; the sites draw 0.9 to 1.2 for their overloads. */
-    private static final double OVERLOAD = 1.8;
+    private static final double OVERLOAD_UTILISATION = 1.8;
     /** Shares of fewer requests tell little. */
-    private static final int LEAST_REQUESTS = 400;
+    private static final int MIN_REQUESTS = 400;
 
     /** A request, over all tries of its client. */
     private static final class Outcome {
-        final int category;
+        final int classIndex;
         final double sizeKb;
         boolean served;
 
-        Outcome(Ask ask) {
-            category = ask.category();
+        Outcome(ClientRequest ask) {
+            classIndex = ask.classIndex();
             sizeKb = ask.sizeKb();
         }
     }
 
     /** Collects what became of each request. */
-    private static final class Outcomes implements Observer {
+    private static final class Outcomes implements SimulationObserver {
         private final Map<Integer, Outcome> byNumber = new HashMap<>();
 
         @Override
-        public void moment(Moment moment) {
-            if (moment instanceof Moment.Answer answer) {
-                Ask ask = answer.asked().ask();
-                Outcome outcome = byNumber.computeIfAbsent(ask.number(), number -> new Outcome(ask));
-                outcome.served |= answer.ending() == Moment.Ending.SERVED;
+        public void onRoutingEvent(RoutingEvent moment) {
+            if (moment instanceof RoutingEvent.Answer answer) {
+                ClientRequest ask = answer.clientTry().request();
+                Outcome outcome = byNumber.computeIfAbsent(ask.index(), number -> new Outcome(ask));
+                outcome.served |= answer.outcome() == RoutingEvent.TryOutcome.SERVED;
             }
         }
 
         @Override
-        public void happened(double atMs, Fault fault, Box box) {}
+        public void onFault(double atMs, Fault fault, Box box) {}
 
         @Override
-        public void told(double atMs, int doorman, Box box, Moment.Told told, boolean started) {}
+        public void onListUpdate(double atMs, int doorman, Box box, RoutingEvent.ListedState told, boolean started) {}
     }
 
     private static List<Outcome> play(double utilisation) {
-        Site site = Texts.site();
-        Load usual = Load.usual(site.any());
-        Load load = new Load(
+        Deployment site = ExpectationFixtures.stationDeployment();
+        Workload usual = Workload.defaultFor(site.sharedSettings());
+        Workload load = new Workload(
                 "test",
                 utilisation,
-                LENGTH_MS,
+                DURATION_MS,
                 REQUESTS,
-                usual.objects(),
-                usual.hot(),
-                usual.onceShare(),
-                usual.retries(),
-                usual.marked(),
+                usual.objectCount(),
+                usual.hotObjectCount(),
+                usual.singleUseShare(),
+                usual.maxRetries(),
+                usual.marksRetries(),
                 usual.classes());
         List<Outcome> all = new ArrayList<>();
         for (int seed = 1; seed <= SEEDS; seed++) {
             Outcomes outcomes = new Outcomes();
-            Scenario scenario =
-                    Scenario.of(site, seed, load.retries(), load.marked(), List.of(), load.asks(site, seed));
-            new World(scenario, Decide::new, outcomes).play();
+            Scenario scenario = Scenario.of(
+                    site, seed, load.maxRetries(), load.marksRetries(), List.of(), load.drawRequests(site, seed));
+            new ScenarioSimulation(scenario, Decide::new, outcomes).run();
             all.addAll(outcomes.byNumber.values());
         }
         return all;
@@ -87,16 +87,18 @@
     }
 
     /** Judges each class; returns the least share that any class has served. */
-    private static double judge(List<Outcome> all, double least) {
+    private static double checkShares(List<Outcome> all, double least) {
         double lowest = 1;
         int judged = 0;
-        for (int category = 0; category < Texts.site().classes().size(); category++) {
+        for (int category = 0;
+                category < ExpectationFixtures.stationDeployment().classNames().size();
+                category++) {
             int number = category;
             List<Outcome> ofClass = all.stream()
-                    .filter(outcome -> outcome.category == number)
+                    .filter(outcome -> outcome.classIndex == number)
                     .sorted(Comparator.comparingDouble((Outcome outcome) -> -outcome.sizeKb))
                     .toList();
-            if (ofClass.size() < LEAST_REQUESTS) {
+            if (ofClass.size() < MIN_REQUESTS) {
                 continue;
             }
             judged++;
@@ -116,14 +118,14 @@
 
     /** Guards the largest objects where nothing is wrong. */
     @Test
-    void largeObjectsAreServedOnACalmDay() {
-        judge(play(0.5), 2 / 3.0);
+    void largeObjectsAreServedWithoutOverload() {
+        checkShares(play(0.5), 2 / 3.0);
     }
 
     /** Guards the largest objects where there is not enough for all, and what is worth most for its work goes first. */
     @Test
-    void largeObjectsGetTheirShareOfAnOverload() {
-        double lowest = judge(play(OVERLOAD), 0.5);
+    void largeObjectsAreServedUnderOverload() {
+        double lowest = checkShares(play(OVERLOAD_UTILISATION), 0.5);
         assertTrue(lowest < 0.95, "it was to be an overload: " + lowest);
     }
 }
--- a/doorman/src/test/java/barleyspur/expect/Mutants.java
+++ b/doorman/src/test/java/barleyspur/expect/Mutants.java
@@ -22,7 +22,8 @@
     private Mutants() {}
 
     /** The module with {@code from}, which its file must hold exactly once, made into {@code to}. */
-    static World.Maker mutant(Path folder, String file, String from, String to) throws IOException {
+    static ScenarioSimulation.PolicyFactory mutant(Path folder, String file, String from, String to)
+            throws IOException {
         Path sources = Files.createDirectories(folder.resolve("source"));
         Path classes = Files.createDirectories(folder.resolve("classes"));
         List<String> arguments = new ArrayList<>(
@@ -60,7 +61,7 @@
         return maker(classes);
     }
 
-    private static World.Maker maker(Path classes) throws IOException {
+    private static ScenarioSimulation.PolicyFactory maker(Path classes) throws IOException {
         URLClassLoader loader =
                 new URLClassLoader(new URL[] {classes.toUri().toURL()}, Mutants.class.getClassLoader()) {
                     @Override
--- a/doorman/src/test/java/barleyspur/expect/MutantsTest.java
+++ b/doorman/src/test/java/barleyspur/expect/MutantsTest.java
@@ -26,8 +26,8 @@
     @TempDir
     private Path folder;
 
-    private static Checker.Book book(String only) throws Configuration.Invalid, Hcl.Invalid {
-        Site site = ExpectationCheck.site(Path.of("../examples/expectations/station.json"));
+    private static Checker.Suite book(String only) throws Configuration.Invalid, Hcl.Invalid {
+        Deployment site = ExpectationCheck.site(Path.of("../examples/expectations/station.json"));
         return ExpectationCheck.of(site, List.of("../deploy/expectations.hcl"), false)
                 .book(only, 1);
     }
@@ -37,8 +37,8 @@
         int[] left = {SCENARIOS};
         Checker.Result result = Checker.of(book(""), Checker.Progress.NONE).run(1, () -> left[0]-- > 0);
         assertTrue(
-                result.good(true),
-                result.findings().stream()
+                result.isSuccess(true),
+                result.expectationResults().stream()
                         .filter(f -> f.verdict() != Checker.Verdict.HOLDS)
                         .map(f -> f.expectation().name() + " is " + f.verdict())
                         .collect(Collectors.joining(", ")));
@@ -72,32 +72,34 @@
     void eachIsCaught(String what, String expectation, String file, String from, String to)
             throws IOException, Configuration.Invalid, Hcl.Invalid {
         String newline = "\n            ";
-        World.Maker mutant = Mutants.mutant(folder, file, from.replace("¶", newline), to.replace("¶", newline));
+        ScenarioSimulation.PolicyFactory mutant =
+                Mutants.mutant(folder, file, from.replace("¶", newline), to.replace("¶", newline));
         int[] left = {SCENARIOS};
         boolean[] found = {false};
         Checker.Progress progress = new Checker.Progress() {
             @Override
-            public void played(long scenarios, long decisions, int refuted) {
+            public void onScenario(long scenarios, long decisions, int refuted) {
                 found[0] |= refuted > 0 && !expectation.equals("hot_spread");
             }
 
             @Override
-            public void shrinking(String name) {}
+            public void onShrink(String name) {}
         };
         Checker.Result result =
                 new Checker(book(expectation), mutant, progress).run(1, () -> !found[0] && left[0]-- > 0);
-        Checker.Finding f = result.findings().get(0);
-        assertEquals(Checker.Verdict.REFUTED, f.verdict(), what + ": held in " + f.held() + " of " + f.judged());
+        Checker.ExpectationResult f = result.expectationResults().get(0);
+        assertEquals(
+                Checker.Verdict.REFUTED, f.verdict(), what + ": held in " + f.satisfied() + " of " + f.evaluated());
         Checker.Counterexample c = f.counterexample();
         System.out.printf(
                 "mutant: %s: caught in scenario %d; %d events, %d requests, %d boxes -> %d, %d, %d%n",
                 what,
                 f.refutedAtScenario(),
-                c.foundEvents(),
-                c.foundRequests(),
-                c.foundBoxes(),
+                c.originalFaults(),
+                c.originalRequests(),
+                c.originalBoxes(),
                 c.scenario().faults().size(),
-                c.scenario().asks().size(),
-                c.scenario().site().boxes().size());
+                c.scenario().requests().size(),
+                c.scenario().deployment().boxes().size());
     }
 }
