--- a/doorman/src/main/java/barleyspur/expect/Box.java
+++ b/doorman/src/main/java/barleyspur/expect/Box.java
@@ -1,13 +1,13 @@
 package barleyspur.expect;
 
 /**
- * One box as the fleet is described: a cache, a district cache or the head office.
+ * A box as the deployment describes it: a cache, a district cache or the head office.
  *
- * @param uid      its name, unique in the fleet
- * @param nodeId     its number at every doorman
- * @param zoneIndex     its station, by place in the site's names
- * @param modelIndex     its model, by place in the site's names
- * @param cell     the group of boxes that drop repeats together
- * @param concurrentTransfers     the transfers to clients that its link carries at once, over 0
+ * @param uid                 name, unique in the deployment
+ * @param nodeId              node id by which doormans know it
+ * @param zoneIndex           index of its station in the deployment's station names
+ * @param modelIndex          index of its model in the deployment's model names
+ * @param cell                number of the group of boxes that deduplicate repeated requests together
+ * @param concurrentTransfers number of concurrent transfers to clients that its link can carry, over 0
  */
 public record Box(String uid, long nodeId, int zoneIndex, int modelIndex, int cell, double concurrentTransfers) {}
--- a/doorman/src/main/java/barleyspur/expect/Checker.java
+++ b/doorman/src/main/java/barleyspur/expect/Checker.java
@@ -8,10 +8,14 @@
 import java.util.Set;
 import java.util.function.BooleanSupplier;
 
-/** Checks expectations against a decision module, in one or more fleets. */
+/** Checks expectations on a routing policy by simulating scenarios in one or more deployments. */
 public final class Checker {
 
-    /** What is to be checked: expectations, and where. */
+    /**
+     * The expectations to check and the scenarios to check them in.
+     *
+     * @param maxSequenceLength maximum length of the fault sequences that are enumerated exhaustively
+     */
     public record Suite(
             List<Expectation> expectations,
             List<Deployment> deployments,
@@ -19,7 +23,7 @@
             List<FaultScript> faultScripts,
             int maxSequenceLength) {}
 
-    /** How it went with one expectation. */
+    /** The result of checking one expectation. */
     public enum Verdict {
         HOLDS("holds"),
         REFUTED("refuted"),
@@ -27,21 +31,24 @@
 
         private final String labelText;
 
-        Verdict(String word) {
-            this.labelText = word;
+        Verdict(String labelText) {
+            this.labelText = labelText;
         }
 
-        /** The verdict in one word, as it is printed. */
+        /** The name in reports. */
         public String label() {
             return labelText;
         }
     }
 
     /**
-     * A scenario in which an expectation fails.
+     * A scenario that violates an expectation.
      *
-     * @param found how many events, requests and boxes it had when it was found
-     * @param scenario what is left of it
+     * @param scenario         the scenario after shrinking
+     * @param originalFaults   number of faults before shrinking
+     * @param originalRequests number of requests before shrinking
+     * @param originalBoxes    number of boxes before shrinking
+     * @param shrinkRuns       number of simulations for shrinking
      */
     public record Counterexample(
             Scenario scenario,
@@ -52,9 +59,12 @@
             int shrinkRuns) {}
 
     /**
-     * @param evaluated how many moments or windows it spoke of
-     * @param satisfied   of how many of them it held
-     * @param counterexample null unless refuted
+     * The result for one expectation.
+     *
+     * @param evaluated         number of events, windows or settings to which it applied
+     * @param satisfied         number of these that satisfied it
+     * @param refutedAtScenario number of the first scenario that violated it, from 1; 0: none
+     * @param counterexample    null unless refuted by a scenario
      */
     public record ExpectationResult(
             Expectation expectation,
@@ -64,10 +74,10 @@
             int refutedAtScenario,
             Counterexample counterexample) {}
 
-    /** Two expectations that no moment met both of. */
+    /** Two expectations that applied to the same events, of which none satisfied both. */
     public record Conflict(Expectation first, Expectation second, long eventCount) {}
 
-    /** All that was found, and how much was played. */
+    /** The results and the extent of a check. */
     public record Result(
             List<ExpectationResult> expectationResults,
             List<Conflict> conflicts,
@@ -76,22 +86,23 @@
             long requests,
             List<String> coverageSummaries) {
 
-        /** Whether every expectation holds; vacuous ones do where {@code strict} is false. */
+        /** Whether no expectation is refuted and, if {@code strict}, none is vacuous. */
         public boolean isSuccess(boolean strict) {
             return expectationResults.stream()
-                    .noneMatch(f -> f.verdict() == Verdict.REFUTED || strict && f.verdict() == Verdict.VACUOUS);
+                    .noneMatch(result ->
+                            result.verdict() == Verdict.REFUTED || strict && result.verdict() == Verdict.VACUOUS);
         }
     }
 
-    /** Told how far a check has come. */
+    /** Receives progress reports of a check. */
     public interface Progress {
-        /** So many scenarios and decisions have been played, and so many expectations are refuted. */
+        /** A scenario was simulated; the arguments are totals so far. */
         void onScenario(long scenarios, long decisions, int refuted);
 
-        /** A counterexample to this expectation is being made shorter. */
+        /** Shrinking the counterexample of an expectation starts. */
         void onShrink(String expectation);
 
-        /** Tells nobody. */
+        /** Ignores progress. */
         Progress NONE = new Progress() {
             @Override
             public void onScenario(long scenarios, long decisions, int refuted) {}
@@ -102,7 +113,7 @@
     }
 
     private static final int MAX_SHRINK_RUNS = 1_500;
-    /** Moments that two expectations must both have spoken of before they are said to contradict each other. */
+    /** Minimum number of events to which two expectations must both apply before a conflict is reported. */
     private static final int MIN_JOINT_EVENTS = 20;
 
     private final Suite suite;
@@ -116,21 +127,21 @@
     private long decisions;
     private long requests;
 
-    Checker(Suite book, ScenarioSimulation.PolicyFactory maker, Progress progress) {
-        this.suite = book;
-        this.policyFactory = maker;
+    Checker(Suite suite, ScenarioSimulation.PolicyFactory policyFactory, Progress progress) {
+        this.suite = suite;
+        this.policyFactory = policyFactory;
         this.progress = progress;
-        book.expectations().forEach(e -> totals.add(new ExpectationEvaluator.Evaluation()));
+        suite.expectations().forEach(expectation -> totals.add(new ExpectationEvaluator.Evaluation()));
     }
 
-    /** With the decision module as it is. */
+    /** A checker of the production routing policy. */
     public static Checker of(Suite suite, Progress progress) {
         return new Checker(suite, Decide::new, progress);
     }
 
     /**
-     * Plays scenarios as long as {@code more} says so, but each case and the fleet in which nothing happens in any
-     * case, and makes counterexamples small.
+     * Simulates scenarios while {@code continueRunning} allows it, and shrinks counterexamples. The fault scripts and
+     * the sequence without faults are always simulated.
      */
     public Result run(long seed, BooleanSupplier continueRunning) {
         List<ScenarioGenerator> generators = new ArrayList<>();
@@ -185,7 +196,7 @@
             total.evaluated += evaluation.evaluated;
             total.satisfied += evaluation.satisfied;
             evaluation.jointCounts.forEach((with, counts) -> {
-                long[] sums = total.jointCounts.computeIfAbsent(indexes.get(with), x -> new long[2]);
+                long[] sums = total.jointCounts.computeIfAbsent(indexes.get(with), key -> new long[2]);
                 sums[0] += counts[0];
                 sums[1] += counts[1];
             });
@@ -195,9 +206,9 @@
                 violatingScenarioNumbers.put(index, (int) scenarios);
             }
         }
-        // A share is not refuted by one moment.
+        // A single event does not refute a share.
         int refuted = (int) firstViolations.values().stream()
-                .filter(v -> !(v.expectation().requirement() instanceof Expectation.Share))
+                .filter(violation -> !(violation.expectation().requirement() instanceof Expectation.Share))
                 .count();
         progress.onScenario(scenarios, decisions, refuted);
     }
@@ -249,7 +260,8 @@
         progress.onShrink(expectation.name());
         Scenario original = violatingScenarios.get(index).scenario();
         Shrinker shrinker = new Shrinker(
-                s -> evaluate(s, List.of(expectation)).results().get(0).firstViolation != null, MAX_SHRINK_RUNS);
+                scenario -> evaluate(scenario, List.of(expectation)).results().get(0).firstViolation != null,
+                MAX_SHRINK_RUNS);
         Scenario shrunk = shrinker.shrink(original, firstViolations.get(index).atMs());
         return new Counterexample(
                 shrunk,
--- a/doorman/src/main/java/barleyspur/expect/ClientRequest.java
+++ b/doorman/src/main/java/barleyspur/expect/ClientRequest.java
@@ -1,19 +1,19 @@
 package barleyspur.expect;
 
 /**
- * A client's first try; further ones follow by themselves, as clients do.
+ * A client's request with its first try; the simulation generates the retries.
  *
- * @param index   its place among the scenario's requests, which stays when others are left out
- * @param arrivalMs     when it comes, from the scenario's start
- * @param doormanIndex  to which doorman
- * @param classIndex its class, by place
- * @param objectId   what it asks for
- * @param objectSet      the object set it was drawn from: {@code hot}, {@code ordinary} or {@code once}
- * @param partIndex     the part of the object
- * @param groupId    the object's group
- * @param sizeKb   the size of the part
- * @param timeoutMs how long the client waits for this try
- * @param leavesAfterMs when the client leaves by itself, from the start of the try; 0: it doesn't
+ * @param index         index among the requests of the scenario, kept if other requests are removed
+ * @param arrivalMs     arrival time since the start of the scenario
+ * @param doormanIndex  index of the doorman that gets it
+ * @param classIndex    index of its request class
+ * @param objectId      the requested object
+ * @param objectSet     the set that the object was drawn from: {@code hot}, {@code ordinary} or {@code once}
+ * @param partIndex     the requested part of the object
+ * @param groupId       the group of the object
+ * @param sizeKb        size of the part
+ * @param timeoutMs     how long the client waits for a try
+ * @param leavesAfterMs time from the start of the first try until the client disconnects; 0: it doesn't
  */
 public record ClientRequest(
         int index,
--- a/doorman/src/main/java/barleyspur/expect/Condition.java
+++ b/doorman/src/main/java/barleyspur/expect/Condition.java
@@ -3,10 +3,10 @@
 import java.util.List;
 import java.util.Set;
 
-/** What an expectation asks of a moment. */
+/** A condition on a routing event. */
 public sealed interface Condition permits Condition.AllOf, Condition.AnyOf, Condition.Not, Condition.FieldTest {
 
-    /** Of which moments it speaks. */
+    /** The kinds of events to which a condition applies. */
     enum EventKind {
         ANY,
         ATTEMPT,
@@ -14,19 +14,19 @@
     }
 
     /**
-     * Whether it holds of a moment.
+     * Whether the condition holds for an event.
      *
      * @param triggerNode the box of the change that opened the window, or -1
      */
     boolean holds(RoutingEvent event, long triggerNode);
 
-    /** What kind of values it compares. */
+    /** The kind of events to which the condition applies. */
     EventKind eventKind();
 
-    /** The first part of it, in the order of the file, that does not hold; null where it holds. */
+    /** The first test, in the order of the file, that fails; null if the condition holds. */
     FieldTest firstFailure(RoutingEvent event, long triggerNode);
 
-    /** Each of them holds; of none it holds always. */
+    /** Holds if all conditions hold; always holds for an empty list. */
     record AllOf(List<Condition> conditions) implements Condition {
         @Override
         public boolean holds(RoutingEvent event, long triggerNode) {
@@ -55,7 +55,7 @@
         }
     }
 
-    /** At least one of them holds. */
+    /** Holds if at least one condition holds. */
     record AnyOf(List<Condition> conditions) implements Condition {
         @Override
         public boolean holds(RoutingEvent event, long triggerNode) {
@@ -80,7 +80,7 @@
         }
     }
 
-    /** It does not hold. */
+    /** Holds if the condition does not. */
     record Not(Condition condition) implements Condition {
         @Override
         public boolean holds(RoutingEvent event, long triggerNode) {
@@ -99,10 +99,11 @@
     }
 
     /**
-     * One line of an expectation: a field and what its value is to be. A field that has no value at that moment
-     * (the source, where nothing is filled) fails every test.
+     * One line of an expectation: a field and the values allowed for it. The test fails if the field has no value in
+     * the event, such as the source of an attempt without a fill.
      *
-     * @param location where it stands, as {@code FILE:LINE: KEY}
+     * @param location location in the expectation files, as {@code FILE:LINE: KEY}
+     * @param text     the line for messages
      */
     record FieldTest(EventField field, Matcher matcher, String location, String text) implements Condition {
         @Override
@@ -122,13 +123,13 @@
         }
     }
 
-    /** What a value is compared with. */
+    /** Matches the values of a field. */
     sealed interface Matcher permits OneOfWords, Range, BooleanValue {
-        /** Whether a value meets it. */
+        /** Whether the value matches. */
         boolean matches(Object value);
     }
 
-    /** One of these words, or with {@code not} none of them. */
+    /** Matches the given words or, if {@code negated}, all other words. */
     record OneOfWords(Set<String> words, boolean negated) implements Matcher {
         @Override
         public boolean matches(Object value) {
@@ -136,7 +137,7 @@
         }
     }
 
-    /** From least to most; ends that are not {@code open} belong to it. */
+    /** Matches numbers between two bounds, which are included unless they are marked as exclusive. */
     record Range(double min, boolean minExclusive, double max, boolean maxExclusive) implements Matcher {
         @Override
         public boolean matches(Object value) {
@@ -145,7 +146,7 @@
         }
     }
 
-    /** Exactly this. */
+    /** Matches one boolean value. */
     record BooleanValue(boolean expected) implements Matcher {
         @Override
         public boolean matches(Object value) {
--- a/doorman/src/main/java/barleyspur/expect/Deployment.java
+++ b/doorman/src/main/java/barleyspur/expect/Deployment.java
@@ -7,15 +7,15 @@
 import java.util.TreeSet;
 
 /**
- * The fleet that scenarios are played in.
+ * The doormans and boxes in which scenarios are simulated.
  *
- * @param name     the fleet's name in reports
- * @param rawSettings     the settings as they were read, by key: traces hold them
- * @param doormanSettings the settings of each doorman, by its number
- * @param stationNames    the stations' names
- * @param modelNames    the models' names
- * @param classNames  the classes' names
- * @param boxes    the boxes that run when a scenario begins
+ * @param name            name in reports
+ * @param rawSettings     the settings as read, by key; written to traces
+ * @param doormanSettings the settings of each doorman, by its index
+ * @param stationNames    names of the stations, by zone index
+ * @param modelNames      names of the box models, by model index
+ * @param classNames      names of the request classes, by class index
+ * @param boxes           boxes that run when a scenario starts
  */
 public record Deployment(
         String name,
@@ -26,14 +26,14 @@
         List<String> classNames,
         List<Box> boxes) {
 
-    /** Boxes of a kind that a twin keeps of each station, or in all. */
+    /** Limits of a reduced deployment; caches and doormans are limited by station. */
     private static final int REDUCED_CACHES_PER_STATION = 3;
 
     private static final int REDUCED_DISTRICTS = 2;
     private static final int REDUCED_STATIONS = 2;
     private static final int REDUCED_DOORMANS_PER_STATION = 2;
 
-    /** What a box is for, whatever its model. */
+    /** The role of a box, independent of its model. */
     public enum Role {
         CACHE("cache"),
         DISTRICT("district"),
@@ -41,18 +41,19 @@
 
         private final String labelText;
 
-        Role(String word) {
-            this.labelText = word;
+        Role(String labelText) {
+            this.labelText = labelText;
         }
 
-        /** As expectations name it. */
+        /** The name in expectation files. */
         public String label() {
             return labelText;
         }
     }
 
     /**
-     * A fleet with a doorman for each of {@code doormanZones}, which hear the same settings but for their own places.
+     * A deployment with one doorman in each of {@code doormanZones}; their settings differ only in their own index and
+     * zone.
      */
     public static Deployment of(
             String name,
@@ -120,32 +121,32 @@
                 base.maxRetryAfterMs());
     }
 
-    /** What all doormans' settings share. */
+    /** Settings to read values from that are the same at all doormans. */
     public Director.Settings sharedSettings() {
         return doormanSettings.get(0);
     }
 
-    /** The station of each doorman. */
+    /** The zone index of each doorman. */
     public List<Integer> doormanZones() {
         return doormanSettings.stream().map(Director.Settings::zone).toList();
     }
 
-    /** What a box is on this site. */
+    /** The role of a box in this deployment. */
     public Role roleOf(Box box) {
         return box.modelIndex() == sharedSettings().originKind()
                 ? Role.HEAD_OFFICE
                 : box.modelIndex() == sharedSettings().parentKind() ? Role.DISTRICT : Role.CACHE;
     }
 
-    /** The same site with fewer boxes. */
+    /** The same deployment with fewer boxes. */
     Deployment withBoxes(List<Box> remaining) {
         return new Deployment(
                 name, rawSettings, doormanSettings, stationNames, modelNames, classNames, List.copyOf(remaining));
     }
 
     /**
-     * The site cut down to what still shows each kind of thing: two stations of three caches and two doormans each,
-     * two district caches and the head office. In it all orders of a few events can be played.
+     * A smaller deployment that still contains each kind of component: two stations of three caches and two doormans
+     * each, two district caches and the head office. It is small enough to simulate all sequences of a few faults.
      */
     Deployment reduced() {
         TreeSet<Integer> stations = new TreeSet<>();
@@ -159,8 +160,8 @@
         List<Box> kept = new ArrayList<>();
         for (Box box : boxes) {
             long keptOfSameKind = kept.stream()
-                    .filter(k ->
-                            roleOf(k) == roleOf(box) && (roleOf(box) != Role.CACHE || k.zoneIndex() == box.zoneIndex()))
+                    .filter(other -> roleOf(other) == roleOf(box)
+                            && (roleOf(box) != Role.CACHE || other.zoneIndex() == box.zoneIndex()))
                     .count();
             boolean fits =
                     switch (roleOf(box)) {
--- a/doorman/src/main/java/barleyspur/expect/Expectation.java
+++ b/doorman/src/main/java/barleyspur/expect/Expectation.java
@@ -4,15 +4,17 @@
 import java.util.Set;
 
 /**
- * One thing that must hold of routing.
+ * An operator's requirement on routing, as an {@code expectation} block of the expectation files states it.
  *
- * @param name  unique among all that are checked together
- * @param location where it stands, as {@code FILE:LINE}
- * @param deployments of which fleets it speaks, by name; empty: of all
- * @param cases  of which cases, likewise
- * @param workloads  at which loads, likewise
- * @param precondition which moments it speaks of
- * @param window the change that opens a window for it, or null: it speaks of all moments
+ * @param name         unique among the expectations that are checked together
+ * @param description  the operator's description
+ * @param location     location in the expectation files, as {@code FILE:LINE}
+ * @param deployments  names of the deployments to which it applies; empty: all
+ * @param cases        names of the fault scripts to which it applies; empty: all
+ * @param workloads    names of the workloads to which it applies; empty: all
+ * @param precondition selects the events to which it applies
+ * @param requirement  what must hold for these events
+ * @param window       limits it to events after a change; null: no limit
  */
 public record Expectation(
         String name,
@@ -25,29 +27,29 @@
         Requirement requirement,
         Window window) {
 
-    /** What must hold. */
+    /** What an expectation requires of the events that its precondition selects. */
     public sealed interface Requirement permits Must, Never, Share, Eventually, Count, SettingRanges {
-        /** What is to hold. */
+        /** The condition on each event; always true for requirements on the settings. */
         Condition condition();
     }
 
-    /** Of each moment. */
+    /** The condition must hold for every event. */
     public record Must(Condition condition) implements Requirement {}
 
-    /** Of no moment. */
+    /** The condition must hold for no event. */
     public record Never(Condition condition) implements Requirement {}
 
-    /** Of at least and at most such a share of all moments of all scenarios. */
+    /** The share of events, over all scenarios, for which the condition holds must be within bounds. */
     public record Share(Condition condition, double min, double max) implements Requirement {}
 
     /**
-     * Of at least one moment of each window that has lasted.
+     * The condition must hold for at least one event of each completed window.
      *
-     * @param minEvents a window with fewer moments shows nothing
+     * @param minEvents an unsatisfied window with fewer events is ignored
      */
     public record Eventually(Condition condition, int minEvents) implements Requirement {}
 
-    /** What a count goes by. */
+    /** The scope within which is counted. */
     public enum CountScope {
         REQUEST,
         OBJECT,
@@ -64,41 +66,43 @@
     }
 
     /**
-     * The number of attempts, or of different targets or sources, that moments share.
+     * The number of attempts, or of distinct targets or sources, within a scope must be within bounds.
      *
-     * @param min counted at the scenario's end, where there were moments at all
+     * @param min evaluated at the end of the scenario, for scopes with at least one event
      */
     public record Count(CountedItem item, CountScope scope, double min, double max, Condition condition)
             implements Requirement {}
 
-    /** One of the settings' figures: what it is and what it is to be. */
+    /** The value of a setting and the range that is allowed for it. */
     public record SettingRange(double value, Condition.Range allowed, String location, String text) {}
 
-    /** Of the settings themselves: nothing needs to be played. */
+    /** Settings must be within ranges; this needs no simulation. */
     public record SettingRanges(List<SettingRange> settings) implements Requirement {
         @Override
         public Condition condition() {
             return new Condition.AllOf(List.of());
         }
 
-        /** Those that are not what they are to be. */
+        /** The settings that are out of range. */
         public List<SettingRange> violated() {
             return settings.stream()
-                    .filter(f -> !f.allowed().matches(f.value()))
+                    .filter(setting -> !setting.allowed().matches(setting.value()))
                     .toList();
         }
     }
 
     /**
-     * A window that a change opens for the box it is about: at the doorman that was told, or at all where it happens.
+     * A time window that a change of a box opens: a list update opens it for the doorman that gets the update, a fault
+     * for all doormans.
      *
-     * @param listedStates     the changes of the list that open it
-     * @param faults  the faults that open it
-     * @param roles    of which boxes; empty: all
-     * @param ownStationOnly      whether only boxes of the doorman's own station count, where a doorman is told
-     * @param opensAfterMs   it begins so long after the change
-     * @param closesAfterMs     and ends so long after it
-     * @param closingStates    what a doorman is told of the same box that closes it early
+     * @param listedStates   states in list updates that open the window
+     * @param onStart        whether a start that the list reports opens the window
+     * @param faults         faults that open the window
+     * @param roles          roles of the boxes; empty: all
+     * @param ownStationOnly whether list updates count only for boxes in the doorman's own station
+     * @param opensAfterMs   delay between the change and the start of the window
+     * @param closesAfterMs  delay between the change and the end of the window
+     * @param closingStates  states in list updates of the same box that close the window early
      */
     public record Window(
             Set<RoutingEvent.ListedState> listedStates,
@@ -110,7 +114,7 @@
             double closesAfterMs,
             Set<RoutingEvent.ListedState> closingStates) {}
 
-    /** Attempts or answers; attempts where nothing tells. */
+    /** The kind of events to which it applies: attempts, unless a test needs an answer. */
     Condition.EventKind eventKind() {
         Condition.EventKind eventKind = new Condition.AllOf(List.of(precondition, requirement.condition())).eventKind();
         return eventKind == Condition.EventKind.ANY ? Condition.EventKind.ATTEMPT : eventKind;
--- a/doorman/src/main/java/barleyspur/expect/ExpectationEvaluator.java
+++ b/doorman/src/main/java/barleyspur/expect/ExpectationEvaluator.java
@@ -8,30 +8,32 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Judges the moments of one scenario by a list of expectations. */
+/** Evaluates a list of expectations on the routing events of one scenario. */
 final class ExpectationEvaluator implements SimulationObserver {
 
     /**
-     * A moment that an expectation does not allow.
+     * An event that violates an expectation.
      *
-     * @param event null where something was to come and did not
-     * @param failedTest the line of the expectation that does not hold; null where none can be named
-     * @param message   in words
+     * @param event      null if an expected event did not occur
+     * @param failedTest the test of the expectation that failed; null if no single test did
+     * @param message    a description for the trace narrative
      */
     record Violation(
             Expectation expectation, double atMs, RoutingEvent event, Condition.FieldTest failedTest, String message) {}
 
-    /** How one expectation fared in one scenario, or in many. */
+    /** The evaluation of one expectation in one or more scenarios. */
     static final class Evaluation {
-        /** Moments or windows that it spoke of. */
+        /** Number of events or windows to which the expectation applied. */
         long evaluated;
 
+        /** Number of these that satisfied it. */
         long satisfied;
-        /** Moments that it spoke of as well as the expectation of that place in the list, and how many both hold of. */
+        /** By index of another expectation: number of events to which both applied, and that satisfied both. */
         final Map<Integer, long[]> jointCounts = new HashMap<>();
 
         Violation firstViolation;
 
+        /** Adds the counts of another evaluation. */
         void add(Evaluation other) {
             evaluated += other.evaluated;
             satisfied += other.satisfied;
@@ -43,23 +45,28 @@
         }
     }
 
+    /** A time window that a fault or a list update has opened. */
     private static final class OpenWindow {
+        /** -1 if the window applies to all doormans. */
         final int doormanIndex;
+        /** -1 if the window applies to the whole deployment. */
         final long nodeId;
+
         final double opensAtMs;
         double closesAtMs;
         boolean satisfied;
         boolean closedEarly;
         int eventCount;
 
-        OpenWindow(int doorman, long node, double from, double by) {
-            this.doormanIndex = doorman;
-            this.nodeId = node;
-            this.opensAtMs = from;
-            this.closesAtMs = by;
+        OpenWindow(int doormanIndex, long nodeId, double opensAtMs, double closesAtMs) {
+            this.doormanIndex = doormanIndex;
+            this.nodeId = nodeId;
+            this.opensAtMs = opensAtMs;
+            this.closesAtMs = closesAtMs;
         }
     }
 
+    /** Counts the attempts and the distinct nodes of one key of a count expectation. */
     private record AttemptCount(Set<Object> distinctNodes, long[] attemptCounter) {}
 
     private final Deployment deployment;
@@ -68,16 +75,16 @@
     private final List<Evaluation> evaluations = new ArrayList<>();
     private final List<List<OpenWindow>> openWindows = new ArrayList<>();
     private final List<Map<Object, AttemptCount>> attemptCounts = new ArrayList<>();
-    /** What each expectation said of the moment at hand: null: nothing. */
+    /** Result of each expectation for the current event; null if the expectation does not apply to it. */
     private final Boolean[] currentResults;
 
     private double lastEventMs;
 
-    ExpectationEvaluator(Deployment site, List<Expectation> expectations) {
-        this.deployment = site;
+    ExpectationEvaluator(Deployment deployment, List<Expectation> expectations) {
+        this.deployment = deployment;
         this.expectations = expectations;
         eventKinds = expectations.stream().map(Expectation::eventKind).toList();
-        expectations.forEach(e -> {
+        expectations.forEach(expectation -> {
             evaluations.add(new Evaluation());
             openWindows.add(new ArrayList<>());
             attemptCounts.add(new HashMap<>());
@@ -85,6 +92,7 @@
         currentResults = new Boolean[expectations.size()];
     }
 
+    /** The evaluations, in the order of the expectations. */
     List<Evaluation> results() {
         return evaluations;
     }
@@ -173,7 +181,8 @@
         boolean conditionHolds = expectation.requirement().condition().holds(event, triggerNode);
         Expectation.Requirement requirement = expectation.requirement();
         if (requirement instanceof Expectation.Share share) {
-            // Where too many are so, one that is so shows why; else one that is not.
+            // An example of a violation: an event without the condition if the share has a lower bound, else one with
+            // it.
             boolean isExample = share.min() > 0 ? !conditionHolds : conditionHolds;
             record(
                     index,
@@ -277,14 +286,15 @@
         return number == Math.rint(number) ? Long.toString((long) number) : Double.toString(number);
     }
 
-    /** The play is over: what was to come by now has not. */
+    /** Evaluates windows and lower bounds of counts at the end of the scenario. */
     void finish() {
         for (int i = 0; i < expectations.size(); i++) {
             Expectation expectation = expectations.get(i);
             Evaluation evaluation = evaluations.get(i);
             if (expectation.requirement() instanceof Expectation.Eventually eventually) {
                 for (OpenWindow openWindow : openWindows.get(i)) {
-                    // A window that was closed early, that the play did not outlast or with few chances shows nothing.
+                    // An unsatisfied window is no violation if it was closed early, if it lasts beyond the end of the
+                    // scenario or if it contains too few events.
                     if (openWindow.satisfied
                             || !openWindow.closedEarly
                                     && openWindow.closesAtMs <= lastEventMs
@@ -318,7 +328,7 @@
         }
     }
 
-    /** Counts the moments that two expectations spoke of, and those that both allow. */
+    /** For each two expectations that apply to the current event: counts the event, and whether it satisfies both. */
     private void countAgreements() {
         for (int i = 0; i < currentResults.length; i++) {
             for (int j = i + 1; currentResults[i] != null && j < currentResults.length; j++) {
--- a/doorman/src/main/java/barleyspur/expect/Fault.java
+++ b/doorman/src/main/java/barleyspur/expect/Fault.java
@@ -1,60 +1,59 @@
 package barleyspur.expect;
 
 /**
- * Something that happens to the fleet in a scenario.
+ * An event of a scenario that affects boxes, links or lists.
  *
- * @param kind   what
- * @param nodeId   the box it happens to; of a station's link, any box of that station; -1 for the whole fleet
- * @param atMs   when, from the scenario's start
- * @param listDelayMs how long after that the doormans' list tells it, for those kinds that a list tells
- * @param durationMs  for how long, for those kinds that end
- * @param magnitude   how much: times slower, share of failures, how far a list lags in ms, the purged object
+ * @param nodeId      the affected box; for a station's link, any box of that station; -1 for the whole deployment
+ * @param atMs        time since the start of the scenario
+ * @param listDelayMs delay until the doormans' lists report the event, for kinds that are reported
+ * @param durationMs  duration, for kinds that end by themselves
+ * @param magnitude   slowdown factor, share of failures, lag of the list in ms or the purged object, depending on kind
  */
 public record Fault(Kind kind, long nodeId, double atMs, double listDelayMs, double durationMs, double magnitude) {
 
-    /** What can happen. */
+    /** The kinds of events. */
     public enum Kind {
-        /** It finishes its work and wants no more; the list tells. */
+        /** The box finishes its work and wants no more; the list reports it. */
         DRAIN("drain", true),
-        /** A drain that is taken back. */
+        /** A drain is cancelled. */
         RETURN("return", true),
-        /** Its process ends, with what is open there. */
+        /** The process of the box ends; its connections are reset. */
         GONE("gone", true),
-        /** It ends and starts anew, cold and empty, as the same box. */
+        /** The process of the box ends and restarts under the same id, cold and without copies. */
         RESTART("restart", true),
-        /** It ends, and a new box with an id of its own starts in its place. */
+        /** The process of the box ends, and a new box with an id of its own starts in its place. */
         REPLACE("replace", true),
-        /** The list leaves it out though it runs. */
+        /** The list omits the box although it runs. */
         MISSING("missing", true),
-        /** It takes requests and answers none. */
+        /** The box accepts requests and answers none. */
         HANG("hang", false),
-        /** It takes {@code size} times as long. */
+        /** The box takes {@code magnitude} times as long. */
         SLOW("slow", false),
-        /** It turns all away. */
+        /** The box rejects all requests. */
         FULL("full", false),
-        /** It fails a share {@code size} of what it is asked. */
+        /** The box fails a share {@code magnitude} of its requests. */
         FAIL("fail", false),
-        /** Its station's link brings nothing in. */
+        /** Fills over the link of the box's station fail. */
         LINK("link", false),
-        /** The list runs {@code size} ms further behind. */
+        /** List updates are delayed by {@code magnitude} ms more. */
         STALE("stale", false),
-        /** The object whose number is {@code size} is purged. */
+        /** The object whose id is {@code magnitude} is purged. */
         PURGE("purge", true);
 
         private final String labelText;
         private final boolean reportedByList;
 
-        Kind(String word, boolean told) {
-            this.labelText = word;
-            this.reportedByList = told;
+        Kind(String labelText, boolean reportedByList) {
+            this.labelText = labelText;
+            this.reportedByList = reportedByList;
         }
 
-        /** As expectation files name it. */
+        /** The name in expectation files. */
         public String label() {
             return labelText;
         }
 
-        /** The size where none is said: times slower, share of failures, lag in ms, object. */
+        /** The magnitude if a file gives none. */
         public double defaultMagnitude() {
             return switch (this) {
                 case SLOW -> 6;
@@ -65,7 +64,7 @@
             };
         }
 
-        /** Whether the command channel tells it. */
+        /** Whether doormans are notified of it: by a list update, or of a purge by a purge notice. */
         public boolean isReportedByList() {
             return reportedByList;
         }
--- a/doorman/src/main/java/barleyspur/expect/FaultScript.java
+++ b/doorman/src/main/java/barleyspur/expect/FaultScript.java
@@ -3,17 +3,19 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A sequence of events that a file lays down, for any fleet. */
+/** A sequence of faults that a {@code case} block of the expectation files defines, for any deployment. */
 public record FaultScript(String name, List<ScriptedFault> faults) {
 
     /**
-     * One event.
+     * One fault and the boxes it may affect.
      *
-     * @param role    of which boxes, null for any
-     * @param station of which station, empty for any
-     * @param box     of which box by name, empty for any
-     * @param boxCount   how many of them; {@link Integer#MAX_VALUE} for all
-     * @param minListDelayMs from here to {@code toldMostMs} it is drawn how long after it the list tells
+     * @param role           role of the boxes; null for any
+     * @param station        station of the boxes; empty for any
+     * @param box            name of the box; empty for any
+     * @param boxCount       number of affected boxes; {@link Integer#MAX_VALUE} for all
+     * @param minListDelayMs minimum delay until the list reports the fault; the delay is chosen at random
+     * @param maxListDelayMs maximum of that delay
+     * @param magnitude      see {@link Fault#magnitude}
      */
     public record ScriptedFault(
             Fault.Kind kind,
@@ -27,7 +29,7 @@
             double durationMs,
             double magnitude) {}
 
-    /** What happens in this fleet; {@code seed} draws which boxes it strikes and when the list tells. */
+    /** The faults in a deployment; {@code seed} determines the affected boxes and the delays of the list. */
     List<Fault> drawFaults(Deployment deployment, long seed) {
         KeyedRandom random = new KeyedRandom(seed);
         List<Fault> drawn = new ArrayList<>();
@@ -56,7 +58,7 @@
                     matching.add(box);
                 }
             }
-            // Steps that name the same boxes strike the same ones: a drain and its return are one box's.
+            // Faults with the same selection affect the same boxes, so that a return follows the drain of the same box.
             int first = matching.isEmpty()
                     ? 0
                     : (int) (random.uniform(
--- a/doorman/src/main/java/barleyspur/expect/KeyedRandom.java
+++ b/doorman/src/main/java/barleyspur/expect/KeyedRandom.java
@@ -3,8 +3,9 @@
 import net.openhft.hashing.LongHashFunction;
 
 /**
- * Draws that hang on what they are for and not on how many were made before: a scenario that loses a request leaves
- * all others as they were, without which no counterexample could be made smaller.
+ * Pseudo-random numbers that are determined by the seed and the caller's keys, not by the number of earlier calls.
+ * Therefore removing a request from a scenario does not change the random choices for the others, which is needed to
+ * shrink counterexamples.
  */
 final class KeyedRandom {
 
@@ -14,12 +15,13 @@
         hash = LongHashFunction.xx3(seed);
     }
 
-    /** From 0 up to 1, the same for the same three numbers. */
+    /** A number from 0 (inclusive) to 1 (exclusive), the same for the same keys. */
     double uniform(long firstKey, long secondKey, long thirdKey) {
         long hashed = hash.hashLong(hash.hashLong(hash.hashLong(firstKey) ^ secondKey) ^ thirdKey);
         return (hashed >>> 11) * 0x1p-53;
     }
 
+    /** A number from {@code min} (inclusive) to {@code max} (exclusive), the same for the same keys. */
     double uniformBetween(double min, double max, long firstKey, long secondKey, long thirdKey) {
         return min + (max - min) * uniform(firstKey, secondKey, thirdKey);
     }
--- a/doorman/src/main/java/barleyspur/expect/RoutingComparison.java
+++ b/doorman/src/main/java/barleyspur/expect/RoutingComparison.java
@@ -9,22 +9,27 @@
 import java.util.function.BooleanSupplier;
 import java.util.stream.Collectors;
 
-/** What changes in routing between two configurations, request by request: the same requests and events in both. */
+/** Compares the routing of two configurations request by request, with the same requests and faults in both. */
 public final class RoutingComparison {
 
-    /** How a client's first try went in one of the two. */
+    /**
+     * How the first try of a request was routed. The command prints the result of {@code toString}, so the names of
+     * the type and its components are part of the output.
+     */
     private record Way(String target, String source, int rank, String ending, int attempts) {
         static final Way NONE = new Way("none", "none", 0, "none", 0);
     }
 
-    /** One request that goes another way. */
+    /** A request that is routed differently. */
     public record Difference(ClientRequest request, String className, String aspect, String before, String after) {}
 
     /**
-     * @param requests how many were compared
-     * @param changed  how many go another way
-     * @param countsByAspect    how many changed in what
-     * @param examples    the first ones
+     * The result of a comparison.
+     *
+     * @param requests       number of compared requests
+     * @param changed        number of requests that are routed differently
+     * @param countsByAspect number of differences by their first aspect: target, source, rank, answer or attempts
+     * @param examples       the first differences
      */
     public record Result(
             long requests, long changed, Map<String, Long> countsByAspect, List<Difference> examples, long scenarios) {}
@@ -34,8 +39,8 @@
     private RoutingComparison() {}
 
     /**
-     * Plays the same scenarios, of the fleet of {@code before}, with the settings and boxes of both. Stations and classes
-     * must be the same.
+     * Simulates the scenarios that are generated for {@code before} with the settings and boxes of both deployments.
+     * Stations and request classes must be the same.
      */
     public static Result of(
             Deployment before,
@@ -88,12 +93,12 @@
         return new Result(requests, changed, countsByAspect, examples, scenarios);
     }
 
-    /** The same requests and events in the other fleet: what it lacks is not struck, what is new in it is there. */
+    /** The same scenario in the other deployment, with its new boxes and without faults of boxes that it lacks. */
     private static Scenario transfer(Scenario scenario, Deployment before, Deployment after) {
         Set<Long> simulatedIds = nodeIds(scenario.deployment());
         Set<Long> idsBefore = nodeIds(before);
         List<Box> boxes = after.boxes().stream()
-                .filter(b -> simulatedIds.contains(b.nodeId()) || !idsBefore.contains(b.nodeId()))
+                .filter(box -> simulatedIds.contains(box.nodeId()) || !idsBefore.contains(box.nodeId()))
                 .toList();
         Deployment deployment = Deployment.of(
                 after.name(),
@@ -107,7 +112,7 @@
         Set<Long> idsAfter = nodeIds(deployment);
         return scenario.withDeployment(deployment)
                 .withFaults(scenario.faults().stream()
-                        .filter(f -> f.nodeId() < 0 || idsAfter.contains(f.nodeId()))
+                        .filter(fault -> fault.nodeId() < 0 || idsAfter.contains(fault.nodeId()))
                         .toList());
     }
 
@@ -125,22 +130,22 @@
                             return;
                         }
                         Way route = routes.getOrDefault(requestIndex, Way.NONE);
-                        if (event instanceof RoutingEvent.Attempt a && a.number() == 1) {
+                        if (event instanceof RoutingEvent.Attempt attempt && attempt.number() == 1) {
                             route = new Way(
-                                    a.target().box().uid(),
-                                    a.source() == null
+                                    attempt.target().box().uid(),
+                                    attempt.source() == null
                                             ? "none"
-                                            : a.source().box().uid(),
-                                    a.rank(),
+                                            : attempt.source().box().uid(),
+                                    attempt.rank(),
                                     route.ending,
                                     1);
-                        } else if (event instanceof RoutingEvent.Answer a) {
+                        } else if (event instanceof RoutingEvent.Answer answer) {
                             route = new Way(
                                     route.target,
                                     route.source,
                                     route.rank,
-                                    a.outcome().label(),
-                                    a.attempts());
+                                    answer.outcome().label(),
+                                    answer.attempts());
                         }
                         routes.put(requestIndex, route);
                     }
@@ -150,7 +155,7 @@
 
                     @Override
                     public void onListUpdate(
-                            double atMs, int doorman, Box box, RoutingEvent.ListedState told, boolean started) {}
+                            double atMs, int doormanIndex, Box box, RoutingEvent.ListedState state, boolean newStart) {}
                 })
                 .run();
         return routes;
--- a/doorman/src/main/java/barleyspur/expect/RoutingEvent.java
+++ b/doorman/src/main/java/barleyspur/expect/RoutingEvent.java
@@ -2,16 +2,16 @@
 
 import barleyspur.decision.Director;
 
-/** One action of a doorman that expectations speak of, with all that was so at that moment. */
+/** An action of a doorman to which expectations apply, with the state of the deployment at that time. */
 public sealed interface RoutingEvent permits RoutingEvent.Attempt, RoutingEvent.Answer {
 
-    /** When it happens, on the virtual clock. */
+    /** Time of the event on the virtual clock. */
     double atMs();
 
-    /** The request that it is about. */
+    /** The client try that the event belongs to. */
     ClientTry clientTry();
 
-    /** How a box stands on a doorman's list. */
+    /** The state of a box on a doorman's list. */
     enum ListedState {
         IN_SERVICE("in_service"),
         TERMINATING("terminating"),
@@ -20,22 +20,24 @@
 
         private final String labelText;
 
-        ListedState(String word) {
-            this.labelText = word;
+        ListedState(String labelText) {
+            this.labelText = labelText;
         }
 
-        /** As expectations name it. */
+        /** The name in expectation files. */
         public String label() {
             return labelText;
         }
     }
 
     /**
-     * The try that an action belongs to.
+     * One try of a client: its first one for a request, or a retry.
      *
-     * @param id  its place among all tries of the play, from 1
-     * @param tryNumber which of the client's tries it is, from 1
-     * @param markedAsRepeat  whether the doorman is told that it is a repeat
+     * @param id             sequence number among all tries of the scenario, from 1
+     * @param tryNumber      number among the tries of the same request, from 1
+     * @param markedAsRepeat whether the client marks the try as a repeat
+     * @param station        station of the doorman
+     * @param zoneIndex      index of that station
      */
     record ClientTry(
             long id,
@@ -49,17 +51,19 @@
             int zoneIndex) {}
 
     /**
-     * A box at that moment, as the doorman was told and as it is.
+     * A box at the time of an event: its state on the doorman's list and its actual state.
      *
-     * @param listedState       what the doorman's list says
-     * @param listedStateForMs  for how long it has said so
-     * @param actualState     what it does in truth
-     * @param coldForMs  how long ago it started by the doorman's list; NaN where it is not cold by that
-     * @param fault      what else is wrong with it: none, hang, slow, full or fail
-     * @param pressure   what all doormans that were told of its start sent within the rule's span, over what the rule
-     *                   allows; 0 where it is not cold
-     * @param pressureOfAll the same of all doormans
-     * @param earlierAttempts      how many earlier attempts of the same try went there
+     * @param inOwnStation     whether the box is in the doorman's station
+     * @param listedState      state on the doorman's list
+     * @param listedStateForMs how long the list has reported that state
+     * @param actualState      actual state
+     * @param coldForMs        time since the start that the doorman's list reports; NaN if the box is not cold by the
+     *                         list
+     * @param fault            other fault of the box: none, hang, slow, full or fail
+     * @param pressure         load from doormans that know of the start within the span of the cold-box rule, divided
+     *                         by the load that the rule allows; 0 if the box is not cold
+     * @param pressureOfAll    the same for the load from all doormans
+     * @param earlierAttempts  number of earlier attempts of the same try at this box
      */
     record BoxView(
             Box box,
@@ -77,17 +81,18 @@
             int earlierAttempts) {}
 
     /**
-     * An attempt as it is sent.
+     * A doorman sends an attempt to a box.
      *
-     * @param source     null where nothing is filled
-     * @param number     its place among the try's attempts, from 1
-     * @param sincePreviousMs  since the attempt before; NaN for the first
-     * @param outstanding how many attempts of the try are still out
-     * @param maybeRan   whether an earlier attempt of it may have run, or is still out
-     * @param maxAgeMs   the oldest copy that will do, the class's own time where the action leaves it open; 0: any
-     * @param allowsPurgedCopy whether a copy from before a purge would do that the doorman was told of longer ago than
-     *                   the grace
-     * @param afterAnswer       whether the try had its final answer before
+     * @param source           source of a fill; null if the attempt allows none
+     * @param number           number among the attempts of the try, from 1
+     * @param sincePreviousMs  time since the previous attempt; NaN for the first one
+     * @param outstanding      number of outstanding attempts of the try
+     * @param maybeRan         whether an earlier attempt of the try is outstanding or may have been executed
+     * @param maxAgeMs         maximum age of an acceptable copy, the freshness time of the request class if the action
+     *                         sets none; 0: no limit
+     * @param allowsPurgedCopy whether the attempt accepts a copy from before a purge although the grace period since
+     *                         the doorman was notified of the purge is over
+     * @param afterAnswer      whether the try already had its final answer
      */
     record Attempt(
             double atMs,
@@ -118,11 +123,11 @@
 
         private final String labelText;
 
-        TryOutcome(String word) {
-            this.labelText = word;
+        TryOutcome(String labelText) {
+            this.labelText = labelText;
         }
 
-        /** As expectations name it. */
+        /** The name in expectation files. */
         public String label() {
             return labelText;
         }
@@ -131,14 +136,19 @@
     /**
      * The end of a try.
      *
-     * @param retryAfterMs     how long the client is told to stay away; 0: not told
-     * @param elapsedMs    since the try came
-     * @param sinceLastChangeMs     since anything last changed for the try (it came, an attempt was sent or ended), for refused
-     *                   and failed ones
-     * @param executionCount       how often the request has run in truth, over all tries
-     * @param copyAgeMs  how old the served copy was; NaN where there was none
-     * @param purgedCopy whether the copy was from before a purge that the doorman had been told of longer ago
-     *                   than the grace when it sent the attempt
+     * @param retryAfterMs      retry-after time given to the client; 0: none
+     * @param elapsedMs         time since the try arrived
+     * @param sinceLastChangeMs time since the last change of the try (it arrived, or an attempt was sent or ended); of
+     *                          interest for refused and failed tries
+     * @param attempts          number of attempts of the try
+     * @param outstanding       number of attempts that are still outstanding
+     * @param maybeRan          whether an attempt is outstanding or may have been executed
+     * @param executionCount    how often the request was actually executed, over all tries
+     * @param copyAgeMs         age of the copy that was served; NaN if none was
+     * @param stale             whether the copy is older than the freshness time of the request class
+     * @param purgedCopy        whether the copy is from before a purge of which the doorman had been notified longer
+     *                          than the grace period before it sent the attempt
+     * @param late              whether the answer missed the latency target of the request class
      */
     record Answer(
             double atMs,
--- a/doorman/src/main/java/barleyspur/expect/Scenario.java
+++ b/doorman/src/main/java/barleyspur/expect/Scenario.java
@@ -5,14 +5,14 @@
 import java.util.List;
 
 /**
- * One thing to play: a fleet, what happens to it, and what clients ask. Whole in itself, so that it can be written
- * down and played again.
+ * The input of one simulation: a deployment, its faults and its client requests. Self-contained, so that it can be
+ * stored and replayed.
  *
- * @param seed     of the doormans and of what the boxes draw
- * @param maxRetries  how often a client tries again by itself
- * @param marksRetries   whether it says so
- * @param meanWorkMs how long it takes to send a request of each class on average, in ms, as the rule on cold boxes
- *                 counts it; it stays when requests are left out
+ * @param seed         seed of the routing policies and of the random choices of the simulation
+ * @param maxRetries   maximum number of retries of a client
+ * @param marksRetries whether clients mark retries as repeats
+ * @param meanWorkMs   mean time to send a response, by class index, as the cold-box rule counts load; does not change
+ *                     if requests are removed
  */
 public record Scenario(
         Deployment deployment,
@@ -23,7 +23,7 @@
         List<Fault> faults,
         List<ClientRequest> requests) {
 
-    /** With the mean work of these requests. */
+    /** Creates a scenario and computes the mean work from its requests. */
     static Scenario of(
             Deployment deployment,
             long seed,
--- a/doorman/src/main/java/barleyspur/expect/ScenarioGenerator.java
+++ b/doorman/src/main/java/barleyspur/expect/ScenarioGenerator.java
@@ -10,18 +10,20 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Says which scenarios to play: first those that files lay down, then every order of a few events in a small twin of
- * the fleet, shortest first, then ever longer random ones in the twin and in the whole fleet, until nobody asks.
+ * Generates the scenarios of a check: first the fault scripts of the files, then all sequences of a few faults in a
+ * reduced deployment, shortest first, then random sequences of increasing length in the reduced and the full
+ * deployment.
  *
- * <p>Equal boxes are interchangeable, so of all orders that differ only by which of them an event strikes, one is
- * played: the one in which boxes of a sort come into play in the order of the list.
+ * <p>Uses symmetry reduction: boxes of the same role, station, model and size are interchangeable, so of all sequences
+ * that differ only in which of these boxes are affected, one is generated. It is the one in which the boxes are first
+ * affected in the order of the list.
  */
 final class ScenarioGenerator {
 
     /**
-     * One scenario to play.
+     * A scenario and its origin.
      *
-     * @param caseName of the case in the files, or empty
+     * @param caseName name of the fault script; empty if there is none
      */
     record PlannedScenario(Scenario scenario, String caseName, String workloadName) {}
 
@@ -30,9 +32,10 @@
     private static final double LIST_DELAY_MS = 300;
     private static final double FAULT_DURATION_MS = 3_000;
     private static final int MAX_RANDOM_FAULTS = 16;
-    /** How often each case is played at each load. */
+    /** Number of scenarios, with different seeds, for each fault script and workload. */
     static final int VARIANTS_PER_SCRIPT = 3;
 
+    /** A kind of fault at a box, the element of a sequence; {@code box} is null for faults of the whole deployment. */
     private record FaultChoice(Fault.Kind kind, Box box, String equivalenceClass) {}
 
     private final Deployment fullDeployment;
@@ -55,24 +58,31 @@
     private long sequenceCount;
 
     /**
-     * @param depth how long orders of events are that are all played
-     * @param free  whether anything but the cases is played
+     * Creates a generator.
+     *
+     * @param maxSequenceLength     maximum length of the sequences that are enumerated exhaustively
+     * @param exploresBeyondScripts whether to generate other scenarios than those of the fault scripts
      */
     ScenarioGenerator(
-            Deployment deployment, List<Workload> loads, List<FaultScript> cases, long seed, int depth, boolean free) {
+            Deployment deployment,
+            List<Workload> workloads,
+            List<FaultScript> faultScripts,
+            long seed,
+            int maxSequenceLength,
+            boolean exploresBeyondScripts) {
         this.fullDeployment = deployment;
         this.reducedDeployment = deployment.reduced();
-        this.workloads = loads;
-        this.faultScripts = cases;
+        this.workloads = workloads;
+        this.faultScripts = faultScripts;
         this.seed = seed;
-        this.maxSequenceLength = depth;
-        this.exploresBeyondScripts = free;
+        this.maxSequenceLength = maxSequenceLength;
+        this.exploresBeyondScripts = exploresBeyondScripts;
         this.random = RandomSource.XO_SHI_RO_256_PP.create(seed);
         for (Box box : reducedDeployment.boxes()) {
             String equivalenceClass = reducedDeployment.roleOf(box) + "/" + box.zoneIndex() + "/" + box.modelIndex()
                     + "/" + box.concurrentTransfers();
             boxesByEquivalenceClass
-                    .computeIfAbsent(equivalenceClass, k -> new ArrayList<>())
+                    .computeIfAbsent(equivalenceClass, key -> new ArrayList<>())
                     .add(box);
             for (Fault.Kind kind : Fault.Kind.values()) {
                 if (canAffect(kind, reducedDeployment.roleOf(box))) {
@@ -98,7 +108,7 @@
         };
     }
 
-    /** What the exhaustive part has covered so far, in words. */
+    /** A description of what the exhaustive enumeration has covered so far. */
     String coverageSummary() {
         return sequenceCount + " orders of up to " + (exhausted ? maxSequenceLength : Math.max(1, sequenceLength))
                 + " of " + faultChoices.size()
@@ -109,7 +119,7 @@
                 + (exhausted ? ": all there are" : ": not all");
     }
 
-    /** The next scenario; null where there are none left. */
+    /** The next scenario; null if there are none left. */
     PlannedScenario next() {
         if (scriptRunCount < faultScripts.size() * VARIANTS_PER_SCRIPT * workloads.size()) {
             FaultScript script = faultScripts.get(scriptRunCount / workloads.size() / VARIANTS_PER_SCRIPT);
@@ -141,7 +151,7 @@
         return plan(deployment, workload, randomFaults(deployment, workload), seed + randomCount, "");
     }
 
-    /** The order at hand, at one load after another. */
+    /** The current sequence with the next workload. */
     private PlannedScenario planSequence() {
         Workload workload = workloads.get(nextWorkload);
         nextWorkload = (nextWorkload + 1) % workloads.size();
@@ -162,9 +172,9 @@
                 workload.name());
     }
 
-    // ---- orders ----------------------------------------------------------------------------------------
+    // ---- exhaustive enumeration -------------------------------------------------------------------------
 
-    /** The next word over the symbols, shortest first; the first one is empty: nothing happens. */
+    /** Advances to the next sequence of fault choices, shortest first; the first one is empty. */
     private boolean advanceSequence() {
         if (sequenceCount + skippedCount == 0) {
             return true;
@@ -231,11 +241,11 @@
         return new Fault(kind, box == null ? -1 : box.nodeId(), atMs, listDelayMs, durationMs, magnitude);
     }
 
-    // ---- random ones -----------------------------------------------------------------------------------
+    // ---- random sequences ------------------------------------------------------------------------------
 
     /**
-     * The events of some kinds only, other ones each time: long orders of few kinds bring about what a mixture of all
-     * hardly ever does (swarm testing: Groce et al. 2012).
+     * The fault choices of a random subset of kinds. Long sequences of few kinds reach states that mixtures of all
+     * kinds hardly ever reach (swarm testing: Groce et al. 2012).
      */
     private List<FaultChoice> swarmSubset() {
         Set<Fault.Kind> kinds = new HashSet<>();
@@ -244,8 +254,9 @@
                 kinds.add(kind);
             }
         }
-        List<FaultChoice> subset =
-                faultChoices.stream().filter(s -> kinds.contains(s.kind())).toList();
+        List<FaultChoice> subset = faultChoices.stream()
+                .filter(choice -> kinds.contains(choice.kind()))
+                .toList();
         return subset.isEmpty() ? faultChoices : subset;
     }
 
@@ -258,7 +269,7 @@
             Box box = choice.box();
             if (box != null && deployment != reducedDeployment) {
                 List<Box> sameRole = deployment.boxes().stream()
-                        .filter(b -> deployment.roleOf(b) == reducedDeployment.roleOf(choice.box()))
+                        .filter(other -> deployment.roleOf(other) == reducedDeployment.roleOf(choice.box()))
                         .toList();
                 box = sameRole.get(random.nextInt(sameRole.size()));
             }
--- a/doorman/src/main/java/barleyspur/expect/ScenarioSimulation.java
+++ b/doorman/src/main/java/barleyspur/expect/ScenarioSimulation.java
@@ -13,41 +13,47 @@
 import java.util.PriorityQueue;
 
 /**
- * Plays one scenario through unchanged decision modules, one for each doorman, on virtual time. Boxes, list, clients
- * and purges are rough likenesses with the protocol's words; what matters is that doormans hear late and each by
- * itself, that nothing is shared, and that what is true of a box is known beside what a doorman was told of it.
+ * Discrete-event simulation of one scenario on virtual time. Each doorman runs its own instance of the production
+ * routing policy. Boxes, the node list, clients and purges are simple models that use the protocol's result codes.
+ *
+ * <p>The simulation reproduces what makes routing hard: each doorman gets list updates late and independently of the
+ * others, and doormans share no state. Observers see both the actual state of a box and the state on a doorman's list.
  */
 final class ScenarioSimulation {
 
-    /** Makes a decision module: the checker's seam, by which a mutated one can be put to the test. */
+    /** Creates routing policies; tests use it to check a mutated policy. */
     interface PolicyFactory {
         Director create(Director.Settings settings, long seed);
     }
 
-    /** The directors' clock when a scenario starts: ahead of it lie starts of long ago. */
+    /** The policies' clock when a scenario starts; above 0, so that boxes can have started long before. */
     static final double POLICY_EPOCH_MS = 1_000_000_000;
 
+    /** One-way latency between a doorman and a box. */
     private static final double LOCAL_LATENCY_MS = 0.4;
+    /** Latency of a fill between a box and its source. */
     private static final double REMOTE_LATENCY_MS = 10;
+    /** Additional latency if the origin has to be asked. */
     private static final double ORIGIN_LATENCY_MS = 45;
-    /** How long a box waits for the source of a fill that says nothing. */
+    /** How long a box waits for a fill source that does not respond. */
     private static final double FILL_TIMEOUT_MS = 2_000;
-    /** A client waits this long before it tries again where it was told nothing. */
+    /** Delay before a client's retry if it got no retry-after time or does not comply with it. */
     private static final double DEFAULT_RETRY_DELAY_MS = 100;
-    /** Share of clients that stay away as long as they were told. */
+    /** Share of clients that wait for the retry-after time they are given. */
     private static final double RETRY_AFTER_COMPLIANCE = 0.6;
-    /** Share of what boxes that run from the start hold then. */
+    /** Share of the objects that a box which runs from the start initially holds. */
     private static final double INITIAL_COPY_SHARE = 0.7;
 
+    /** Bounds the length of a simulation, even if a policy never stops setting alarms. */
     private static final int MAX_TASKS = 4_000_000;
 
     private record ScheduledTask(double atMs, long sequence, Runnable action) {}
 
-    /** What a doorman's list says of a box. */
+    /** The entry of a box on one doorman's list. */
     private static final class ListEntry {
         RoutingEvent.ListedState state = RoutingEvent.ListedState.IN_SERVICE;
         double updatedAtMs;
-        /** NaN where it says of no late start. */
+        /** NaN if the list reports no start during the simulation. */
         double startedAtMs = Double.NaN;
     }
 
@@ -55,14 +61,15 @@
         int index;
         Director.Settings settings;
         Director policy;
-        /** By node; all that were listed at the start and of which nothing was told since are not in it. */
+        /** Entries by node; boxes that are unchanged since the start have none. */
         final Map<Long, ListEntry> listEntries = new HashMap<>();
-        /** Told purges by object: when told, and the purge's own time. */
+        /** By object: when the doorman was notified of the last purge, and the time of the purge itself. */
         final Map<Long, double[]> purgeNotices = new HashMap<>();
-        /** When what was told last arrives: the list is told in order. */
+        /** Arrival time of the last list update; updates arrive in order. */
         double lastListUpdateMs;
     }
 
+    /** An attempt that a doorman has sent to a box. */
     private static final class SentAttempt {
         SimulatedBox target;
         SimulatedBox source;
@@ -73,7 +80,7 @@
         boolean mayHaveRun = true;
     }
 
-    /** One try of a client. */
+    /** The state of one client try. */
     private static final class OpenTry {
         long id;
         ClientRequest request;
@@ -87,7 +94,7 @@
         boolean finished;
     }
 
-    /** What all lists say of the boxes of the start. */
+    /** The entry of boxes that are unchanged since the start. */
     private static final ListEntry INITIAL_ENTRY = new ListEntry();
 
     private final Scenario scenario;
@@ -99,11 +106,13 @@
     private final Map<Long, SimulatedBox> boxesByNode = new LinkedHashMap<>();
     private final List<SimulatedDoorman> doormans = new ArrayList<>();
     private final Map<Long, OpenTry> triesById = new HashMap<>();
-    /** The first purge of each object: what boxes held of it since before the start goes with that one. */
+    /** Time of the first purge of each object, which removes the copies that boxes held at the start. */
     private final Map<Long, Double> firstPurgeMs = new HashMap<>();
 
     private final Map<Integer, Double> linkLostUntilMs = new HashMap<>();
+    /** How often each request was executed, by request index. */
     private final int[] executions;
+
     private double listStaleUntilMs;
     private double listLagMs;
     private final double slackMs;
@@ -123,7 +132,7 @@
         for (ClientRequest request : scenario.requests()) {
             requestCount = Math.max(requestCount, request.index() + 1);
         }
-        // What the rule calls a little slack for chance: three requests of the class that is longest to send.
+        // Tolerance for random arrivals in the limit on the load of cold boxes: three requests of the slowest class.
         slackMs = 3 * Collections.max(scenario.meanWorkMs());
         executions = new int[requestCount];
         for (Box box : deployment.boxes()) {
@@ -147,17 +156,18 @@
         return new SimulatedBox(box, deployment.sharedSettings(), rule);
     }
 
-    /** What a doorman's list says of a box; null where it never said anything. */
+    /** The entry of a box on a doorman's list; null if the box was never listed there. */
     private ListEntry listEntry(SimulatedDoorman doorman, Box box) {
         ListEntry entry = doorman.listEntries.get(box.nodeId());
         return entry != null || box.nodeId() > lastInitialNodeId ? entry : INITIAL_ENTRY;
     }
 
-    /** How many events the decision modules were told. */
+    /** Number of events delivered to the policies. */
     long decisionCount() {
         return decisions;
     }
 
+    /** Runs the simulation until no task is left or the limit on tasks is reached. */
     void run() {
         List<Director.Node> nodes = new ArrayList<>(deployment.boxes().size());
         for (Box box : deployment.boxes()) {
@@ -190,7 +200,7 @@
                 startedAtMs);
     }
 
-    // ---- what happens to the fleet ---------------------------------------------------------------------
+    // ---- faults and list updates --------------------------------------------------------------------------
 
     private void applyFault(Fault fault) {
         SimulatedBox simulatedBox = boxesByNode.get(fault.nodeId());
@@ -238,7 +248,7 @@
         }
     }
 
-    /** A new box takes the place of one that has ended. */
+    /** Ends a box and starts a new one with an id of its own in its place. */
     private void replaceBox(SimulatedBox simulatedBox, Fault fault) {
         endProcess(simulatedBox);
         changeState(simulatedBox, fault, RoutingEvent.ListedState.TERMINATED);
@@ -257,7 +267,7 @@
                 fault, doorman -> updateList(doorman, successor, RoutingEvent.ListedState.IN_SERVICE, startedAtMs));
     }
 
-    /** A process ends: what is open there is reset. */
+    /** Ends the process of a box and resets its open connections. */
     private void endProcess(SimulatedBox simulatedBox) {
         int processGeneration = simulatedBox.processGeneration;
         simulatedBox.stop();
@@ -281,11 +291,12 @@
         notifyDoormans(fault, doorman -> updateList(doorman, simulatedBox.box, state, startedAtMs));
     }
 
+    /** A change of a doorman's list. */
     private interface ListUpdate {
         void applyTo(SimulatedDoorman doorman);
     }
 
-    /** Tells each doorman by itself, later where the list is stale, and never out of order. */
+    /** Schedules a list update at each doorman separately: delayed while the list is stale, never out of order. */
     private void notifyDoormans(Fault fault, ListUpdate update) {
         double lagMs = nowMs < listStaleUntilMs ? listLagMs : 0;
         for (SimulatedDoorman doorman : doormans) {
@@ -475,24 +486,35 @@
     }
 
     private void execute(SimulatedDoorman doorman, Director.Action action) {
-        if (action instanceof Director.Get a) {
-            sendAttempt(doorman, a);
-        } else if (action instanceof Director.Send a) {
+        if (action instanceof Director.Get get) {
+            sendAttempt(doorman, get);
+        } else if (action instanceof Director.Send send) {
             sendAttempt(
                     doorman,
-                    new Director.Get(a.request(), a.node(), a.timeoutMs(), a.node(), 0, 0, false, true, false, false));
-        } else if (action instanceof Director.WakeAt a) {
+                    new Director.Get(
+                            send.request(),
+                            send.node(),
+                            send.timeoutMs(),
+                            send.node(),
+                            0,
+                            0,
+                            false,
+                            true,
+                            false,
+                            false));
+        } else if (action instanceof Director.WakeAt wakeAt) {
             schedule(
-                    Math.max(nowMs, a.atMs() - POLICY_EPOCH_MS), () -> deliver(doorman, new Director.Alarm(a.token())));
-        } else if (action instanceof Director.Refuse a) {
-            finishById(a.request(), RoutingEvent.TryOutcome.REFUSED, a.pauseMs());
-        } else if (action instanceof Director.Fail a) {
-            finishById(a.request(), RoutingEvent.TryOutcome.FAILED, 0);
-        } else if (action instanceof Director.Cancel a) {
-            OpenTry openTry = triesById.get(a.request());
-            schedule(nowMs, () -> completeAttempt(openTry, a.attempt(), Result.CANCELLED, Note.NONE, Double.NaN));
-        } else if (action instanceof Director.Log a) {
-            observer.onLog(nowMs, doorman.index, a.line());
+                    Math.max(nowMs, wakeAt.atMs() - POLICY_EPOCH_MS),
+                    () -> deliver(doorman, new Director.Alarm(wakeAt.token())));
+        } else if (action instanceof Director.Refuse refuse) {
+            finishById(refuse.request(), RoutingEvent.TryOutcome.REFUSED, refuse.pauseMs());
+        } else if (action instanceof Director.Fail fail) {
+            finishById(fail.request(), RoutingEvent.TryOutcome.FAILED, 0);
+        } else if (action instanceof Director.Cancel cancel) {
+            OpenTry openTry = triesById.get(cancel.request());
+            schedule(nowMs, () -> completeAttempt(openTry, cancel.attempt(), Result.CANCELLED, Note.NONE, Double.NaN));
+        } else if (action instanceof Director.Log log) {
+            observer.onLog(nowMs, doorman.index, log.line());
         }
     }
 
@@ -541,7 +563,7 @@
                 : nowMs - openTry.attempts.get(openTry.attempts.size() - 1).sentAtMs;
         double[] purgeNotice = doorman.purgeNotices.get(openTry.request.objectId());
         double sinceGraceMs = purgeNotice == null ? 0 : nowMs - purgeNotice[0] - doorman.settings.purgeGraceMs();
-        // After the boxes have dropped all older copies by themselves, nothing needs to be asked for.
+        // Once the purge is complete, boxes hold no older copies and the attempt needs no age limit.
         boolean purgeApplies =
                 purgeNotice != null && sinceGraceMs > 0 && nowMs - purgeNotice[1] < doorman.settings.purgeDoneMs();
         boolean allowsPurgedCopy = purgeApplies && (sent.maxAgeMs == 0 || nowMs - sent.maxAgeMs < purgeNotice[1]);
@@ -612,7 +634,7 @@
                     nowMs + LOCAL_LATENCY_MS,
                     () -> completeAttempt(openTry, attemptIndex, Result.CONNECT_FAILED, Note.NONE, Double.NaN));
         } else if (nowMs < target.hangsUntilMs) {
-            // It says nothing: the time-out ends it.
+            // The box does not respond; the timeout ends the attempt.
             target.activeRequests++;
         } else if (nowMs < target.fullUntilMs) {
             schedule(
@@ -724,7 +746,10 @@
         executions[openTry.request.index()]++;
     }
 
-    /** What a box holds of a part: what it kept, or what it is taken to hold since long before the start. */
+    /**
+     * The time of the copy of a part that a box holds, NaN if it holds none. The copy was stored during the simulation
+     * or is one that the box is assumed to hold from the start.
+     */
     private double copyTimeMs(SimulatedBox simulatedBox, SimulatedBox.ObjectPart objectPart) {
         double storedTimeMs = simulatedBox.copyTimeMs(objectPart);
         if (!Double.isNaN(storedTimeMs)
--- a/doorman/src/main/java/barleyspur/expect/Shrinker.java
+++ b/doorman/src/main/java/barleyspur/expect/Shrinker.java
@@ -6,33 +6,38 @@
 import java.util.function.Predicate;
 
 /**
- * Makes a counterexample small: leaves out events, requests and boxes, ever smaller parts of them, as long as the same
- * expectation is still refuted (delta debugging: Zeller and Hildebrandt 2002).
+ * Shrinks a counterexample: removes faults, requests and boxes in ever smaller chunks, as long as the scenario still
+ * violates the same expectation (delta debugging: Zeller and Hildebrandt 2002).
  */
 final class Shrinker {
 
     private final Predicate<Scenario> stillFails;
     private int remainingRuns;
 
-    /** @param plays how often it may play at most */
-    Shrinker(Predicate<Scenario> refuted, int plays) {
-        this.stillFails = refuted;
-        this.remainingRuns = plays;
+    /**
+     * Creates a shrinker.
+     *
+     * @param stillFails whether a scenario violates the expectation
+     * @param maxRuns    maximum number of simulations
+     */
+    Shrinker(Predicate<Scenario> stillFails, int maxRuns) {
+        this.stillFails = stillFails;
+        this.remainingRuns = maxRuns;
     }
 
-    /** How many plays are left. */
+    /** Number of simulations that are left. */
     int unusedRuns() {
         return remainingRuns;
     }
 
-    /** The smallest scenario that was found, from one that is refuted at {@code atMs}. */
+    /** The smallest scenario found, starting from one with a violation at {@code violationMs}. */
     Scenario shrink(Scenario original, double violationMs) {
         Scenario smallest = original;
         Scenario truncated = smallest.withRequests(smallest.requests().stream()
-                        .filter(a -> a.arrivalMs() <= violationMs)
+                        .filter(request -> request.arrivalMs() <= violationMs)
                         .toList())
                 .withFaults(smallest.faults().stream()
-                        .filter(f -> f.atMs() <= violationMs)
+                        .filter(fault -> fault.atMs() <= violationMs)
                         .toList());
         smallest = reproduces(truncated) ? truncated : smallest;
         int previousSize;
@@ -63,7 +68,7 @@
         return remainingRuns-- > 0 && stillFails.test(scenario);
     }
 
-    /** Leaves out as many as it can: halves first, then ever smaller runs, at last one by one. */
+    /** Removes as many elements as possible: first all, then halves, then ever smaller chunks, at last single ones. */
     private <T> List<T> reduce(List<T> original, Function<List<T>, Scenario> toScenario) {
         List<T> smallest = original;
         if (!smallest.isEmpty() && reproduces(toScenario.apply(List.of()))) {
--- a/doorman/src/main/java/barleyspur/expect/SimulatedBox.java
+++ b/doorman/src/main/java/barleyspur/expect/SimulatedBox.java
@@ -7,17 +7,18 @@
 import java.util.Map;
 
 /**
- * A box as it is in truth: whether it runs, what it holds, how full it is, and how much has reached it while cold.
- * A rough likeness: it shows what decisions lead to, not how fast a box is.
+ * The actual state of a box in a simulation: whether its process runs, its copies, its load and its recent load while
+ * cold. A simple model that shows the effects of routing decisions; it does not predict the performance of a box.
  */
 final class SimulatedBox {
 
-    /** Parts that a box keeps at most. */
+    /** Maximum number of parts that a box holds. */
     private static final int MAX_COPIES = 4_000;
 
+    /** Load that reached the box while it was cold; {@code startKnown}: its sender knew of the start. */
     private record ColdLoad(double atMs, double workMs, boolean startKnown) {}
 
-    /** A part of an object. */
+    /** A part of an object, the unit of caching. */
     record ObjectPart(long objectId, int partIndex) {}
 
     final Box box;
@@ -28,7 +29,7 @@
     boolean running = true;
     RoutingEvent.ListedState state = RoutingEvent.ListedState.IN_SERVICE;
     double stateSinceMs;
-    /** NaN where it has run since long ago. */
+    /** NaN if the process has been running since before the simulation. */
     double startedAtMs = Double.NaN;
 
     double hangsUntilMs;
@@ -38,7 +39,7 @@
     double failsUntilMs;
     double failShare;
     int activeRequests;
-    /** What is told to come back as reset when the process ends: grows with each end. */
+    /** Incremented when the process ends; attempts sent to an earlier process are reset. */
     int processGeneration;
 
     private final Map<ObjectPart, Double> copyTimesMs = new LinkedHashMap<>(16, 0.75f, true) {
@@ -49,7 +50,7 @@
             return size() > MAX_COPIES;
         }
     };
-    /** When a fill that is under way will be there, by part. */
+    /** When the fill in progress of a part completes. */
     final Map<ObjectPart, Double> fillReadyMs = new HashMap<>();
 
     private final ArrayDeque<ColdLoad> recentColdLoad = new ArrayDeque<>();
@@ -95,14 +96,14 @@
                 : coldStartShare + (1 - coldStartShare) * warmUpProgress;
     }
 
-    /** How much longer work takes now than alone in a warm box. */
+    /** Factor by which a transfer takes longer than it would alone in a warm box. */
     double slowdownFactor(double nowMs) {
         double contention =
                 Math.max(1, activeRequests / Math.max(0.5, box.concurrentTransfers() * capacityShareAt(nowMs)));
         return contention * (nowMs < slowUntilMs ? slowFactor : 1);
     }
 
-    /** Counts what reaches it, in ms of sending, while it is cold. */
+    /** Records load, in ms of sending, while the box is cold; {@code startKnown}: its sender knows of the start. */
     void recordLoad(double nowMs, double workMs, boolean startKnown) {
         if (isCold(nowMs)) {
             recentColdLoad.add(new ColdLoad(nowMs, workMs, startKnown));
@@ -112,8 +113,10 @@
     }
 
     /**
-     * What came within the rule's span over what the rule allows: multiple x present capacity x span, and for chance
-     * {@code slack} more.
+     * Load within the span of the cold-box rule, divided by the load that the rule allows: overload multiple x current
+     * capacity x span, plus {@code slackMs} as a tolerance for random arrivals.
+     *
+     * @param startKnown whether to count only load from doormans that know of the start
      */
     double pressure(double nowMs, boolean startKnown, double slackMs) {
         if (!isCold(nowMs)) {
@@ -133,7 +136,7 @@
         copyTimesMs.merge(part, copyTimeMs, Math::max);
     }
 
-    /** When the origin gave out the copy that it holds; NaN where it holds none. */
+    /** When the origin sent the copy that the box holds; NaN if it holds none. */
     double copyTimeMs(ObjectPart part) {
         return copyTimesMs.getOrDefault(part, Double.NaN);
     }
--- a/doorman/src/main/java/barleyspur/expect/SimulationObserver.java
+++ b/doorman/src/main/java/barleyspur/expect/SimulationObserver.java
@@ -2,24 +2,24 @@
 
 import barleyspur.decision.Director;
 
-/** Watches a scenario as it is played. All times are milliseconds from its start. */
+/** Observes the simulation of a scenario. All times are in milliseconds since its start. */
 interface SimulationObserver {
 
-    /** A doorman acted. */
+    /** A doorman sent an attempt or answered a client. */
     void onRoutingEvent(RoutingEvent event);
 
-    /** Something happened to a box, or to the whole fleet where {@code box} is null. */
+    /** A fault occurred at a box, or in the whole deployment if {@code box} is null. */
     void onFault(double atMs, Fault fault, Box box);
 
-    /** A doorman's list says something new of a box. */
+    /** A doorman's list was updated; {@code newStart}: the update reports a start of the box. */
     void onListUpdate(double atMs, int doormanIndex, Box box, RoutingEvent.ListedState state, boolean newStart);
 
-    /** A doorman was told of a purge. */
+    /** A doorman was notified of a purge. */
     default void onPurgeNotice(double atMs, int doormanIndex, long objectId) {}
 
-    /** An attempt came back. */
+    /** An attempt ended. */
     default void onOutcome(double atMs, int doormanIndex, Director.Outcome outcome) {}
 
-    /** A director wrote a line. */
+    /** A routing policy wrote a log line. */
     default void onLog(double atMs, int doormanIndex, String line) {}
 }
--- a/doorman/src/main/java/barleyspur/expect/TraceNarrative.java
+++ b/doorman/src/main/java/barleyspur/expect/TraceNarrative.java
@@ -8,33 +8,33 @@
 import java.util.Map;
 
 /**
- * Tells a scenario in words, step by step, and says at which step which expectation was not met: what a counterexample
- * is for. The same scenario is told the same way every time.
+ * Describes a scenario step by step in words and marks the step at which an expectation is violated. Deterministic: the
+ * same scenario gives the same steps.
  */
 public final class TraceNarrative implements SimulationObserver {
 
     /**
-     * One step.
+     * One step of the narrative.
      *
-     * @param atMs   from the scenario's start
-     * @param isViolation whether the expectation was not met here
+     * @param atMs        time since the start of the scenario
+     * @param isViolation whether the step describes the violation of the expectation
      */
     public record Step(double atMs, String text, boolean isViolation) {}
 
     private final Deployment deployment;
     private final ExpectationEvaluator evaluator;
     private final List<Step> steps = new ArrayList<>();
-    /** What each doorman's list says last, by doorman and box, where that is not what it said at the start. */
+    /** Last update of each doorman's list, by doorman and box; without entry if there was none. */
     private final Map<Integer, Map<String, String>> listStatesByDoorman = new HashMap<>();
 
     private boolean violationReported;
 
-    private TraceNarrative(Deployment site, Expectation expectation) {
-        this.deployment = site;
-        this.evaluator = new ExpectationEvaluator(site, List.of(expectation));
+    private TraceNarrative(Deployment deployment, Expectation expectation) {
+        this.deployment = deployment;
+        this.evaluator = new ExpectationEvaluator(deployment, List.of(expectation));
     }
 
-    /** Plays a scenario and tells it. */
+    /** Simulates a scenario and describes it, up to its end. */
     public static List<Step> narrate(Scenario scenario, Expectation expectation) {
         return narrate(scenario, expectation, barleyspur.decision.Decide::new);
     }
@@ -52,7 +52,7 @@
         steps.add(new Step(atMs, String.format(Locale.ROOT, format, arguments), false));
     }
 
-    /** Says so where the expectation has just been found not to hold. */
+    /** Adds steps about the first violation, once it has occurred. */
     private void reportViolation() {
         ExpectationEvaluator.Violation violation = evaluator.results().get(0).firstViolation;
         if (violation == null || violationReported) {
@@ -122,7 +122,7 @@
                 : String.format(Locale.ROOT, "%.2f", number);
     }
 
-    // ---- steps -----------------------------------------------------------------------------------------
+    // ---- observer --------------------------------------------------------------------------------------
 
     @Override
     public void onFault(double atMs, Fault fault, Box box) {
@@ -179,8 +179,8 @@
     @Override
     public void onRoutingEvent(RoutingEvent event) {
         RoutingEvent.ClientTry clientTry = event.clientTry();
-        if (event instanceof RoutingEvent.Attempt a) {
-            if (a.number() == 1) {
+        if (event instanceof RoutingEvent.Attempt attempt) {
+            if (attempt.number() == 1) {
                 addStep(
                         clientTry.arrivedAtMs(),
                         "client asks doorman %d: try %d (%s, object %x, part %d, %s KB, its try %d, %s ms)",
@@ -194,38 +194,38 @@
                         formatNumber(clientTry.request().timeoutMs()));
             }
             addStep(
-                    a.atMs(),
+                    attempt.atMs(),
                     "doorman %d sends: try %d, attempt %d to %s%s%s%s",
                     clientTry.request().doormanIndex(),
                     clientTry.id(),
-                    a.number(),
-                    a.target().box().uid(),
-                    a.source() == null
+                    attempt.number(),
+                    attempt.target().box().uid(),
+                    attempt.source() == null
                             ? ", filling nothing"
-                            : ", a miss filled from " + a.source().box().uid(),
-                    a.rank() > 0 ? ", kept at rank " + a.rank() : "",
-                    a.maxAgeMs() > 0 ? ", copies up to " + formatNumber(a.maxAgeMs()) + " ms old" : "");
-        } else if (event instanceof RoutingEvent.Answer a) {
+                            : ", a miss filled from " + attempt.source().box().uid(),
+                    attempt.rank() > 0 ? ", kept at rank " + attempt.rank() : "",
+                    attempt.maxAgeMs() > 0 ? ", copies up to " + formatNumber(attempt.maxAgeMs()) + " ms old" : "");
+        } else if (event instanceof RoutingEvent.Answer answer) {
             addStep(
-                    a.atMs(),
+                    answer.atMs(),
                     "doorman %d answers: try %d %s after %s ms%s",
                     clientTry.request().doormanIndex(),
                     clientTry.id(),
-                    a.outcome().label(),
-                    formatNumber(a.elapsedMs()),
-                    a.retryAfterMs() > 0 ? ", come back in " + formatNumber(a.retryAfterMs()) + " ms" : "");
+                    answer.outcome().label(),
+                    formatNumber(answer.elapsedMs()),
+                    answer.retryAfterMs() > 0 ? ", come back in " + formatNumber(answer.retryAfterMs()) + " ms" : "");
         }
         evaluator.onRoutingEvent(event);
         reportViolation();
     }
 
-    /** The boxes of a scenario, in a line. */
-    public static String describeDeployment(Deployment site) {
+    /** A line that names the boxes of a deployment. */
+    public static String describeDeployment(Deployment deployment) {
         List<String> names = new ArrayList<>();
-        for (Box box : site.boxes()) {
-            names.add(box.uid() + " (" + site.roleOf(box).label() + ", "
-                    + site.stationNames().get(box.zoneIndex()) + ")");
+        for (Box box : deployment.boxes()) {
+            names.add(box.uid() + " (" + deployment.roleOf(box).label() + ", "
+                    + deployment.stationNames().get(box.zoneIndex()) + ")");
         }
-        return site.doormanSettings().size() + " doormans; " + String.join(", ", names);
+        return deployment.doormanSettings().size() + " doormans; " + String.join(", ", names);
     }
 }
--- a/doorman/src/main/java/barleyspur/expect/Workload.java
+++ b/doorman/src/main/java/barleyspur/expect/Workload.java
@@ -10,17 +10,17 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * What clients ask in a scenario. Arrivals don't wait for answers.
+ * The client requests of a scenario. Arrivals are an open process: they don't depend on answers.
  *
- * @param utilisation how much of what the caches can send is asked for, over 0
- * @param durationMs    for how long clients come, in ms
- * @param maxRequests        requests at most, first tries; the load is cut short beyond
- * @param objectCount     how many objects are asked for again and again
- * @param hotObjectCount         how many of them, the first ones, are called hot
- * @param singleUseShare   share of requests for objects that are wanted only once, from 0 to 1
- * @param maxRetries     how often a client tries again by itself
- * @param marksRetries      whether it says so, where the settings have clients mark repeats
- * @param classes     what is asked of each class, by its place
+ * @param utilisation    requested load relative to the capacity of the caches, over 0
+ * @param durationMs     how long clients send requests
+ * @param maxRequests    maximum number of requests, without retries; the workload ends early if it is reached
+ * @param objectCount    number of objects that are requested repeatedly
+ * @param hotObjectCount how many of them, the first ones, form the hot set
+ * @param singleUseShare share of requests for objects that are requested only once, from 0 to 1
+ * @param maxRetries     maximum number of retries of a client
+ * @param marksRetries   whether clients mark retries as repeats
+ * @param classes        the request mix, by class index
  */
 public record Workload(
         String name,
@@ -35,14 +35,16 @@
         List<ClassShare> classes) {
 
     /**
-     * @param share  of the requests, over 0; shares are taken in proportion
-     * @param workMs how long it takes to send one on average
+     * One class in the request mix.
+     *
+     * @param share  relative share of the requests, over 0; the shares need not add up to 1
+     * @param workMs mean time to send a response
      */
     public record ClassShare(double share, double workMs) {}
 
-    /** Parts of an object at most. */
+    /** Maximum number of parts of an object. */
     static final int MAX_PARTS = 20;
-    /** Objects from here on are asked for once. */
+    /** Objects with this id or a higher one are requested only once. */
     static final long FIRST_SINGLE_USE_OBJECT = 1L << 40;
 
     private static final int GROUP_COUNT = 256;
@@ -50,7 +52,7 @@
     private static final double IMPATIENT_SHARE = 0.01;
     private static final double ZIPF_EXPONENT = 1.05;
 
-    /** The usual one for a site: classes as the operators count theirs. */
+    /** The default workload; its request mix corresponds to the operators' statistics. */
     public static Workload defaultFor(Director.Settings settings) {
         List<ClassShare> classes = new ArrayList<>();
         for (Director.RequestClass requestClass : settings.classes()) {
@@ -62,7 +64,7 @@
         return new Workload("usual", 0.5, 9_000, 800, 2_000, 20, 0.08, 3, false, classes);
     }
 
-    /** Draws the requests for a site. */
+    /** Generates the requests for a deployment; the same seed gives the same requests. */
     List<ClientRequest> drawRequests(Deployment deployment, long seed) {
         UniformRandomProvider random = RandomSource.XO_SHI_RO_256_PP.create(seed);
         SharedStateDiscreteSampler popularity = RejectionInversionZipfSampler.of(random, objectCount, ZIPF_EXPONENT);
--- a/doorman/src/main/java/barleyspur/expect/package-info.java
+++ b/doorman/src/main/java/barleyspur/expect/package-info.java
@@ -1,10 +1,12 @@
 /**
- * Routing expectations: what must hold of the decisions is written down beside the configuration, and proved or
- * refuted by playing the unchanged decision module on virtual time, without a socket. Nothing here reads a file, a
- * clock or a random source: the same fleet, expectations and seed give the same verdicts and the same counterexample.
+ * Checks routing expectations: properties of routing decisions that operators write beside the configuration. The
+ * checker simulates scenarios with the production routing policy on virtual time, without sockets, and reports which
+ * expectations hold. Nothing in this package reads a file, a clock or an unseeded random source: the same deployment,
+ * expectations and seed give the same verdicts and counterexamples.
  *
- * <p>{@link barleyspur.expect.ScenarioSimulation} plays one scenario, {@link barleyspur.expect.ExpectationEvaluator} judges each moment of it,
- * {@link barleyspur.expect.ScenarioGenerator} says which scenarios to play, {@link barleyspur.expect.Shrinker} makes a
- * counterexample small, and {@link barleyspur.expect.Checker} puts them together.
+ * <p>{@link barleyspur.expect.ScenarioSimulation} simulates one scenario,
+ * {@link barleyspur.expect.ExpectationEvaluator} evaluates the expectations on each of its events,
+ * {@link barleyspur.expect.ScenarioGenerator} generates the scenarios, {@link barleyspur.expect.Shrinker} shrinks
+ * counterexamples, and {@link barleyspur.expect.Checker} combines them.
  */
 package barleyspur.expect;
--- a/doorman/src/test/java/barleyspur/expect/CheckerTest.java
+++ b/doorman/src/test/java/barleyspur/expect/CheckerTest.java
@@ -12,7 +12,7 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/** What makes checking routing hard: boxes that change under a request, news that is late, and many doormans. */
+/** Hard cases for the checker: boxes that change during a request, delayed list updates and several doormans. */
 class CheckerTest {
 
     private static Checker.Verdict verdict(Checker.Result result, String name) {
@@ -21,20 +21,20 @@
 
     private static Checker.ExpectationResult resultOf(Checker.Result result, String name) {
         return result.expectationResults().stream()
-                .filter(f -> f.expectation().name().equals(name))
+                .filter(candidate -> candidate.expectation().name().equals(name))
                 .findFirst()
                 .orElseThrow();
     }
 
-    /** The text of an expectation in a fleet of one station with this many caches. */
+    /** Expectations with a fleet block of one station that has this many caches and doormans. */
     private static String withFleet(int caches, int doormans, String expectations) {
         return "fleet \"small\" {\n stations = 1\n caches = " + caches + "\n district_caches = 2\n doormans = "
                 + doormans + "\n}\n" + expectations;
     }
 
-    // ---- a box that changes while a request is in flight ------------------------------------------------
+    // ---- boxes that change during a request -------------------------------------------------------------
 
-    /** Guards: what was sent before a drain may end there; only what is sent after the grace breaks an expectation. */
+    /** Attempts sent before a drain may end at the box; only those sent after the grace period are violations. */
     @Test
     void aBoxThatDrainsWhileARequestIsInFlight() {
         String text = withFleet(
@@ -62,14 +62,14 @@
             }
             """);
         Checker.Result result = ExpectationFixtures.check(text, Decide::new, 1);
-        // Between the drain and its news the box is named: told_for counts since the start, when it was in service.
+        // Between the drain and the list update the box is still used; told_for then counts from the start.
         assertEquals(Checker.Verdict.REFUTED, verdict(result, "in flight"));
         Checker.Counterexample counterexample = resultOf(result, "in flight").counterexample();
         assertEquals(1, counterexample.scenario().faults().size());
         assertEquals(Checker.Verdict.HOLDS, verdict(result, "after the grace"));
     }
 
-    /** Guards: a request whose box ends under it is judged with what the doorman was told at each of its attempts. */
+    /** If a box ends during a request, each attempt is evaluated with the state of the doorman's list at its time. */
     @Test
     void aBoxThatGoesMissingWhileARequestIsInFlight() {
         String text = withFleet(
@@ -109,10 +109,10 @@
         Checker.Result result = ExpectationFixtures.check(text, Decide::new, 1);
         assertEquals(Checker.Verdict.HOLDS, verdict(result, "not named when missing"));
         assertEquals(Checker.Verdict.HOLDS, verdict(result, "served all the same"));
-        assertTrue(resultOf(result, "the reset is seen").evaluated() > 0, "no attempt followed another");
+        assertTrue(resultOf(result, "the reset is seen").evaluated() > 0, "no try had a second attempt");
     }
 
-    /** Guards: a box that turns cold under a request counts with its new start, at attempts that follow as well. */
+    /** If a box restarts during a request, further attempts are evaluated with its new start time. */
     @Test
     void aBoxThatTurnsColdWhileARequestIsInFlight() {
         String text = withFleet(
@@ -154,9 +154,9 @@
         assertEquals(Checker.Verdict.HOLDS, verdict(result, "it is used while cold"));
     }
 
-    // ---- identity, staleness, loss ----------------------------------------------------------------------
+    // ---- replaced boxes, stale lists, purges ------------------------------------------------------------
 
-    /** Guards: a new box in the place of another is another box, cold from its start, and what was known is void. */
+    /** A box that replaces another one under a new id is cold from its start and inherits no state. */
     @Test
     void aBoxReplacedUnderANewId() {
         String text = withFleet(
@@ -188,7 +188,7 @@
         assertEquals(Checker.Verdict.HOLDS, verdict(result, "the new one is cold"));
     }
 
-    /** Guards: with a stale list a box that has gone is named, and an expectation about what a doorman was told holds. */
+    /** With a stale list a box that has ended is still used, and an expectation on the listed state holds. */
     @Test
     void aStaleListNamesABoxThatHasEnded() {
         String text = withFleet(
@@ -228,14 +228,14 @@
         Checker.Result result = ExpectationFixtures.check(text, Decide::new, 1);
         assertEquals(Checker.Verdict.HOLDS, verdict(result, "by the list"));
         assertEquals(Checker.Verdict.REFUTED, verdict(result, "in truth"));
-        // The news comes up to 20 ms after the lag: a trial may be under way until then, nothing after it.
+        // The list update arrives up to 20 ms after the lag; until then a few attempts may still go to the box.
         Checker.ExpectationResult late = resultOf(result, "told late");
         assertTrue(
                 late.evaluated() - late.satisfied() <= 3,
-                (late.evaluated() - late.satisfied()) + " attempts after the news");
+                (late.evaluated() - late.satisfied()) + " attempts after the list update");
     }
 
-    /** Guards: with all district caches out, fills come from the head office, and an expectation on sources sees it. */
+    /** Without district caches fills come from the head office, and an expectation on sources detects it. */
     @Test
     void allDistrictCachesEnd() {
         String text = withFleet(
@@ -278,7 +278,7 @@
         assertEquals(1, counterexample.scenario().requests().size());
     }
 
-    /** Guards: a station with one box, which has nowhere to turn to when that box drains. */
+    /** When the only box of a station drains, requests go to district caches or the head office. */
     @Test
     void aStationWithOneBox() {
         String text = withFleet(
@@ -315,7 +315,7 @@
         assertEquals(Checker.Verdict.HOLDS, verdict(result, "round it"));
     }
 
-    /** Guards: one expectation about the box and the source of its fill at once. */
+    /** One expectation can test the target and the source of its fill together. */
     @Test
     void anExpectationOnTargetAndSource() {
         String text = withFleet(
@@ -343,14 +343,14 @@
         Checker.ExpectationResult f =
                 resultOf(ExpectationFixtures.check(text, Decide::new, 60), "small files by way of a district");
         assertEquals(Checker.Verdict.REFUTED, f.verdict());
-        // Only events at district caches can bring a fill from elsewhere: what is left of the scenario shows it.
+        // Only faults of district caches lead to fills from other sources, so no slow box remains after shrinking.
         assertTrue(f.counterexample().scenario().faults().stream()
                 .allMatch(fault -> f.counterexample().scenario().deployment().boxes().stream()
                                 .noneMatch(b -> b.nodeId() == fault.nodeId())
                         || fault.kind() != Fault.Kind.SLOW));
     }
 
-    /** Guards: a second purge does not bring back what boxes dropped for the first one. */
+    /** A second purge of an object does not restore copies that boxes dropped for the first one. */
     @Test
     void aSecondPurgeOfTheSameObject() {
         String text = withFleet(
@@ -392,54 +392,54 @@
         assertEquals(Checker.Verdict.HOLDS, verdict(result, "copies are served"));
     }
 
-    // ---- many doormans ----------------------------------------------------------------------------------
+    // ---- several doormans -------------------------------------------------------------------------------
 
     /**
-     * Sends what a doorman with the whole budget to itself may send: the rule's multiple of a cold box's capacity,
-     * but for a seventh. Alone it keeps to the rule; nothing tells it of the others.
+     * A policy that sends {@code share} of the load that the cold-box rule allows for all doormans together. A single
+     * doorman complies with the rule by this; the policy does not take other doormans into account.
      */
     private static ScenarioSimulation.PolicyFactory policyOverusingColdBox(double share) {
         return (settings, seed) -> new Director() {
             private double tokens;
-            private double at = Double.NaN;
-            private Node cold;
-            private final Decide rest = new Decide(settings, seed);
+            private double lastRefillMs = Double.NaN;
+            private Node coldNode;
+            private final Decide delegate = new Decide(settings, seed);
 
             @Override
-            public void handle(double now, Event event, java.util.function.Consumer<Action> out) {
-                if (event instanceof Members m) {
-                    m.nodes().stream()
-                            .filter(n -> n.startedAtMs() > 0 && n.kind() == 0)
-                            .forEach(n -> cold = n);
+            public void handle(double nowMs, Event event, java.util.function.Consumer<Action> out) {
+                if (event instanceof Members members) {
+                    members.nodes().stream()
+                            .filter(node -> node.startedAtMs() > 0 && node.kind() == 0)
+                            .forEach(node -> coldNode = node);
                 }
-                rest.handle(now, event, a -> {
-                    if (cold == null || !(a instanceof Get g)) {
-                        out.accept(a);
+                delegate.handle(nowMs, event, action -> {
+                    if (coldNode == null || !(action instanceof Get get)) {
+                        out.accept(action);
                         return;
                     }
-                    double age =
-                            (now - cold.startedAtMs()) / settings.coldCache().warmAfterMs();
-                    double can = settings.coldCache().fromShare()
-                            + (1 - settings.coldCache().fromShare()) * age;
-                    double rate = share * settings.coldCache().fallMultiple() * can * cold.size();
-                    tokens = Math.min(2_000, tokens + (Double.isNaN(at) ? 0 : now - at) * rate);
-                    at = now;
-                    boolean may = tokens > 0;
-                    tokens -= may ? 200 : 0;
+                    double warmUpProgress = (nowMs - coldNode.startedAtMs())
+                            / settings.coldCache().warmAfterMs();
+                    double capacityShare = settings.coldCache().fromShare()
+                            + (1 - settings.coldCache().fromShare()) * warmUpProgress;
+                    double rate = share * settings.coldCache().fallMultiple() * capacityShare * coldNode.size();
+                    tokens = Math.min(2_000, tokens + (Double.isNaN(lastRefillMs) ? 0 : nowMs - lastRefillMs) * rate);
+                    lastRefillMs = nowMs;
+                    boolean mayRedirect = tokens > 0;
+                    tokens -= mayRedirect ? 200 : 0;
                     out.accept(
-                            may
+                            mayRedirect
                                     ? new Get(
-                                            g.request(),
-                                            cold.id(),
-                                            g.timeoutMs(),
-                                            g.source(),
-                                            g.rank(),
-                                            g.maxAgeMs(),
-                                            g.join(),
-                                            g.onlyHeld(),
-                                            g.parentKeepsNone(),
-                                            g.renew())
-                                    : g);
+                                            get.request(),
+                                            coldNode.id(),
+                                            get.timeoutMs(),
+                                            get.source(),
+                                            get.rank(),
+                                            get.maxAgeMs(),
+                                            get.join(),
+                                            get.onlyHeld(),
+                                            get.parentKeepsNone(),
+                                            get.renew())
+                                    : get);
                 });
             }
         };
@@ -467,7 +467,7 @@
         }
         """;
 
-    /** Guards: a cold box's budget is one for all doormans; each keeps to it alone, and two together push it over. */
+    /** The load limit of a cold box is shared by all doormans: each complies alone, but two together exceed it. */
     @Test
     void twoDoormansTogetherOverloadAColdBox() {
         String name = "no cold cache is pushed over";
@@ -477,7 +477,7 @@
         Checker.Result both =
                 ExpectationFixtures.check(withFleet(4, 2, COLD_CACHE_EXPECTATIONS), policyOverusingColdBox(0.7), 1);
         assertEquals(Checker.Verdict.REFUTED, verdict(both, name));
-        // What is left of the counterexample still needs both.
+        // The shrunk counterexample still needs both doormans.
         assertEquals(
                 2,
                 resultOf(both, name).counterexample().scenario().requests().stream()
@@ -489,37 +489,38 @@
                 verdict(ExpectationFixtures.check(withFleet(4, 2, COLD_CACHE_EXPECTATIONS), Decide::new, 1), name));
     }
 
-    // ---- long orders ------------------------------------------------------------------------------------
+    // ---- long sequences ---------------------------------------------------------------------------------
 
-    /** A module that forgets drains from the tenth piece of news on. */
+    /** A policy that ignores drains from the tenth list update on. */
     private static Director policyIgnoringLateDrains(Director.Settings settings, long seed) {
         Decide decide = new Decide(settings, seed);
-        int[] news = {0};
-        return (now, event, out) -> {
-            boolean late =
-                    event instanceof Director.Members m && m.kind() == Director.ListKind.DELTA && ++news[0] >= 10;
+        int[] updateCount = {0};
+        return (nowMs, event, out) -> {
+            boolean ignored = event instanceof Director.Members members
+                    && members.kind() == Director.ListKind.DELTA
+                    && ++updateCount[0] >= 10;
             decide.handle(
-                    now,
-                    late
+                    nowMs,
+                    ignored
                             ? new Director.Members(
                                     Director.ListKind.DELTA,
                                     ((Director.Members) event)
                                             .nodes().stream()
-                                                    .map(n -> new Director.Node(
-                                                            n.id(),
-                                                            n.zone(),
-                                                            n.kind(),
-                                                            n.cell(),
+                                                    .map(node -> new Director.Node(
+                                                            node.id(),
+                                                            node.zone(),
+                                                            node.kind(),
+                                                            node.cell(),
                                                             Director.State.READY,
-                                                            n.size(),
-                                                            n.startedAtMs()))
+                                                            node.size(),
+                                                            node.startedAtMs()))
                                                     .toList())
                             : event,
                     out);
         };
     }
 
-    /** Guards: what only fails with the tenth event is found by random orders, and its ten events stay. */
+    /** Random sequences find a violation that needs ten list updates, and shrinking keeps the faults behind them. */
     @Test
     void aViolationThatNeedsTenEventsIsFound() {
         String text = withFleet(
@@ -538,17 +539,17 @@
         assertEquals(Checker.Verdict.REFUTED, f.verdict());
         int events = f.counterexample().scenario().faults().size();
         assertTrue(events >= 5 && events <= 12, events + " events");
-        long news = f.counterexample().scenario().faults().stream()
-                .mapToInt(x -> switch (x.kind()) {
+        long updates = f.counterexample().scenario().faults().stream()
+                .mapToInt(fault -> switch (fault.kind()) {
                     case REPLACE -> 2;
                     case DRAIN, RETURN, GONE, RESTART -> 1;
                     default -> 0;
                 })
                 .sum();
-        assertTrue(news >= 10, "only " + news + " pieces of news are left");
+        assertTrue(updates >= 10, "only " + updates + " list updates are left");
     }
 
-    /** Guards: repeats reach the module where clients mark them, and further tries are told from first ones. */
+    /** The policy sees retries as repeats if the workload marks them, and retries can be told from first tries. */
     @Test
     void retriesAreMarkedIfTheWorkloadSaysSo() {
         String text =
@@ -580,9 +581,9 @@
         assertEquals(Checker.Verdict.HOLDS, verdict(result, "one station at a time"));
     }
 
-    // ---- the checker's own honesty ----------------------------------------------------------------------
+    // ---- reports ----------------------------------------------------------------------------------------
 
-    /** Guards: an expectation that nothing met is said to be vacuous, and two that no moment meets both of are named. */
+    /** An expectation that applied to no event is vacuous; two that no event satisfied together are in conflict. */
     @Test
     void vacuousAndContradictingExpectationsAreReported() {
         String text =
@@ -607,7 +608,7 @@
         assertEquals("always filled", result.conflicts().get(0).first().name());
     }
 
-    /** Guards: the same input gives the same verdicts, counts and counterexamples. */
+    /** The same input gives the same verdicts, counts and counterexamples. */
     @Test
     void theSameSeedGivesTheSameResult() {
         String text = withFleet(
@@ -618,19 +619,20 @@
               never { attempt { number = 2 } }
             }
             """);
-        Checker.ExpectationResult one =
+        Checker.ExpectationResult first =
                 resultOf(ExpectationFixtures.check(text, Decide::new, 20), "never a second attempt");
-        Checker.ExpectationResult two =
+        Checker.ExpectationResult second =
                 resultOf(ExpectationFixtures.check(text, Decide::new, 20), "never a second attempt");
-        assertNotNull(one.counterexample());
-        assertEquals(one.counterexample(), two.counterexample());
-        assertEquals(Map.of(one.evaluated(), one.satisfied()), Map.of(two.evaluated(), two.satisfied()));
-        List<TraceNarrative.Step> told =
-                TraceNarrative.narrate(one.counterexample().scenario(), one.expectation());
-        assertEquals(told, TraceNarrative.narrate(two.counterexample().scenario(), two.expectation()));
-        String all = told.stream().map(TraceNarrative.Step::text).collect(Collectors.joining("\n"));
+        assertNotNull(first.counterexample());
+        assertEquals(first.counterexample(), second.counterexample());
+        assertEquals(Map.of(first.evaluated(), first.satisfied()), Map.of(second.evaluated(), second.satisfied()));
+        List<TraceNarrative.Step> steps =
+                TraceNarrative.narrate(first.counterexample().scenario(), first.expectation());
+        assertEquals(steps, TraceNarrative.narrate(second.counterexample().scenario(), second.expectation()));
+        String narrative = steps.stream().map(TraceNarrative.Step::text).collect(Collectors.joining("\n"));
         assertTrue(
-                all.contains("NOT as expected by \"never a second attempt\" (test.hcl:7): test.hcl:8: attempt.number"),
-                all);
+                narrative.contains(
+                        "NOT as expected by \"never a second attempt\" (test.hcl:7): test.hcl:8: attempt.number"),
+                narrative);
     }
 }
--- a/doorman/src/test/java/barleyspur/expect/ExpectationFixtures.java
+++ b/doorman/src/test/java/barleyspur/expect/ExpectationFixtures.java
@@ -7,13 +7,14 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** Expectations from text, for tests. */
+/** Reads and checks expectations from strings, for tests. */
 final class ExpectationFixtures {
 
     static final Path STATION_CONFIG = Path.of("../examples/expectations/station.json");
 
     private ExpectationFixtures() {}
 
+    /** The deployment of the example configuration. */
     static Deployment stationDeployment() {
         try {
             return ExpectationCheck.site(STATION_CONFIG);
@@ -22,6 +23,7 @@
         }
     }
 
+    /** Reads a text as the expectation file {@code test.hcl}. */
     static ExpectationFiles.Read read(Deployment deployment, String text) throws Hcl.Invalid {
         return ExpectationFiles.read(
                 List.of("test.hcl"),
@@ -34,7 +36,7 @@
                 deployment);
     }
 
-    /** Checks a text in its fleets, or in the station where it describes none: this many scenarios. */
+    /** Checks expectations in this many scenarios, in the fleets of the text or else in the example station. */
     static Checker.Result check(String text, ScenarioSimulation.PolicyFactory policyFactory, int scenarios) {
         try {
             Deployment deployment = stationDeployment();
--- a/doorman/src/test/java/barleyspur/expect/LargeObjectsTest.java
+++ b/doorman/src/test/java/barleyspur/expect/LargeObjectsTest.java
@@ -11,41 +11,41 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Large objects are not given up for small ones. The operators' rule for each class: of the tenth of its requests with the
- * largest objects, and of the next fifth, the share that is answered is at least half of that of the whole class, and two
- * thirds on a day without a fault or an overload.
+ * Checks that large objects are not starved by small ones. The operators' rule for each request class: the share of
+ * served requests among the tenth with the largest objects, and among the next fifth, is at least half of the share of
+ * the class, and at least two thirds of it without faults and overload.
  */
 class LargeObjectsTest {
 
     private static final int SEEDS = 6;
     private static final int REQUESTS = 20_000;
     private static final double DURATION_MS = 8_000;
-    /** Of what the caches can send; the sites draw 0.9 to 1.2 for their overloads. */
+    /** Relative to the capacity of the caches; overloads at the sites are 0.9 to 1.2. */
     private static final double OVERLOAD_UTILISATION = 1.8;
-    /** Shares of fewer requests tell little. */
+    /** Classes with fewer requests are skipped because their shares are not significant. */
     private static final int MIN_REQUESTS = 400;
 
-    /** A request, over all tries of its client. */
+    /** The outcome of a request over all tries of its client. */
     private static final class Outcome {
         final int classIndex;
         final double sizeKb;
         boolean served;
 
-        Outcome(ClientRequest ask) {
-            classIndex = ask.classIndex();
-            sizeKb = ask.sizeKb();
+        Outcome(ClientRequest request) {
+            classIndex = request.classIndex();
+            sizeKb = request.sizeKb();
         }
     }
 
-    /** Collects what became of each request. */
+    /** Collects the outcome of each request. */
     private static final class Outcomes implements SimulationObserver {
-        private final Map<Integer, Outcome> byNumber = new HashMap<>();
+        private final Map<Integer, Outcome> byIndex = new HashMap<>();
 
         @Override
-        public void onRoutingEvent(RoutingEvent moment) {
-            if (moment instanceof RoutingEvent.Answer answer) {
-                ClientRequest ask = answer.clientTry().request();
-                Outcome outcome = byNumber.computeIfAbsent(ask.index(), number -> new Outcome(ask));
+        public void onRoutingEvent(RoutingEvent event) {
+            if (event instanceof RoutingEvent.Answer answer) {
+                ClientRequest request = answer.clientTry().request();
+                Outcome outcome = byIndex.computeIfAbsent(request.index(), index -> new Outcome(request));
                 outcome.served |= answer.outcome() == RoutingEvent.TryOutcome.SERVED;
             }
         }
@@ -54,30 +54,36 @@
         public void onFault(double atMs, Fault fault, Box box) {}
 
         @Override
-        public void onListUpdate(double atMs, int doorman, Box box, RoutingEvent.ListedState told, boolean started) {}
+        public void onListUpdate(
+                double atMs, int doormanIndex, Box box, RoutingEvent.ListedState state, boolean newStart) {}
     }
 
-    private static List<Outcome> play(double utilisation) {
-        Deployment site = ExpectationFixtures.stationDeployment();
-        Workload usual = Workload.defaultFor(site.sharedSettings());
-        Workload load = new Workload(
+    private static List<Outcome> simulate(double utilisation) {
+        Deployment deployment = ExpectationFixtures.stationDeployment();
+        Workload defaults = Workload.defaultFor(deployment.sharedSettings());
+        Workload workload = new Workload(
                 "test",
                 utilisation,
                 DURATION_MS,
                 REQUESTS,
-                usual.objectCount(),
-                usual.hotObjectCount(),
-                usual.singleUseShare(),
-                usual.maxRetries(),
-                usual.marksRetries(),
-                usual.classes());
+                defaults.objectCount(),
+                defaults.hotObjectCount(),
+                defaults.singleUseShare(),
+                defaults.maxRetries(),
+                defaults.marksRetries(),
+                defaults.classes());
         List<Outcome> all = new ArrayList<>();
         for (int seed = 1; seed <= SEEDS; seed++) {
             Outcomes outcomes = new Outcomes();
             Scenario scenario = Scenario.of(
-                    site, seed, load.maxRetries(), load.marksRetries(), List.of(), load.drawRequests(site, seed));
+                    deployment,
+                    seed,
+                    workload.maxRetries(),
+                    workload.marksRetries(),
+                    List.of(),
+                    workload.drawRequests(deployment, seed));
             new ScenarioSimulation(scenario, Decide::new, outcomes).run();
-            all.addAll(outcomes.byNumber.values());
+            all.addAll(outcomes.byIndex.values());
         }
         return all;
     }
@@ -86,46 +92,50 @@
         return outcomes.stream().filter(outcome -> outcome.served).count() / (double) outcomes.size();
     }
 
-    /** Judges each class; returns the least share that any class has served. */
-    private static double checkShares(List<Outcome> all, double least) {
+    /** Checks each class; returns the smallest share of served requests of a class. */
+    private static double checkShares(List<Outcome> all, double minRelativeShare) {
         double lowest = 1;
-        int judged = 0;
-        for (int category = 0;
-                category < ExpectationFixtures.stationDeployment().classNames().size();
-                category++) {
-            int number = category;
+        int checkedClasses = 0;
+        for (int classIndex = 0;
+                classIndex
+                        < ExpectationFixtures.stationDeployment().classNames().size();
+                classIndex++) {
+            int currentClass = classIndex;
             List<Outcome> ofClass = all.stream()
-                    .filter(outcome -> outcome.classIndex == number)
+                    .filter(outcome -> outcome.classIndex == currentClass)
                     .sorted(Comparator.comparingDouble((Outcome outcome) -> -outcome.sizeKb))
                     .toList();
             if (ofClass.size() < MIN_REQUESTS) {
                 continue;
             }
-            judged++;
-            double whole = servedShare(ofClass);
+            checkedClasses++;
+            double classShare = servedShare(ofClass);
             double largestTenth = servedShare(ofClass.subList(0, ofClass.size() / 10));
             double nextFifth = servedShare(ofClass.subList(ofClass.size() / 10, ofClass.size() * 3 / 10));
             System.out.printf(
                     "class %d, %d requests: served %.2f, of the largest tenth %.2f, of the next fifth %.2f%n",
-                    category, ofClass.size(), whole, largestTenth, nextFifth);
-            assertTrue(largestTenth >= least * whole, "largest tenth of class " + category + ": " + largestTenth);
-            assertTrue(nextFifth >= least * whole, "next fifth of class " + category + ": " + nextFifth);
-            lowest = Math.min(lowest, whole);
+                    classIndex, ofClass.size(), classShare, largestTenth, nextFifth);
+            assertTrue(
+                    largestTenth >= minRelativeShare * classShare,
+                    "largest tenth of class " + classIndex + ": " + largestTenth);
+            assertTrue(
+                    nextFifth >= minRelativeShare * classShare, "next fifth of class " + classIndex + ": " + nextFifth);
+            lowest = Math.min(lowest, classShare);
         }
-        assertTrue(judged > 1, "too few classes with enough requests: " + judged);
+        assertTrue(checkedClasses > 1, "too few classes with enough requests: " + checkedClasses);
         return lowest;
     }
 
-    /** Guards the largest objects where nothing is wrong. */
+    /** Without faults and overload the largest objects are served. */
     @Test
     void largeObjectsAreServedWithoutOverload() {
-        checkShares(play(0.5), 2 / 3.0);
+        checkShares(simulate(0.5), 2 / 3.0);
     }
 
-    /** Guards the largest objects where there is not enough for all, and what is worth most for its work goes first. */
+    /** Under overload, when requests of the most value for their work go first, large objects are served too. */
     @Test
     void largeObjectsAreServedUnderOverload() {
-        double lowest = checkShares(play(OVERLOAD_UTILISATION), 0.5);
-        assertTrue(lowest < 0.95, "it was to be an overload: " + lowest);
+        double lowest = checkShares(simulate(OVERLOAD_UTILISATION), 0.5);
+        assertTrue(lowest < 0.95, "the caches were not overloaded: " + lowest);
     }
 }
--- a/doorman/src/test/java/barleyspur/expect/ScenarioGeneratorTest.java
+++ b/doorman/src/test/java/barleyspur/expect/ScenarioGeneratorTest.java
@@ -13,7 +13,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** What is said to be exhaustive is: every order is played, or one that differs from it only by which equal box. */
+/** Checks that the exhaustive enumeration generates each sequence, or one that differs only in equal boxes. */
 class ScenarioGeneratorTest {
 
     private static Deployment pairDeployment() throws Hcl.Invalid {
@@ -32,77 +32,78 @@
     }
 
     private static Workload tinyWorkload() {
-        Workload usual =
+        Workload defaults =
                 Workload.defaultFor(ExpectationFixtures.stationDeployment().sharedSettings());
-        return new Workload("tiny", 0.5, 500, 5, 10, 1, 0, 0, false, usual.classes());
+        return new Workload("tiny", 0.5, 500, 5, 10, 1, 0, 0, false, defaults.classes());
     }
 
-    /** An order by what it does to the first, second, ... box of each kind that it strikes. */
+    /** A sequence with each box named by its role and the order in which boxes of that role are first affected. */
     private static String describe(Deployment deployment, List<Fault> faults) {
         Map<Long, String> names = new HashMap<>();
         Map<Deployment.Role, Integer> used = new HashMap<>();
         StringBuilder text = new StringBuilder();
-        for (Fault f : faults) {
-            String name = f.nodeId() < 0 || f.kind() == Fault.Kind.LINK
+        for (Fault fault : faults) {
+            String name = fault.nodeId() < 0 || fault.kind() == Fault.Kind.LINK
                     ? ""
-                    : names.computeIfAbsent(f.nodeId(), n -> {
+                    : names.computeIfAbsent(fault.nodeId(), nodeId -> {
                         Deployment.Role role = deployment.roleOf(deployment.boxes().stream()
-                                .filter(b -> b.nodeId() == n)
+                                .filter(box -> box.nodeId() == nodeId)
                                 .findFirst()
                                 .orElseThrow());
                         return role.label() + used.merge(role, 1, Integer::sum);
                     });
-            text.append(f.kind().label()).append(' ').append(name).append(", ");
+            text.append(fault.kind().label()).append(' ').append(name).append(", ");
         }
         return text.toString();
     }
 
-    /** Guards: symmetry reduction leaves nothing out and plays nothing twice. */
+    /** Symmetry reduction omits no sequence and generates none twice. */
     @Test
     void allSequencesOfTwoAreGeneratedOnce() throws Hcl.Invalid {
         Deployment deployment = pairDeployment();
-        ScenarioGenerator explorer = new ScenarioGenerator(deployment, List.of(tinyWorkload()), List.of(), 1, 2, true);
-        Set<String> played = new HashSet<>();
-        int all = 0;
-        while (!explorer.coverageSummary().endsWith("all there are")) {
-            ScenarioGenerator.PlannedScenario plan = explorer.next();
-            if (!explorer.coverageSummary().endsWith("all there are")) {
-                all++;
+        ScenarioGenerator generator = new ScenarioGenerator(deployment, List.of(tinyWorkload()), List.of(), 1, 2, true);
+        Set<String> generated = new HashSet<>();
+        int count = 0;
+        while (!generator.coverageSummary().endsWith("all there are")) {
+            ScenarioGenerator.PlannedScenario plan = generator.next();
+            if (!generator.coverageSummary().endsWith("all there are")) {
+                count++;
                 assertTrue(
-                        played.add(describe(deployment, plan.scenario().faults())),
+                        generated.add(describe(deployment, plan.scenario().faults())),
                         "twice: " + plan.scenario().faults());
             }
         }
-        assertEquals(all, played.size());
-        // Those that always have an effect, in all orders and on all boxes.
-        EnumSet<Fault.Kind> plain =
+        assertEquals(count, generated.size());
+        // Faults that always have an effect, in all sequences and at all boxes.
+        EnumSet<Fault.Kind> effectiveKinds =
                 EnumSet.of(Fault.Kind.HANG, Fault.Kind.SLOW, Fault.Kind.FULL, Fault.Kind.FAIL, Fault.Kind.RESTART);
-        List<Fault> symbols = new ArrayList<>();
-        for (Box b : deployment.boxes()) {
-            for (Fault.Kind kind : plain) {
-                if (kind != Fault.Kind.RESTART || deployment.roleOf(b) != Deployment.Role.HEAD_OFFICE) {
-                    symbols.add(new Fault(kind, b.nodeId(), 0, 0, 0, 0));
+        List<Fault> faults = new ArrayList<>();
+        for (Box box : deployment.boxes()) {
+            for (Fault.Kind kind : effectiveKinds) {
+                if (kind != Fault.Kind.RESTART || deployment.roleOf(box) != Deployment.Role.HEAD_OFFICE) {
+                    faults.add(new Fault(kind, box.nodeId(), 0, 0, 0, 0));
                 }
             }
         }
-        for (Fault one : symbols) {
-            assertTrue(played.contains(describe(deployment, List.of(one))), () -> "missing: " + one);
-            for (Fault two : symbols) {
+        for (Fault first : faults) {
+            assertTrue(generated.contains(describe(deployment, List.of(first))), () -> "missing: " + first);
+            for (Fault second : faults) {
                 assertTrue(
-                        played.contains(describe(deployment, List.of(one, two))), () -> "missing: " + one + ", " + two);
+                        generated.contains(describe(deployment, List.of(first, second))),
+                        () -> "missing: " + first + ", " + second);
             }
         }
-        assertTrue(played.contains(""), "the day on which nothing happens");
+        assertTrue(generated.contains(""), "the sequence without faults is missing");
     }
 
-    /** Guards: a request that is left out changes no draw of the others, or counterexamples could not shrink. */
+    /** Removing a request does not change the random numbers of the others; shrinking depends on this. */
     @Test
     void drawsAreIndependentOfEachOther() {
-        KeyedRandom draw = new KeyedRandom(7);
-        double before = draw.uniform(3, 1, 41);
-        draw.uniform(9, 9, 9);
-        assertEquals(before, draw.uniform(3, 1, 41));
-        List<ClientRequest> asks = tinyWorkload().drawRequests(ExpectationFixtures.stationDeployment(), 5);
-        assertEquals(asks, tinyWorkload().drawRequests(ExpectationFixtures.stationDeployment(), 5));
+        KeyedRandom random = new KeyedRandom(7);
+        double before = random.uniform(3, 1, 41);
+        random.uniform(9, 9, 9);
+        assertEquals(before, random.uniform(3, 1, 41));
+        List<ClientRequest> requests = tinyWorkload().drawRequests(ExpectationFixtures.stationDeployment(), 5);
+        assertEquals(requests, tinyWorkload().drawRequests(ExpectationFixtures.stationDeployment(), 5));
     }
 }
