--- a/doorman/src/main/java/barleyspur/expect/Checker.java
+++ b/doorman/src/main/java/barleyspur/expect/Checker.java
@@ -157,7 +157,7 @@
                 if (round >= requiredRounds && !continueRunning.getAsBoolean()) {
                     stopped = true;
                 } else {
-                    playScenario(generators.get(i).next(), suite.deployments().get(i));
+                    runScenario(generators.get(i).next(), suite.deployments().get(i));
                 }
             }
         }
@@ -174,7 +174,7 @@
                 generators.stream().map(ScenarioGenerator::coverageSummary).toList());
     }
 
-    private void playScenario(ScenarioGenerator.PlannedScenario plan, Deployment deployment) {
+    private void runScenario(ScenarioGenerator.PlannedScenario plan, Deployment deployment) {
         List<Expectation> applicable = new ArrayList<>();
         List<Integer> indexes = new ArrayList<>();
         for (int i = 0; i < suite.expectations().size(); i++) {
@@ -195,8 +195,8 @@
             ExpectationEvaluator.Evaluation total = totals.get(index);
             total.evaluated += evaluation.evaluated;
             total.satisfied += evaluation.satisfied;
-            evaluation.jointCounts.forEach((with, counts) -> {
-                long[] sums = total.jointCounts.computeIfAbsent(indexes.get(with), key -> new long[2]);
+            evaluation.jointCounts.forEach((otherIndex, counts) -> {
+                long[] sums = total.jointCounts.computeIfAbsent(indexes.get(otherIndex), key -> new long[2]);
                 sums[0] += counts[0];
                 sums[1] += counts[1];
             });
@@ -275,11 +275,11 @@
     private List<Conflict> findConflicts() {
         List<Conflict> conflicts = new ArrayList<>();
         for (int i = 0; i < totals.size(); i++) {
-            for (Map.Entry<Integer, long[]> shared : totals.get(i).jointCounts.entrySet()) {
-                long[] counts = shared.getValue();
+            for (Map.Entry<Integer, long[]> entry : totals.get(i).jointCounts.entrySet()) {
+                long[] counts = entry.getValue();
                 if (counts[0] >= MIN_JOINT_EVENTS && counts[1] == 0) {
                     conflicts.add(new Conflict(
-                            suite.expectations().get(i), suite.expectations().get(shared.getKey()), counts[0]));
+                            suite.expectations().get(i), suite.expectations().get(entry.getKey()), counts[0]));
                 }
             }
         }
--- a/doorman/src/main/java/barleyspur/expect/ExpectationEvaluator.java
+++ b/doorman/src/main/java/barleyspur/expect/ExpectationEvaluator.java
@@ -37,8 +37,8 @@
         void add(Evaluation other) {
             evaluated += other.evaluated;
             satisfied += other.satisfied;
-            other.jointCounts.forEach((with, counts) -> {
-                long[] sums = jointCounts.computeIfAbsent(with, k -> new long[2]);
+            other.jointCounts.forEach((otherIndex, counts) -> {
+                long[] sums = jointCounts.computeIfAbsent(otherIndex, k -> new long[2]);
                 sums[0] += counts[0];
                 sums[1] += counts[1];
             });
@@ -46,7 +46,7 @@
     }
 
     /** A time window that a fault or a list update has opened. */
-    private static final class OpenWindow {
+    private static final class TriggeredWindow {
         /** -1 if the window applies to all doormans. */
         final int doormanIndex;
         /** -1 if the window applies to the whole deployment. */
@@ -58,7 +58,7 @@
         boolean closedEarly;
         int eventCount;
 
-        OpenWindow(int doormanIndex, long nodeId, double opensAtMs, double closesAtMs) {
+        TriggeredWindow(int doormanIndex, long nodeId, double opensAtMs, double closesAtMs) {
             this.doormanIndex = doormanIndex;
             this.nodeId = nodeId;
             this.opensAtMs = opensAtMs;
@@ -73,7 +73,7 @@
     private final List<Expectation> expectations;
     private final List<Condition.EventKind> eventKinds;
     private final List<Evaluation> evaluations = new ArrayList<>();
-    private final List<List<OpenWindow>> openWindows = new ArrayList<>();
+    private final List<List<TriggeredWindow>> triggeredWindows = new ArrayList<>();
     private final List<Map<Object, AttemptCount>> attemptCounts = new ArrayList<>();
     /** Result of each expectation for the current event; null if the expectation does not apply to it. */
     private final Boolean[] currentResults;
@@ -86,7 +86,7 @@
         eventKinds = expectations.stream().map(Expectation::eventKind).toList();
         expectations.forEach(expectation -> {
             evaluations.add(new Evaluation());
-            openWindows.add(new ArrayList<>());
+            triggeredWindows.add(new ArrayList<>());
             attemptCounts.add(new HashMap<>());
         });
         currentResults = new Boolean[expectations.size()];
@@ -120,12 +120,12 @@
                 continue;
             }
             if (window.closingStates().contains(state)) {
-                for (OpenWindow openWindow : openWindows.get(i)) {
-                    if (openWindow.nodeId == box.nodeId()
-                            && (openWindow.doormanIndex < 0 || openWindow.doormanIndex == doormanIndex)
-                            && atMs < openWindow.closesAtMs) {
-                        openWindow.closesAtMs = atMs;
-                        openWindow.closedEarly = true;
+                for (TriggeredWindow triggeredWindow : triggeredWindows.get(i)) {
+                    if (triggeredWindow.nodeId == box.nodeId()
+                            && (triggeredWindow.doormanIndex < 0 || triggeredWindow.doormanIndex == doormanIndex)
+                            && atMs < triggeredWindow.closesAtMs) {
+                        triggeredWindow.closesAtMs = atMs;
+                        triggeredWindow.closedEarly = true;
                     }
                 }
             }
@@ -140,9 +140,10 @@
     }
 
     private void openWindow(int index, Expectation.Window window, int doormanIndex, long nodeId, double atMs) {
-        openWindows
+        triggeredWindows
                 .get(index)
-                .add(new OpenWindow(doormanIndex, nodeId, atMs + window.opensAfterMs(), atMs + window.closesAfterMs()));
+                .add(new TriggeredWindow(
+                        doormanIndex, nodeId, atMs + window.opensAfterMs(), atMs + window.closesAfterMs()));
     }
 
     @Override
@@ -159,12 +160,14 @@
             if (expectation.window() == null) {
                 evaluate(i, event, -1, null);
             } else {
-                for (OpenWindow openWindow : openWindows.get(i)) {
-                    boolean applies = openWindow.doormanIndex < 0
-                            || openWindow.doormanIndex
+                for (TriggeredWindow triggeredWindow : triggeredWindows.get(i)) {
+                    boolean applies = triggeredWindow.doormanIndex < 0
+                            || triggeredWindow.doormanIndex
                                     == event.clientTry().request().doormanIndex();
-                    if (applies && event.atMs() >= openWindow.opensAtMs && event.atMs() < openWindow.closesAtMs) {
-                        evaluate(i, event, openWindow.nodeId, openWindow);
+                    if (applies
+                            && event.atMs() >= triggeredWindow.opensAtMs
+                            && event.atMs() < triggeredWindow.closesAtMs) {
+                        evaluate(i, event, triggeredWindow.nodeId, triggeredWindow);
                     }
                 }
             }
@@ -172,7 +175,7 @@
         countAgreements();
     }
 
-    private void evaluate(int index, RoutingEvent event, long triggerNode, OpenWindow openWindow) {
+    private void evaluate(int index, RoutingEvent event, long triggerNode, TriggeredWindow triggeredWindow) {
         Expectation expectation = expectations.get(index);
         if (!expectation.precondition().holds(event, triggerNode)) {
             return;
@@ -214,8 +217,8 @@
                     "must never hold",
                     conditionHolds);
         } else if (requirement instanceof Expectation.Eventually) {
-            openWindow.eventCount++;
-            openWindow.satisfied |= conditionHolds;
+            triggeredWindow.eventCount++;
+            triggeredWindow.satisfied |= conditionHolds;
         } else if (requirement instanceof Expectation.Count count && conditionHolds) {
             evaluation.evaluated++;
             evaluation.satisfied++;
@@ -292,22 +295,22 @@
             Expectation expectation = expectations.get(i);
             Evaluation evaluation = evaluations.get(i);
             if (expectation.requirement() instanceof Expectation.Eventually eventually) {
-                for (OpenWindow openWindow : openWindows.get(i)) {
+                for (TriggeredWindow triggeredWindow : triggeredWindows.get(i)) {
                     // An unsatisfied window is no violation if it was closed early, if it lasts beyond the end of the
                     // scenario or if it contains too few events.
-                    if (openWindow.satisfied
-                            || !openWindow.closedEarly
-                                    && openWindow.closesAtMs <= lastEventMs
-                                    && openWindow.eventCount >= eventually.minEvents()) {
+                    if (triggeredWindow.satisfied
+                            || !triggeredWindow.closedEarly
+                                    && triggeredWindow.closesAtMs <= lastEventMs
+                                    && triggeredWindow.eventCount >= eventually.minEvents()) {
                         evaluation.evaluated++;
-                        evaluation.satisfied += openWindow.satisfied ? 1 : 0;
-                        if (!openWindow.satisfied && evaluation.firstViolation == null) {
+                        evaluation.satisfied += triggeredWindow.satisfied ? 1 : 0;
+                        if (!triggeredWindow.satisfied && evaluation.firstViolation == null) {
                             evaluation.firstViolation = new Violation(
                                     expectation,
-                                    openWindow.closesAtMs,
+                                    triggeredWindow.closesAtMs,
                                     null,
                                     null,
-                                    "nothing of the kind in " + openWindow.eventCount + " moments");
+                                    "nothing of the kind in " + triggeredWindow.eventCount + " moments");
                         }
                     }
                 }
--- a/doorman/src/main/java/barleyspur/expect/FaultScript.java
+++ b/doorman/src/main/java/barleyspur/expect/FaultScript.java
@@ -30,14 +30,14 @@
             double magnitude) {}
 
     /** The faults in a deployment; {@code seed} determines the affected boxes and the delays of the list. */
-    List<Fault> drawFaults(Deployment deployment, long seed) {
+    List<Fault> generateFaults(Deployment deployment, long seed) {
         KeyedRandom random = new KeyedRandom(seed);
-        List<Fault> drawn = new ArrayList<>();
+        List<Fault> generated = new ArrayList<>();
         for (int i = 0; i < faults.size(); i++) {
             ScriptedFault scripted = faults.get(i);
             double listDelayMs = random.uniformBetween(scripted.minListDelayMs(), scripted.maxListDelayMs(), i, 0, 3);
             if (scripted.kind() == Fault.Kind.STALE || scripted.kind() == Fault.Kind.PURGE) {
-                drawn.add(new Fault(
+                generated.add(new Fault(
                         scripted.kind(),
                         -1,
                         scripted.atMs(),
@@ -69,7 +69,7 @@
                                     5)
                             * matching.size());
             for (int k = 0; k < Math.min(scripted.boxCount(), matching.size()); k++) {
-                drawn.add(new Fault(
+                generated.add(new Fault(
                         scripted.kind(),
                         matching.get((first + k) % matching.size()).nodeId(),
                         scripted.atMs(),
@@ -78,6 +78,6 @@
                         scripted.magnitude()));
             }
         }
-        return drawn;
+        return generated;
     }
 }
--- a/doorman/src/main/java/barleyspur/expect/ScenarioGenerator.java
+++ b/doorman/src/main/java/barleyspur/expect/ScenarioGenerator.java
@@ -126,7 +126,8 @@
             long variant = seed + scriptRunCount / workloads.size() % VARIANTS_PER_SCRIPT;
             Workload workload = workloads.get(scriptRunCount % workloads.size());
             scriptRunCount++;
-            return plan(fullDeployment, workload, script.drawFaults(fullDeployment, variant), variant, script.name());
+            return plan(
+                    fullDeployment, workload, script.generateFaults(fullDeployment, variant), variant, script.name());
         }
         if (!exploresBeyondScripts) {
             return null;
@@ -167,7 +168,7 @@
                         workload.maxRetries(),
                         workload.marksRetries(),
                         faults,
-                        workload.drawRequests(deployment, variant)),
+                        workload.generateRequests(deployment, variant)),
                 caseName,
                 workload.name());
     }
--- a/doorman/src/main/java/barleyspur/expect/Workload.java
+++ b/doorman/src/main/java/barleyspur/expect/Workload.java
@@ -65,7 +65,7 @@
     }
 
     /** Generates the requests for a deployment; the same seed gives the same requests. */
-    List<ClientRequest> drawRequests(Deployment deployment, long seed) {
+    List<ClientRequest> generateRequests(Deployment deployment, long seed) {
         UniformRandomProvider random = RandomSource.XO_SHI_RO_256_PP.create(seed);
         SharedStateDiscreteSampler popularity = RejectionInversionZipfSampler.of(random, objectCount, ZIPF_EXPONENT);
         ZigguratSampler.NormalizedGaussian gaussian = ZigguratSampler.NormalizedGaussian.of(random);
@@ -87,7 +87,7 @@
         for (int index = 0;
                 index < maxRequests && arrivalMs < durationMs;
                 index++, arrivalMs += interarrival.sample() * meanInterarrivalMs) {
-            int classIndex = drawClass(random.nextDouble() * totalShare);
+            int classIndex = sampleClass(random.nextDouble() * totalShare);
             Director.RequestClass requestClass =
                     deployment.sharedSettings().classes().get(classIndex);
             boolean singleUse = !requestClass.write() && random.nextDouble() < singleUseShare;
@@ -115,8 +115,8 @@
         return requests;
     }
 
-    private int drawClass(double drawn) {
-        double remaining = drawn;
+    private int sampleClass(double point) {
+        double remaining = point;
         for (int i = 0; i < classes.size(); i++) {
             remaining -= classes.get(i).share();
             if (remaining <= 0) {
--- a/doorman/src/test/java/barleyspur/expect/LargeObjectsTest.java
+++ b/doorman/src/test/java/barleyspur/expect/LargeObjectsTest.java
@@ -81,7 +81,7 @@
                     workload.maxRetries(),
                     workload.marksRetries(),
                     List.of(),
-                    workload.drawRequests(deployment, seed));
+                    workload.generateRequests(deployment, seed));
             new ScenarioSimulation(scenario, Decide::new, outcomes).run();
             all.addAll(outcomes.byIndex.values());
         }
--- a/doorman/src/test/java/barleyspur/expect/ScenarioGeneratorTest.java
+++ b/doorman/src/test/java/barleyspur/expect/ScenarioGeneratorTest.java
@@ -98,12 +98,12 @@
 
     /** Removing a request does not change the random numbers of the others; shrinking depends on this. */
     @Test
-    void drawsAreIndependentOfEachOther() {
+    void randomNumbersAreIndependentOfEachOther() {
         KeyedRandom random = new KeyedRandom(7);
         double before = random.uniform(3, 1, 41);
         random.uniform(9, 9, 9);
         assertEquals(before, random.uniform(3, 1, 41));
-        List<ClientRequest> requests = tinyWorkload().drawRequests(ExpectationFixtures.stationDeployment(), 5);
-        assertEquals(requests, tinyWorkload().drawRequests(ExpectationFixtures.stationDeployment(), 5));
+        List<ClientRequest> requests = tinyWorkload().generateRequests(ExpectationFixtures.stationDeployment(), 5);
+        assertEquals(requests, tinyWorkload().generateRequests(ExpectationFixtures.stationDeployment(), 5));
     }
 }
