--- a/doorman/src/main/java/barleyspur/expect/Expectation.java
+++ b/doorman/src/main/java/barleyspur/expect/Expectation.java
@@ -4,51 +4,53 @@
 import java.util.Set;
 
 /**
- * One thing that must hold of routing.
+ * An operator's requirement on routing, as an {@code expectation} block of the expectation files states it.
  *
- * @param name  unique among all that are checked together
- * @param place where it stands, as {@code FILE:LINE}
- * @param fleets of which fleets it speaks, by name; empty: of all
- * @param cases  of which cases, likewise
- * @param loads  at which loads, likewise
- * @param given which moments it speaks of
- * @param after the change that opens a window for it, or null: it speaks of all moments
+ * @param name         unique among the expectations that are checked together
+ * @param description  the operator's description
+ * @param location     location in the expectation files, as {@code FILE:LINE}
+ * @param deployments  names of the deployments to which it applies; empty: all
+ * @param cases        names of the fault scripts to which it applies; empty: all
+ * @param workloads    names of the workloads to which it applies; empty: all
+ * @param precondition selects the events to which it applies
+ * @param requirement  what must hold for these events
+ * @param window       limits it to events after a change; null: no limit
  */
 public record Expectation(
         String name,
-        String about,
-        String place,
-        Set<String> fleets,
+        String description,
+        String location,
+        Set<String> deployments,
         Set<String> cases,
-        Set<String> loads,
-        Condition given,
-        Form form,
-        After after) {
+        Set<String> workloads,
+        Condition precondition,
+        Requirement requirement,
+        Window window) {
 
-    /** What must hold. */
-    public sealed interface Form permits Must, Never, Share, Eventually, Count, Figures {
-        /** What is to hold. */
-        Condition that();
+    /** What an expectation requires of the events that its precondition selects. */
+    public sealed interface Requirement permits Must, Never, Share, Eventually, Count, SettingRanges {
+        /** The condition on each event; always true for requirements on the settings. */
+        Condition condition();
     }
 
-    /** Of each moment. */
-    public record Must(Condition that) implements Form {}
+    /** The condition must hold for every event. */
+    public record Must(Condition condition) implements Requirement {}
 
-    /** Of no moment. */
-    public record Never(Condition that) implements Form {}
+    /** The condition must hold for no event. */
+    public record Never(Condition condition) implements Requirement {}
 
-    /** Of at least and at most such a share of all moments of all scenarios. */
-    public record Share(Condition that, double least, double most) implements Form {}
+    /** The share of events, over all scenarios, for which the condition holds must be within bounds. */
+    public record Share(Condition condition, double min, double max) implements Requirement {}
 
     /**
-     * Of at least one moment of each window that has lasted.
+     * The condition must hold for at least one event of each completed window.
      *
-     * @param chances a window with fewer moments shows nothing
+     * @param minEvents an unsatisfied window with fewer events is ignored
      */
-    public record Eventually(Condition that, int chances) implements Form {}
+    public record Eventually(Condition condition, int minEvents) implements Requirement {}
 
-    /** What a count goes by. */
-    public enum Per {
+    /** The scope within which is counted. */
+    public enum CountScope {
         REQUEST,
         OBJECT,
         BOX,
@@ -57,59 +59,64 @@
     }
 
     /** What is counted. */
-    public enum Of {
+    public enum CountedItem {
         ATTEMPTS,
         TARGETS,
         SOURCES
     }
 
     /**
-     * The number of attempts, or of different targets or sources, that moments share.
+     * The number of attempts, or of distinct targets or sources, within a scope must be within bounds.
      *
-     * @param least counted at the scenario's end, where there were moments at all
+     * @param min evaluated at the end of the scenario, for scopes with at least one event
      */
-    public record Count(Of of, Per per, double least, double most, Condition that) implements Form {}
+    public record Count(CountedItem item, CountScope scope, double min, double max, Condition condition)
+            implements Requirement {}
 
-    /** One of the settings' figures: what it is and what it is to be. */
-    public record Figure(double value, Condition.Range wanted, String place, String text) {}
+    /** The value of a setting and the range that is allowed for it. */
+    public record SettingRange(double value, Condition.Range allowed, String location, String text) {}
 
-    /** Of the settings themselves: nothing needs to be played. */
-    public record Figures(List<Figure> figures) implements Form {
+    /** Settings must be within ranges; this needs no simulation. */
+    public record SettingRanges(List<SettingRange> settings) implements Requirement {
         @Override
-        public Condition that() {
-            return new Condition.All(List.of());
+        public Condition condition() {
+            return new Condition.AllOf(List.of());
         }
 
-        /** Those that are not what they are to be. */
-        public List<Figure> broken() {
-            return figures.stream().filter(f -> !f.wanted().matches(f.value())).toList();
+        /** The settings that are out of range. */
+        public List<SettingRange> violated() {
+            return settings.stream()
+                    .filter(setting -> !setting.allowed().matches(setting.value()))
+                    .toList();
         }
     }
 
     /**
-     * A window that a change opens for the box it is about: at the doorman that was told, or at all where it happens.
+     * A time window that a change of a box opens: a list update opens it for the doorman that gets the update, a fault
+     * for all doormans.
      *
-     * @param told     the changes of the list that open it
-     * @param happens  the faults that open it
-     * @param roles    of which boxes; empty: all
-     * @param own      whether only boxes of the doorman's own station count, where a doorman is told
-     * @param fromMs   it begins so long after the change
-     * @param byMs     and ends so long after it
-     * @param until    what a doorman is told of the same box that closes it early
+     * @param listedStates   states in list updates that open the window
+     * @param onStart        whether a start that the list reports opens the window
+     * @param faults         faults that open the window
+     * @param roles          roles of the boxes; empty: all
+     * @param ownStationOnly whether list updates count only for boxes in the doorman's own station
+     * @param opensAfterMs   delay between the change and the start of the window
+     * @param closesAfterMs  delay between the change and the end of the window
+     * @param closingStates  states in list updates of the same box that close the window early
      */
-    public record After(
-            Set<Moment.Told> told,
-            boolean started,
-            Set<Fault.Kind> happens,
-            Set<Site.Role> roles,
-            boolean own,
-            double fromMs,
-            double byMs,
-            Set<Moment.Told> until) {}
+    public record Window(
+            Set<RoutingEvent.ListedState> listedStates,
+            boolean onStart,
+            Set<Fault.Kind> faults,
+            Set<Deployment.Role> roles,
+            boolean ownStationOnly,
+            double opensAfterMs,
+            double closesAfterMs,
+            Set<RoutingEvent.ListedState> closingStates) {}
 
-    /** Attempts or answers; attempts where nothing tells. */
-    Condition.Kind kind() {
-        Condition.Kind kind = new Condition.All(List.of(given, form.that())).kind();
-        return kind == Condition.Kind.ANY ? Condition.Kind.ATTEMPT : kind;
+    /** The kind of events to which it applies: attempts, unless a test needs an answer. */
+    Condition.EventKind eventKind() {
+        Condition.EventKind eventKind = new Condition.AllOf(List.of(precondition, requirement.condition())).eventKind();
+        return eventKind == Condition.EventKind.ANY ? Condition.EventKind.ATTEMPT : eventKind;
     }
 }
--- a/doorman/src/test/java/barleyspur/expect/MutantsTest.java
+++ b/doorman/src/test/java/barleyspur/expect/MutantsTest.java
@@ -26,8 +26,8 @@
     @TempDir
     private Path folder;
 
-    private static Checker.Book book(String only) throws Configuration.Invalid, Hcl.Invalid {
-        Site site = ExpectationCheck.site(Path.of("../examples/expectations/station.json"));
+    private static Checker.Suite book(String only) throws Configuration.Invalid, Hcl.Invalid {
+        Deployment site = ExpectationCheck.site(Path.of("../examples/expectations/station.json"));
         return ExpectationCheck.of(site, List.of("../deploy/expectations.hcl"), false)
                 .book(only, 1);
     }
@@ -37,8 +37,8 @@
         int[] remaining = {SCENARIOS};
         Checker.Result result = Checker.of(book(""), Checker.Progress.NONE).run(1, () -> remaining[0]-- > 0);
         assertTrue(
-                result.good(true),
-                result.findings().stream()
+                result.isSuccess(true),
+                result.expectationResults().stream()
                         .filter(finding -> finding.verdict() != Checker.Verdict.HOLDS)
                         .map(finding -> finding.expectation().name() + " is " + finding.verdict())
                         .collect(Collectors.joining(", ")));
@@ -72,35 +72,36 @@
     void eachMutantIsRefuted(String what, String expectation, String file, String from, String to)
             throws IOException, Configuration.Invalid, Hcl.Invalid {
         String newline = "\n            ";
-        World.Maker mutant = Mutants.mutant(folder, file, from.replace("¶", newline), to.replace("¶", newline));
+        ScenarioSimulation.PolicyFactory mutant =
+                Mutants.mutant(folder, file, from.replace("¶", newline), to.replace("¶", newline));
         int[] remaining = {SCENARIOS};
         boolean[] found = {false};
         Checker.Progress progress = new Checker.Progress() {
             @Override
-            public void played(long scenarios, long decisions, int refuted) {
+            public void onScenario(long scenarios, long decisions, int refuted) {
                 found[0] |= refuted > 0 && !expectation.equals("hot_spread");
             }
 
             @Override
-            public void shrinking(String name) {}
+            public void onShrink(String name) {}
         };
         Checker.Result result =
                 new Checker(book(expectation), mutant, progress).run(1, () -> !found[0] && remaining[0]-- > 0);
-        Checker.Finding finding = result.findings().get(0);
+        Checker.ExpectationResult finding = result.expectationResults().get(0);
         assertEquals(
                 Checker.Verdict.REFUTED,
                 finding.verdict(),
-                what + ": held in " + finding.held() + " of " + finding.judged());
+                what + ": held in " + finding.satisfied() + " of " + finding.evaluated());
         Checker.Counterexample counterexample = finding.counterexample();
         System.out.printf(
                 "mutant: %s: caught in scenario %d; %d events, %d requests, %d boxes -> %d, %d, %d%n",
                 what,
                 finding.refutedAtScenario(),
-                counterexample.foundEvents(),
-                counterexample.foundRequests(),
-                counterexample.foundBoxes(),
+                counterexample.originalFaults(),
+                counterexample.originalRequests(),
+                counterexample.originalBoxes(),
                 counterexample.scenario().faults().size(),
-                counterexample.scenario().asks().size(),
-                counterexample.scenario().site().boxes().size());
+                counterexample.scenario().requests().size(),
+                counterexample.scenario().deployment().boxes().size());
     }
 }
