--- a/lab/src/main/java/barleyspur/lab/BudgetScale.java
+++ b/lab/src/main/java/barleyspur/lab/BudgetScale.java
@@ -16,7 +16,10 @@
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
 
-/** What a doorman pays for budgets by their number: a take from one of them, and a second of asking, dividing and granting. */
+/**
+ * Measures a doorman's processor cost of budgets by their number: acquiring from one of them, and one second of
+ * requesting, dividing and granting shares.
+ */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -34,7 +37,7 @@
     private double now;
     private int next;
 
-    /** Makes the shares that are measured. */
+    /** Creates the limiters and waits until each has received a share of its budget. */
     @Setup
     public void start() {
         BudgetConfig terms = new BudgetConfig(
@@ -50,18 +53,18 @@
             places[i] = doorman.limiter(0, "p:s" + i);
             places[i].tryAcquire(0);
         }
-        // One voter is a majority of one: this doorman divides for itself.
+        // With a single voter this doorman is its own majority, so it divides the budgets itself.
         for (now = 0; now < WARM_MS; now += STEP_MS) {
             doorman.tick(now);
         }
         for (BudgetLimiter s : places) {
             if (s.limit(now) < 1) {
-                throw new IllegalStateException(s.name() + " holds nothing");
+                throw new IllegalStateException(s.name() + " has received no share");
             }
         }
     }
 
-    /** A take and the return of the place, each of another budget. */
+    /** Acquires a place of one budget and releases it; each call uses the next budget. */
     @Benchmark
     public boolean takeAndRelease() {
         BudgetLimiter s = places[next];
@@ -71,7 +74,7 @@
         return good;
     }
 
-    /** A second of a doorman that holds and divides all of them. */
+    /** Runs one simulated second of a doorman that both divides all budgets and holds a share of each. */
     @Benchmark
     public double second() {
         for (double end = now + 1_000; now < end; now += STEP_MS) {
--- a/lab/src/main/java/barleyspur/lab/DecisionScale.java
+++ b/lab/src/main/java/barleyspur/lab/DecisionScale.java
@@ -15,7 +15,10 @@
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
 
-/** What the decision module costs by the size of the fleet: a full list, a change of it, a request with its outcome. */
+/**
+ * Measures the processor cost of the decision module by the number of boxes: for a full node list, a change of one
+ * node, and a request with the outcome of its attempt.
+ */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -27,7 +30,7 @@
     private static final int ORIGIN = 3;
     private static final int OBJECTS = 3_000;
 
-    /** Caches in all; stations of 8, a parent for every 24. */
+    /** Total number of caches: 8 for each station, and one parent for every 24. */
     @Param({"12", "1000", "10000"})
     private int boxes;
 
@@ -96,7 +99,7 @@
                 1_000);
     }
 
-    /** The fleet's list. */
+    /** Creates the full node list: the caches, their parents and one origin. */
     static List<RoutingPolicy.Node> fleet(int boxes) {
         int stations = Math.max(1, boxes / PER_STATION);
         int parents = Math.max(2, boxes / PER_PARENT);
@@ -115,7 +118,7 @@
         return new RoutingPolicy.Node(id + 1, zone, kind, 0, RoutingPolicy.State.READY, size, 0);
     }
 
-    /** A director that has its list. */
+    /** Creates a routing policy that has received the full node list. */
     @Setup
     public void start() {
         nodes = fleet(boxes);
@@ -123,20 +126,20 @@
         full();
     }
 
-    /** The whole list, in which nothing has changed. */
+    /** Passes the full node list without any change. */
     @Benchmark
     public int full() {
         return tell(new RoutingPolicy.Members(RoutingPolicy.ListKind.FULL, nodes));
     }
 
-    /** One box of the list anew. */
+    /** Passes a list update with one node, which is unchanged. */
     @Benchmark
     public int delta() {
         change = (change + 7) % nodes.size();
         return tell(new RoutingPolicy.Members(RoutingPolicy.ListKind.DELTA, List.of(nodes.get(change))));
     }
 
-    /** A request and the outcome of its attempt. */
+    /** Passes a request and then the outcome of its first attempt. */
     @Benchmark
     public int requestWithOutcome() {
         now += 4;
--- a/lab/src/main/java/barleyspur/lab/Keepers.java
+++ b/lab/src/main/java/barleyspur/lab/Keepers.java
@@ -11,14 +11,15 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 
-/** Policies that the tier's own is weighed against. */
+/** Common retention policies with which the one of the disk tier is compared. */
 final class Keepers {
 
+    /** Identifies a part of an object. */
     record Part(long object, int part) {}
 
     private Keepers() {}
 
-    /** Least recently used: the baseline. */
+    /** Evicts the least recently used part. This is the baseline. */
     static final class Lru implements RetentionPolicy {
         private final LinkedHashMap<Part, Integer> held = new LinkedHashMap<>(16, 0.75f, true);
         private final long mostKb;
@@ -62,7 +63,10 @@
         }
     }
 
-    /** Least frequently used of a sample, with counts that halve over time; no memory of what is not kept. */
+    /**
+     * Evicts the least frequently used part of a random sample. Request counts decay exponentially, and nothing is
+     * remembered about parts that are not kept.
+     */
     static final class AgedLfu implements RetentionPolicy {
         private static final int SAMPLE = 24;
         private static final double HALF_LIFE_MS = 6 * 3_600_000;
@@ -153,7 +157,10 @@
         }
     }
 
-    /** S3-FIFO (Yang et al. 2023): a small queue for newcomers, a main one, and ghosts of what left the small one. */
+    /**
+     * S3-FIFO (Yang et al. 2023): a small queue for new parts, a main queue, and a ghost queue with the keys of the
+     * parts that were evicted from the small queue.
+     */
     static final class S3Fifo implements RetentionPolicy {
         private static final int MOST_FREQUENCY = 3;
 
@@ -273,7 +280,7 @@
         }
     }
 
-    /** W-TinyLFU as Caffeine has it (Einziger et al. 2017). */
+    /** W-TinyLFU (Einziger et al. 2017) as implemented by Caffeine. */
     static final class Tiny implements RetentionPolicy {
         private final Cache<Part, Integer> cache;
 
--- a/lab/src/main/java/barleyspur/lab/Lab.java
+++ b/lab/src/main/java/barleyspur/lab/Lab.java
@@ -28,7 +28,7 @@
 import org.openjdk.jmh.runner.options.OptionsBuilder;
 import org.openjdk.jmh.runner.options.TimeValue;
 
-/** The laboratory's commands. */
+/** The command line of the laboratory, with its benchmarks and experiments. */
 public final class Lab {
 
     private static final int OK = 0;
@@ -37,21 +37,21 @@
     private static final String HELP =
             """
         usage: barleyspur-lab COMMAND [OPTIONS]
-          scale        measure the decision module at 12, 1,000 and 10,000 boxes, with a plot
-          fleet run    play a schedule of faults on several doormans: real processes, or in virtual time
-          fleet demo   a station of stand-ins and five doormans, some of them killed and cut off, for a minute
-          fleet measure  what the fleet view costs and how soon it knows, by size, in virtual time
-          budget run   play budgets under a schedule of faults: real processes, boxes and clients, or in virtual time
-          budget measure  how much of a whole is used, how soon it is divided anew and what that costs, in virtual time
-          budget scale  what a take and a second of a doorman cost at 10, 1,000 and 5,000 budgets
-          check budget  explore the division of budgets on a small world without leaving anything out
-          tier-replay  replay generated days through policies for the disk tier, against Belady's bound, with a plot
-        barleyspur-lab COMMAND --help tells the options of each.
+          scale        benchmark the decision module with 12, 1,000 and 10,000 boxes, optionally with a plot
+          fleet run    run a schedule of faults against several doormans, as real processes or in virtual time
+          fleet demo   run five doormans with fake boxes for a minute, and kill or disconnect some of the doormans
+          fleet measure  measure the cost and the detection times of the fleet view by fleet size, in virtual time
+          budget run   run budgets under a schedule of faults, with real processes or in virtual time
+          budget measure  measure the utilisation, redistribution time and cost of budgets, in virtual time
+          budget scale  benchmark a doorman's processor cost of 10, 1,000 and 5,000 budgets
+          check budget  check the division of budgets exhaustively in a small model
+          tier-replay  compare retention policies for the disk tier and Belady's bound on a synthetic trace
+        Run barleyspur-lab COMMAND --help for the options of a command.
         """;
 
     private Lab() {}
 
-    /** Runs the command that the arguments name. */
+    /** Runs the command that is given by the arguments. */
     public static void main(String[] args) throws IOException {
         System.exit(run(args));
     }
@@ -63,7 +63,7 @@
             return OK;
         }
         Options options = new Options()
-                .addOption(value("plot", "FILE.png", "write a plot there"))
+                .addOption(value("plot", "FILE.png", "write a plot to this file"))
                 .addOption(
                         Option.builder("h").longOpt("help").desc("print this").get());
         switch (name) {
@@ -73,12 +73,18 @@
                                 .longOpt("help")
                                 .desc("print this")
                                 .get())
-                        .addOption(value("faults", "N", "at most, placed in every way; 2"))
-                        .addOption(value("steps", "N", "of 50 ms after all is divided for the first time; 14"))
+                        .addOption(value(
+                                "faults",
+                                "N",
+                                "maximum number of faults, tried in all combinations; default 2"))
+                        .addOption(value(
+                                "steps",
+                                "N",
+                                "number of steps of 50 ms after the budget is first fully divided; default 14"))
                         .addOption(value(
                                 "replay",
                                 "STEP:FAULT:N ...",
-                                "play these faults only, as a counterexample names them"));
+                                "run only these faults, in the notation of a counterexample"));
             case "fleet", "budget" ->
                 options = new Options()
                         .addOption(Option.builder("h")
@@ -87,25 +93,31 @@
                                 .get())
                         .addOption(Option.builder()
                                 .longOpt("virtual")
-                                .desc("in virtual time")
+                                .desc("run in virtual time")
                                 .get())
-                        .addOption(value("seeds", "N", "in virtual time: so many seeds, from the file's on; 1"))
-                        .addOption(value("sizes", "N,N,...", "of fleets to measure; 3,14,100,1000"))
-                        .addOption(value("minutes", "N", "for each row of false verdicts; 60"))
-                        .addOption(value("jar", "FILE", "the doorman; doorman/target/barleyspur.jar"))
-                        .addOption(value("folder", "DIR", "for logs and the report; found/fleet"));
+                        .addOption(value(
+                                "seeds",
+                                "N",
+                                "number of seeds to run in virtual time, from the seed of the file on; default 1"))
+                        .addOption(value("sizes", "N,N,...", "fleet sizes to measure; default 3,14,100,1000"))
+                        .addOption(value("minutes", "N", "virtual minutes for each row of false verdicts; default 60"))
+                        .addOption(value("jar", "FILE", "jar of the doorman; default doorman/target/barleyspur.jar"))
+                        .addOption(value("folder", "DIR", "folder for the logs and the report; default found/fleet"));
             case "scale" ->
-                options.addOption(value("seconds", "N", "for each figure, 2"))
+                options.addOption(value("seconds", "N", "duration of each iteration; default 2"))
                         .addOption(Option.builder()
                                 .longOpt("c1")
-                                .desc("with the first compiler only, as the doorman runs")
+                                .desc("use the C1 compiler only, as the doorman does")
                                 .get());
             case "tier-replay" ->
-                options.addOption(value("days", "N", "how many, from 3 on; 8"))
-                        .addOption(value("requests", "N", "a day, roughly; 60000"))
-                        .addOption(value("scan", "PERCENT", "of the requests during scans, 3.7 to 19; 10"))
-                        .addOption(value("seed", "N", "of the days, 1"))
-                        .addOption(value("mb", "N,N,...", "sizes of the store; 500,1000,2000,4000,8000"));
+                options.addOption(value("days", "N", "number of days, at least 3; default 8"))
+                        .addOption(value("requests", "N", "approximate number of requests a day; default 60000"))
+                        .addOption(value(
+                                "scan",
+                                "PERCENT",
+                                "of the requests during scans for one-time objects (3.7 to 19); default 10"))
+                        .addOption(value("seed", "N", "seed of the trace; default 1"))
+                        .addOption(value("mb", "N,N,...", "sizes of the store; default 500,1000,2000,4000,8000"));
             default -> {
                 System.err.println(
                         "barleyspur-lab: " + (name.isEmpty() ? "a command is missing" : "unknown command " + name));
@@ -128,14 +140,14 @@
                                             default -> "";
                                         } + " [OPTIONS]",
                                 switch (name) {
-                                    case "scale" -> "Measure the decision module by the size of the fleet.";
+                                    case "scale" -> "Benchmark the decision module by the number of boxes.";
                                     case "fleet" ->
-                                        "Play a schedule of faults on several doormans; docs/FLEET.md has the language.";
+                                        "Run a schedule of faults against several doormans; see docs/FLEET.md.";
                                     case "budget" ->
-                                        "Divide budgets among several doormans under faults; docs/BUDGETS.md.";
+                                        "Divide budgets among several doormans under faults; see docs/BUDGETS.md.";
                                     case "check" ->
-                                        "Explore a small world of three doormans and a budget of two units.";
-                                    default -> "Replay generated days through policies for the disk tier.";
+                                        "Check a model of three doormans and a budget of two units exhaustively.";
+                                    default -> "Replay a synthetic trace through retention policies for the disk tier.";
                                 },
                                 options,
                                 "",
@@ -150,7 +162,7 @@
             }
             if (name.equals("check")) {
                 if (!line.getArgList().equals(List.of("budget"))) {
-                    throw new IllegalArgumentException("budget was wanted, not " + String.join(" ", line.getArgList()));
+                    throw new IllegalArgumentException("expected budget, not " + String.join(" ", line.getArgList()));
                 }
                 return BudgetLab.check(
                                 number(line, "steps", 14, 1),
@@ -188,9 +200,9 @@
                 return number;
             }
         } catch (NumberFormatException e) {
-            // Said below, with the option.
+            // The exception below names the option.
         }
-        throw new IllegalArgumentException("--" + option + " is not a whole number from " + least + " on: " + text);
+        throw new IllegalArgumentException("--" + option + " is not an integer of at least " + least + ": " + text);
     }
 
     private static int fleet(CommandLine line) throws IOException {
@@ -214,7 +226,7 @@
         }
         if (words.size() != 2 || !words.get(0).equals("run")) {
             throw new IllegalArgumentException(
-                    "run SCENARIO.hcl, demo or measure was wanted, not " + String.join(" ", words));
+                    "expected run SCENARIO.hcl, demo or measure, not " + String.join(" ", words));
         }
         Path scenario = Path.of(words.get(1));
         Path folder = Path.of(line.getOptionValue("folder", "found/fleet"));
@@ -246,7 +258,7 @@
         }
         if (words.size() != 2 || !words.get(0).equals("run")) {
             throw new IllegalArgumentException(
-                    "run SCENARIO.hcl, measure or scale was wanted, not " + String.join(" ", words));
+                    "expected run SCENARIO.hcl, measure or scale, not " + String.join(" ", words));
         }
         Path scenario = Path.of(words.get(1));
         Path folder = Path.of(line.getOptionValue("folder", "found/budget"));
@@ -266,7 +278,7 @@
     private static Path jar(CommandLine line) {
         Path jar = Path.of(line.getOptionValue("jar", "doorman/target/barleyspur.jar"));
         if (!Files.isReadable(jar)) {
-            throw new IllegalArgumentException("there is no " + jar + ": build it, or name it with --jar");
+            throw new IllegalArgumentException("there is no " + jar + ": build it, or specify another file with --jar");
         }
         return jar;
     }
@@ -302,7 +314,7 @@
         return OK;
     }
 
-    /** The results of a benchmark, which it prints; null where it failed. */
+    /** Runs a benchmark, which prints its results; returns them, or null if it failed. */
     private static Collection<RunResult> bench(Class<?> benchmark, int seconds, boolean firstCompiler) {
         List<String> jvm = new ArrayList<>(List.of("-XX:+UseSerialGC", "-Xmx512m"));
         if (firstCompiler) {
@@ -329,7 +341,7 @@
         XYChart chart = new XYChartBuilder()
                 .width(900)
                 .height(500)
-                .title("Decision module by size of the fleet")
+                .title("Cost of the decision module by number of boxes")
                 .xAxisTitle("boxes")
                 .yAxisTitle("microseconds")
                 .build();
--- a/lab/src/main/java/barleyspur/lab/ProcessSignal.java
+++ b/lab/src/main/java/barleyspur/lab/ProcessSignal.java
@@ -2,12 +2,12 @@
 
 import java.io.IOException;
 
-/** Sends signals that Java has no call for to processes that this one has started. */
+/** Sends signals for which {@link Process} has no method, such as SIGSTOP, to child processes. */
 public final class ProcessSignal {
 
     private ProcessSignal() {}
 
-    /** Sends a signal by its name without {@code SIG}, and returns when it is sent. */
+    /** Sends the signal of this name, given without {@code SIG}, and returns once it has been sent. */
     public static void send(Process process, String name) throws IOException {
         try {
             new ProcessBuilder("sh", "-c", "kill -" + name + " " + process.pid())
--- a/lab/src/main/java/barleyspur/lab/TierReplay.java
+++ b/lab/src/main/java/barleyspur/lab/TierReplay.java
@@ -16,15 +16,21 @@
 import org.knowm.xchart.XYChart;
 import org.knowm.xchart.XYChartBuilder;
 
-/** Replays generated days through policies and says how much each would have served from what it kept. */
+/** Replays a synthetic trace through retention policies and reports the hit ratio of each. */
 final class TierReplay {
 
-    /** Days that only fill what is empty at first. */
+    /** Days at the start of the trace that fill the empty store and are excluded from the hit ratios. */
     private static final int WARM_UP_DAYS = 2;
 
     private static final int HISTORY = 200_000;
 
-    /** Hits by requests and bytes, each a share from 0 to 1, and of those from 6:30 to 9:30 alone. */
+    /**
+     * Hit ratios from 0 to 1.
+     *
+     * @param requests by the number of requests
+     * @param bytes by bytes
+     * @param morning by the number of requests, from 6:30 to 9:30 only
+     */
     record Ratio(double requests, double bytes, double morning) {}
 
     private TierReplay() {}
@@ -39,7 +45,7 @@
         return policies;
     }
 
-    /** What one policy serves of a trace. */
+    /** Replays a trace through one policy and returns its hit ratios. */
     static Ratio replay(TierTrace t, RetentionPolicy keeper) {
         Count count = new Count();
         for (int i = 0; i < t.size(); i++) {
@@ -82,9 +88,9 @@
     }
 
     /**
-     * What could be served if the future were known: keeps whatever is asked for soonest, and lets nothing in that is
-     * asked for later than all it would push out (Belady 1966, with bypass). With sizes that differ it is no strict
-     * bound, but near one.
+     * Returns the hit ratios of the clairvoyant policy: it keeps the parts that are requested soonest, and does not
+     * admit a part whose next request is later than that of all parts it would evict (Belady 1966, with bypass). As
+     * the parts differ in size, this is not a strict upper bound but close to one.
      */
     static Ratio bound(TierTrace t, long mostKb) {
         int[] next = new int[t.size()];
@@ -94,7 +100,7 @@
             Integer later = seen.put(p, i);
             next[i] = later == null ? Integer.MAX_VALUE : later;
         }
-        // Kept parts are named by the place of their next request, which is different for each.
+        // A kept part is identified by the index of its next request, which is unique.
         TreeSet<Integer> kept = new TreeSet<>();
         Map<Integer, Integer> sizes = new HashMap<>();
         long keptKb = 0;
@@ -118,10 +124,10 @@
         return count.ratio();
     }
 
-    /** Prints a table and writes a plot. */
+    /** Prints a table of the hit ratios, and writes a plot of them unless {@code plot} is null. */
     static void report(int days, int perDay, double scan, long seed, List<Integer> sizesMb, Path plot)
             throws IOException {
-        System.err.println("drawing " + days + " days");
+        System.err.println("generating a trace of " + days + " days");
         TierTrace t = TierTrace.draw(days, perDay, scan, seed);
         System.out.printf(
                 Locale.ROOT, "%d requests in %d days, scans of %.1f%%, seed %d%n", t.size(), days, 100 * scan, seed);
--- a/lab/src/main/java/barleyspur/lab/TierTrace.java
+++ b/lab/src/main/java/barleyspur/lab/TierTrace.java
@@ -8,9 +8,10 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Requests of some days at one doorman, as the operators describe them: zipf with drift, objects that come back each
- * morning or evening, sizes with heavy tails, videos asked for part after part, scans of objects wanted once, firmware
- * pushed to all kiosks. Held as columns, ordered by time.
+ * A synthetic trace of the requests of several days at one doorman. Its load follows the operators' description: a Zipf
+ * distribution whose popular objects change over time, objects that are requested each morning or evening, heavy-tailed
+ * sizes, videos requested part after part, scans of objects requested only once, and firmware pushed to all kiosks. The
+ * trace is stored in columns, ordered by time.
  */
 final class TierTrace {
 
@@ -50,9 +51,11 @@
     }
 
     /**
-     * @param days   how many
-     * @param perDay requests a day, roughly
-     * @param scan   share of the requests during scans that are for objects wanted once
+     * Generates a trace.
+     *
+     * @param days the number of days
+     * @param perDay the approximate number of requests a day
+     * @param scan the share of the requests during scans that are for objects requested only once
      */
     static TierTrace draw(int days, int perDay, double scan, long seed) {
         UniformRandomProvider random = RandomSource.XO_SHI_RO_256_PP.create(seed);
@@ -73,7 +76,7 @@
             for (int i = 0; i < STEADY / 25; i++) {
                 ranks[1 + random.nextInt(STEADY)] = next++;
             }
-            // A scan strikes twice a day, for some hours, and a push comes every other day after noon.
+            // Each day has a scan of 4 hours, and every other day a firmware push in the afternoon.
             double scanAt = start + random.nextDouble() * 18 * HOUR_MS;
             for (int i = 0; i < perDay / 4; i++) {
                 double hour = random.nextDouble();
@@ -100,9 +103,9 @@
         return t;
     }
 
-    /** One viewing: a small file, or parts of a video from the first on. */
+    /** Adds the requests of one viewing: a small file, or the first parts of a video. */
     private void view(long what, double at, UniformRandomProvider random) {
-        // An object's own figures hang on its number only.
+        // The properties of an object depend on its number only, so that they are the same in all its requests.
         UniformRandomProvider own = RandomSource.SPLIT_MIX_64.create(what);
         boolean video = own.nextInt(4) == 0;
         double gauss = ZigguratSampler.NormalizedGaussian.of(own).sample();
--- a/lab/src/main/java/barleyspur/lab/stand/NodeList.java
+++ b/lab/src/main/java/barleyspur/lab/stand/NodeList.java
@@ -5,12 +5,16 @@
 import org.json.JSONArray;
 import org.json.JSONObject;
 
-/** The nodes of a station of stand-ins, as a doorman's configuration and the command channel list them. */
+/** The node list of a station of fake boxes, in the form of a doorman's configuration and of the command channel. */
 public final class NodeList {
 
     private final JSONArray targets = new JSONArray();
 
-    /** One node in service, in the only zone. {@code bootMs}: when it started, 0 for long ago. */
+    /**
+     * Describes one node that is in service, in the only zone.
+     *
+     * @param bootMs its start time as Unix time, 0 for a node that has been up for a long time
+     */
     public static JSONObject node(
             String uid,
             InetSocketAddress address,
@@ -29,17 +33,21 @@
                 .put("boot_ms", bootMs);
     }
 
-    /** Adds a node. */
+    /** Adds a node to the list. */
     public void add(JSONObject node) {
         targets.put(node);
     }
 
-    /** The nodes as one event of the command channel tells them: all there are, or those that have changed. */
+    /**
+     * Returns the nodes as an event of the command channel.
+     *
+     * @param whole whether these are all nodes, rather than only those that have changed
+     */
     public JSONObject event(int revision, boolean whole) {
         return new JSONObject().put("rev", revision).put("all", whole).put("targets", targets);
     }
 
-    /** What a doorman knows at its start: the command channel's first event, which is the whole list. */
+    /** Returns the part of the configuration that a doorman knows at its start: a first event with the full list. */
     public JSONObject known() {
         JSONObject first = new JSONObject().put("cursor", 1).put("nodes", event(1, true));
         return new JSONObject().put("cursor", 1).put("cmds", new JSONArray().put(first));
--- a/lab/src/main/java/barleyspur/lab/stand/StandBoxes.java
+++ b/lab/src/main/java/barleyspur/lab/stand/StandBoxes.java
@@ -21,12 +21,13 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Boxes that keep parts, parents and the head office (RESP): a hit takes 3 ms, a fill 30 ms more, the head office 40 ms.
- * What runs at the head office is counted by id, so that one that ran twice is seen.
+ * Fake caches, parents and the head office, which speak RESP. By default a hit takes 3 ms, a fill 30 ms more, and a
+ * request at the head office 40 ms. Runs of requests that must not run twice are counted by request id, so that
+ * duplicates are found.
  */
 public final class StandBoxes {
 
-    /** What a box is, as the settings' flavors are numbered. */
+    /** The kind of a box, in the order in which the settings number the flavors. */
     public enum Kind {
         CACHE,
         PARENT,
@@ -53,15 +54,21 @@
     private final Map<String, Integer> runs = new HashMap<>();
     private long attempts;
 
-    /** @param onceClass the class whose requests must not run twice */
+    /**
+     * Creates a station without any box yet, which measures no rates.
+     *
+     * @param onceClass the class whose requests must not run twice
+     */
     public StandBoxes(EventLoopGroup group, String onceClass) {
         this(group, onceClass, HIT_MS, new double[Kind.values().length]);
     }
 
     /**
-     * Boxes that also count what comes.
+     * Creates a station without any box yet.
      *
-     * @param rates by kind: attempts a second beyond which what comes is counted as over the rate; 0: not looked at
+     * @param onceClass the class whose requests must not run twice
+     * @param hitMs how long a hit takes
+     * @param rates the rate in attempts a second, by kind, whose excess is measured; 0 where none is
      */
     public StandBoxes(EventLoopGroup group, String onceClass, int hitMs, double[] rates) {
         this.group = group;
@@ -75,7 +82,10 @@
         return System.nanoTime() / NANOS_PER_MS;
     }
 
-    /** Notes how long these stand-ins stood still: what came meanwhile is read all at once. */
+    /**
+     * Records for how long this process was not scheduled: attempts that arrived in the meantime are read all at once
+     * and look like a burst.
+     */
     private void look() {
         double now = now();
         double late = now - lookedMs - LOOK_MS;
@@ -88,17 +98,17 @@
         lookedMs = now;
     }
 
-    /** How long what arrives now may have waited for these stand-ins. */
+    /** Returns for how long at most an attempt that is read now may have waited for this process. */
     private double waitedMs() {
         return Math.max(stalledMs, now() - lookedMs) + LOOK_MS;
     }
 
-    /** What a box saw. */
+    /** Returns the meter of one box. */
     public Tally tally(InetSocketAddress address) {
         return tallies.get(address);
     }
 
-    /** Listens as one box. */
+    /** Starts a box that listens at this address. */
     public void listen(InetSocketAddress address, Kind kind) throws InterruptedException {
         Tally tally = new Tally(rates[kind.ordinal()]);
         tallies.put(address, tally);
@@ -199,7 +209,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            // A doorman that was killed resets its connections; anything else is a fault of these stand-ins.
+            // A doorman that is killed resets its connections; any other exception is a fault of the fake boxes.
             if (!(cause instanceof IOException)) {
                 cause.printStackTrace();
             }
@@ -207,12 +217,12 @@
         }
     }
 
-    /** Requests that must not run twice, and how many did. */
+    /** Returns how many of the requests that must not run twice did so, as {@code "0 of 12"}. */
     public String runsTwice() {
         return runs.values().stream().filter(n -> n > 1).count() + " of " + runs.size();
     }
 
-    /** Attempts that came to all boxes. */
+    /** Returns how many attempts all boxes have received. */
     public long attempts() {
         return attempts;
     }
--- a/lab/src/main/java/barleyspur/lab/stand/StandChannel.java
+++ b/lab/src/main/java/barleyspur/lab/stand/StandChannel.java
@@ -17,7 +17,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
 
-/** The command channel: events as they are told, and each second the number of the last one. */
+/** A fake command channel. It sends the events that it is given, and every second the cursor of the last one. */
 public final class StandChannel {
 
     private final ChannelGroup connections = new DefaultChannelGroup(ImmediateEventExecutor.INSTANCE);
@@ -27,14 +27,22 @@
         this.last = last;
     }
 
-    /** Tells all that are connected one event more: {@code body} is what stands beside its number, as in {@code "nodes":...}. */
+    /**
+     * Sends the next event to all connected doormans.
+     *
+     * @param body the members of the event's JSON object besides its cursor, such as {@code "nodes":...}
+     */
     public void tell(String body) {
         last++;
         connections.writeAndFlush(
                 Unpooled.copiedBuffer("{\"cursor\":" + last + "," + body + "}\n", StandardCharsets.UTF_8));
     }
 
-    /** Listens; {@code last} is the number of the last event, which all have from their start. */
+    /**
+     * Starts a channel.
+     *
+     * @param last the cursor of the last event that all doormans know from their configuration
+     */
     public static StandChannel listen(EventLoopGroup group, InetSocketAddress address, long last)
             throws InterruptedException {
         StandChannel told = new StandChannel(last);
@@ -68,7 +76,7 @@
 
                             @Override
                             protected void channelRead0(ChannelHandlerContext ctx, ByteBuf resume) {
-                                // Nobody lacks anything: events are told once all are connected.
+                                // No doorman has missed an event, since events are sent only after all have connected.
                                 resume.skipBytes(resume.readableBytes());
                             }
 
--- a/lab/src/main/java/barleyspur/lab/stand/StandClients.java
+++ b/lab/src/main/java/barleyspur/lab/stand/StandClients.java
@@ -22,12 +22,13 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Clients of a few doormans (Thrift): requests come at a rate whatever becomes of earlier ones, each to a doorman that
- * has answered lately, and what became of it is counted by class. On one event loop.
+ * An open-loop load generator with the Thrift protocol: requests are sent at a constant rate independently of the
+ * answers to earlier ones, each to a doorman that has declared itself ready on the connection, and their outcomes are
+ * counted by class. All state is confined to one event loop.
  */
 public final class StandClients {
 
-    /** What became of requests. */
+    /** Counts of the outcomes of requests. */
     public static final class Counts {
         long asked;
         long served;
@@ -36,7 +37,7 @@
         long failed;
         long lost;
 
-        /** As a row. */
+        /** Returns the counts as a row of a table. */
         public String row() {
             return String.format(
                     "%6d asked %6d in time %5d late %5d refused %5d failed %5d lost",
@@ -44,7 +45,13 @@
         }
     }
 
-    /** A class of requests: its share of all, when it is wanted and when it is given up. */
+    /**
+     * A class of requests.
+     *
+     * @param share its share of all requests, from 0 to 1
+     * @param aimMs the time in which an answer counts as in time
+     * @param deadlineMs the deadline that is sent with the request
+     */
     public record Class(String name, double share, double aimMs, double deadlineMs) {}
 
     private static final int REPLY = 2;
@@ -73,8 +80,10 @@
                     .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 500)
                     .handler(new ChannelInitializer<Channel>() {
                         @Override
-                        protected void initChannel(Channel c) {
-                            c.pipeline().addLast(new LengthFieldBasedFrameDecoder(MAX_FRAME, 0, 4, 0, 4), shared());
+                        protected void initChannel(Channel connection) {
+                            connection
+                                    .pipeline()
+                                    .addLast(new LengthFieldBasedFrameDecoder(MAX_FRAME, 0, 4, 0, 4), shared());
                         }
                     })
                     .connect(address)
@@ -184,7 +193,7 @@
     private final Map<String, Counts> byClass = new HashMap<>();
     private long unasked;
 
-    /** Clients of these classes that ask the doormans at these addresses; the seed decides what they ask for. */
+    /** Creates clients of the doormans at these addresses; the seed determines the sequence of requests. */
     public StandClients(EventLoopGroup group, List<Class> classes, List<InetSocketAddress> addresses, long seed) {
         this.loop = group.next();
         this.random = new SplittableRandom(seed);
@@ -192,22 +201,22 @@
         addresses.forEach(a -> doormans.add(new Doorman(a)));
     }
 
-    /** Begins to ask, so many times a second. */
+    /** Starts to connect, and to send requests at this rate, each to a random doorman that is ready. */
     public void start(double perSecond) {
         loop.execute(() -> doormans.forEach(Doorman::connect));
         long every = (long) (1e9 / perSecond);
         loop.scheduleAtFixedRate(this::ask, every, every, TimeUnit.NANOSECONDS);
     }
 
-    /** How much of the requests comes to the doorman of a slot at a moment. */
+    /** Distributes the requests among the doormans, by slot and time. */
     public interface Parts {
-        /** The factor for a slot at a time. */
+        /** Returns the share of the requests that the doorman of a slot gets at a time since the start. */
         double of(int slot, double nowMs);
     }
 
     /**
-     * Begins to ask, so many times a second in all, whatever becomes of earlier ones; each slot's doorman gets its part,
-     * and what comes for one that is not there is not asked at another.
+     * Starts to connect, and to send requests at this total rate. The doorman of each slot gets its share; a request
+     * for a doorman that is not ready is not sent to another one.
      */
     public void start(double perSecond, Parts parts) {
         loop.execute(() -> doormans.forEach(Doorman::connect));
@@ -256,7 +265,7 @@
         return byClass.computeIfAbsent(c.name, n -> new Counts());
     }
 
-    /** A row for each class of what was counted since the last call. */
+    /** Returns a row for each class with the counts since the last call, and resets the counts. */
     public List<String> rows() {
         return loop.submit(() -> {
                     List<String> rows = new ArrayList<>();
@@ -265,7 +274,7 @@
                     }
                     byClass.clear();
                     if (unasked > 0) {
-                        rows.add(unasked + " not asked: no doorman was there");
+                        rows.add(unasked + " not sent: no doorman was ready");
                         unasked = 0;
                     }
                     return rows;
--- a/lab/src/main/java/barleyspur/lab/stand/Tally.java
+++ b/lab/src/main/java/barleyspur/lab/stand/Tally.java
@@ -4,7 +4,8 @@
 import java.util.List;
 
 /**
- * What one box sees arrive, whatever the doormans say: at once, in all, and beyond a rate. On the boxes' event loop.
+ * Measures the attempts that one box receives, independently of what the doormans report: how many at once, how many
+ * in total, and how many in excess of a rate. It is updated on the event loop of the boxes.
  */
 public final class Tally {
 
@@ -21,33 +22,41 @@
     private double level;
     private double levelMs;
     private double mostLevel;
-    /** The highest over the rate, less what may have bunched while this process itself stood still. */
+    /** The highest level, less the arrivals that may have queued up while this process was not scheduled. */
     private double mostSurely;
 
-    /** @param perS the rate whose excess is measured; 0: none */
+    /**
+     * Creates a meter.
+     *
+     * @param perS the rate whose excess is measured, by a leaky bucket; 0 for none
+     */
     Tally(double perS) {
         this.perS = perS;
     }
 
-    /** Counts apart what arrives between two Unix times, in ms. */
+    /** Sets a window between two Unix times in ms; the arrivals in it are also counted separately. */
     public void watch(long from, long to) {
         watchedFrom = from;
         watchedTo = to;
     }
 
-    /** How many came in the time that is watched. */
+    /** Returns how many attempts arrived in the window. */
     public long watched() {
         return watched;
     }
 
-    /** When each of these came, as Unix times in ms. */
+    /** Returns the arrival times in the window, as Unix times in ms. */
     public List<Long> watchedTimes() {
         synchronized (times) {
             return List.copyOf(times);
         }
     }
 
-    /** An attempt arrives; this process may have stood still for so long just before. */
+    /**
+     * Records the arrival of an attempt.
+     *
+     * @param stalledMs for how long this process may not have been scheduled just before
+     */
     void arrives(double nowMs, double stalledMs) {
         arrived++;
         long wall = System.currentTimeMillis();
@@ -67,26 +76,27 @@
         }
     }
 
+    /** Records that an attempt is completed. */
     void done() {
         atOnce--;
     }
 
-    /** The most that were in work at once. */
+    /** Returns the maximum number of attempts that were in progress at once. */
     public int mostAtOnce() {
         return mostAtOnce;
     }
 
-    /** How many came. */
+    /** Returns how many attempts have arrived. */
     public long arrived() {
         return arrived;
     }
 
-    /** The most that came over the rate: what a burst would have to allow. */
+    /** Returns the maximum excess over the rate: the burst that would have to be allowed. */
     public double mostOverRate() {
         return mostLevel;
     }
 
-    /** The same without what may have bunched while this process stood still. */
+    /** Returns the maximum excess over the rate, less what may have queued up while this process was not scheduled. */
     public double mostSurelyOverRate() {
         return mostSurely;
     }
--- a/lab/src/main/java/barleyspur/lab/stand/package-info.java
+++ b/lab/src/main/java/barleyspur/lab/stand/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Thin stand-ins for what a doorman speaks to, written from the protocol page: boxes, the command channel, clients. They
- * show the main job to whoever has none of the operators' programs, and count what arrives by themselves.
+ * Minimal fakes of the programs that a doorman talks to, written from the protocol specification: boxes, the command
+ * channel and clients. They allow a demonstration without the operators' programs, and measure independently what
+ * arrives.
  */
 package barleyspur.lab.stand;
--- a/lab/src/test/java/barleyspur/lab/EndingProcessesTest.java
+++ b/lab/src/test/java/barleyspur/lab/EndingProcessesTest.java
@@ -37,19 +37,19 @@
 import org.junit.jupiter.api.parallel.Isolated;
 
 /**
- * Several {@code serve} processes of the built jar that end, or meet a box that has just started. Alone on the machine, since
- * each starts many processes at once.
+ * Tests the start, reload and shutdown of {@code serve} processes of the built jar, and their load on a box that has
+ * just started. Runs isolated from other tests, since some of these start many processes at once.
  */
 @Isolated
 class EndingProcessesTest {
 
-    /** What the protocol page gives a process after SIGTERM, at the classes' longest deadline. */
+    /** The time from SIGTERM to SIGKILL that the protocol specifies for the longest deadline of the classes. */
     private static final int KILL_MS = 3_700;
-    /** How a JVM tells that SIGTERM has ended it, once its hooks have run. */
+    /** The exit code of a JVM that was terminated by SIGTERM, after its shutdown hooks have run. */
     private static final int ENDED_BY_SIGTERM = 128 + 15;
-    /** By then a signal has been handled. */
+    /** The time by which a signal has been handled. */
     private static final int SIGNALLED_MS = 500;
-    /** Requests on open connections come for so long after SIGTERM. */
+    /** For how long after SIGTERM requests are sent on open connections. */
     private static final int ASKED_MS = 600;
 
     @TempDir
@@ -72,9 +72,10 @@
     }
 
     /**
-     * Asks three at a time for as long as it may, then waits for what is open and for the end of the connection.
+     * Keeps three requests pending until the given time, then waits for the outstanding answers and for the end of the
+     * connection.
      *
-     * @return how many were asked, all of which got an answer, once
+     * @return the number of requests, each of which was answered exactly once
      */
     private int ask(InetSocketAddress address, long untilNanos) throws IOException {
         try (ThriftClient client = new ThriftClient(address)) {
@@ -104,18 +105,19 @@
                 }
                 Integer answer = client.answer();
                 if (answer == null) {
-                    assertEquals(asked, answered, "answers before the end of the connection");
+                    assertEquals(asked, answered, "number of answers before the end of the connection");
                     return asked;
                 }
                 answered++;
-                assertTrue(answer <= asked, "an answer to what was asked");
+                assertTrue(answer <= asked, "answer to a request that was not sent");
             }
         }
     }
 
     /**
-     * Guards restarts: a doorman is ready without anybody else, that is with discovery and all boxes out of reach, and with
-     * 200 boxes on its list. What that took of a core is printed: at a fifth of one, 2 s of it are the 10 s that it has.
+     * Guards restarts: a doorman becomes ready while discovery and all 200 boxes of its list are unreachable. The
+     * processor time that this took is printed: with a fifth of a core, the 10 s that a doorman has for its start are
+     * 2 s of processor time.
      */
     @Test
     void aDoormanIsReadyWithoutAnybodyElse() throws Exception {
@@ -125,7 +127,10 @@
                 processes.process(0).info().totalCpuDuration().orElseThrow().toMillis() / 1e3);
     }
 
-    /** Guards: SIGHUP that the parent ignores can't be taken back by the JVM, so the log says that reloads are off. */
+    /**
+     * Guards reloads: a JVM that is started with SIGHUP ignored cannot handle it, so the log says that reloads are
+     * disabled.
+     */
     @Test
     void anIgnoredHangUpIsSaid() throws Exception {
         processes.startedBy("trap '' HUP; ");
@@ -133,24 +138,29 @@
         assertTrue(processes.log(0).contains("SIGHUP is ignored"));
     }
 
-    /** Guards restarts that overlap: SIGTERM while it still starts ends it in time, and as a planned end. */
+    /**
+     * Guards overlapping restarts: SIGTERM during the start terminates the process in time and as a planned shutdown.
+     */
     @Test
     void sigtermBeforeItListensEndsIt() throws Exception {
         Process process = processes.launch(0, processes.configuration(0, 1, FEW, processes.channel(5), SIZE));
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
-        // The rehearsal before the start has begun, and logs the nodes that it makes up.
+        // The warm-up before the start has begun once the log has its synthetic nodes.
         while (processes.log(0).isEmpty() && System.nanoTime() < until) {
             TimeUnit.MILLISECONDS.sleep(1);
         }
-        assertFalse(processes.log(0).contains("serves"), "it was to be ended before");
+        assertFalse(processes.log(0).contains("serves"), "the process serves before it got SIGTERM");
         process.destroy();
-        assertTrue(process.waitFor(KILL_MS, TimeUnit.MILLISECONDS), "it ends before SIGKILL may come");
+        assertTrue(
+                process.waitFor(KILL_MS, TimeUnit.MILLISECONDS),
+                "the process is still running at the time of SIGKILL");
         assertEquals(ENDED_BY_SIGTERM, process.exitValue(), processes.log(0));
     }
 
     /**
-     * Guards reloads that overlap with a start: SIGHUP while the configuration is still being read does not end the process,
-     * and the configuration is read again once it can be. A named pipe holds the process there.
+     * Guards reloads during a start: SIGHUP while the configuration is being read does not terminate the process, and
+     * the configuration is reloaded as soon as possible. A named pipe as the configuration file blocks the process
+     * meanwhile.
      */
     @Test
     void hangUpWhileItStartsIsCarriedOut() throws Exception {
@@ -161,20 +171,20 @@
                 .toString()
                 .getBytes(StandardCharsets.UTF_8);
         Process process;
-        // Opened for both, since a pipe that is opened for writing alone waits for its reader.
+        // Opened for reading as well, since opening a pipe only for writing blocks until it has a reader.
         try (RandomAccessFile writer = new RandomAccessFile(pipe.toFile(), "rw")) {
             process = processes.launch(0, pipe);
-            await("it reads the configuration", () -> hasOpen(process, pipe));
+            await("the process reads the configuration", () -> hasOpen(process, pipe));
             ProcessSignal.send(process, "HUP");
             TimeUnit.MILLISECONDS.sleep(SIGNALLED_MS);
-            assertTrue(process.isAlive(), "SIGHUP ended it");
-            // What is read again is a file of the same name.
+            assertTrue(process.isAlive(), "SIGHUP terminated the process");
+            // The reload reads a regular file of the same name.
             Path next = Files.write(folder.resolve("next.json"), configuration);
             Files.move(next, pipe, StandardCopyOption.REPLACE_EXISTING);
             writer.write(configuration);
         }
         processes.awaitReady(0);
-        await("it reloads", () -> processes.log(0).contains("reload: done"));
+        await("the process reloads its configuration", () -> processes.log(0).contains("reload: done"));
     }
 
     private static boolean hasOpen(Process process, Path file) throws IOException {
@@ -187,7 +197,7 @@
             }
             return false;
         } catch (NoSuchFileException e) {
-            // A descriptor was closed meanwhile.
+            // A descriptor was closed while they were listed.
             return false;
         }
     }
@@ -195,12 +205,14 @@
     private static void await(String what, Callable<Boolean> condition) throws Exception {
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
         while (!condition.call()) {
-            assertTrue(System.nanoTime() < until, "never: " + what);
+            assertTrue(System.nanoTime() < until, "timeout waiting for: " + what);
             TimeUnit.MILLISECONDS.sleep(5);
         }
     }
 
-    /** Guards planned restarts: of what comes until 0.6 s after SIGTERM everything is answered, and no connection is reset. */
+    /**
+     * Guards planned restarts: all requests sent until 0.6 s after SIGTERM are answered, and no connection is reset.
+     */
     @Test
     void aWaveOfSigtermsLeavesNothingUnanswered() throws Exception {
         StandBoxes boxes = processes.boxes(FEW, 150);
@@ -223,24 +235,24 @@
             TimeUnit.MILLISECONDS.sleep(300);
             processes.all().forEach(Process::destroy);
             int all = 0;
-            for (Future<Integer> one : asked) {
-                all += one.get(30, TimeUnit.SECONDS);
+            for (Future<Integer> count : asked) {
+                all += count.get(30, TimeUnit.SECONDS);
             }
             for (Process process : processes.all()) {
                 assertTrue(
                         process.waitFor(
                                 term + TimeUnit.MILLISECONDS.toNanos(KILL_MS) - System.nanoTime(),
                                 TimeUnit.NANOSECONDS),
-                        "it ends before SIGKILL may come");
+                        "the process is still running at the time of SIGKILL");
             }
-            assertTrue(all > 200, "asked: " + all);
+            assertTrue(all > 200, "requests: " + all);
             assertTrue(boxes.runsTwice().startsWith("0 "), boxes.runsTwice());
         } finally {
             clients.shutdownNow();
         }
     }
 
-    /** Caches, a parent and an origin. */
+    /** Number of nodes: four caches, a parent and an origin. */
     private static final int FEW = 6;
 
     private static final int DOORMANS = 30;
@@ -250,12 +262,13 @@
     private static final double COLD_FROM = 0.24;
     private static final double FALL_MULTIPLE = 1;
     private static final double PER_S = 300;
-    /** Work of a request of the clients': 100.5 KB at the settings' pace. */
+    /** Work of a request: 100.5 KB at 5 KB/ms, the pace in the settings. */
     private static final double WORK_MS = 100.5 / 5;
 
     /**
-     * Guards boxes that have just started against thirty processes that know nothing of one another: in every span of 3 s
-     * one gets no more than N calls and 2 root(N) + 2 for chance, N being what the settings allow then; yet it gets some.
+     * Guards boxes that have just started against overload by thirty processes that do not coordinate: in every window
+     * of 3 s such a box gets at most N + 2 sqrt(N) + 2 calls, where N is what the settings allow at that time and the
+     * rest allows for random variation. It must still get some calls.
      */
     @Test
     void thirtyProcessesStayWithinWhatAColdBoxBears() throws Exception {
@@ -271,7 +284,7 @@
         TimeUnit.SECONDS.sleep(4);
         long boot = System.currentTimeMillis();
         Tally cold = boxes.tally(processes.box(0));
-        // What was sent before the news has arrived by then.
+        // After 250 ms all calls have arrived that were sent before the doormans learned of the restart.
         cold.watch(boot + 250, boot + (long) COLD_MS);
         NodeList restarted = new NodeList();
         restarted.add(processes.target(0, FEW, SIZE, boot));
@@ -288,9 +301,9 @@
             worst = Math.max(worst, (last - first + 1) / (n + 2 * Math.sqrt(n) + 2));
         }
         System.out.printf(
-                "30 processes: %d calls at the cold box, at most %.2f of what it bears in a span%n",
+                "30 processes: %d calls at the cold box, at most %.2f of its limit in a window%n",
                 times.size(), worst);
-        assertTrue(worst <= 1, "of what it bears: " + worst);
-        assertTrue(times.size() > 20, "the cold box is starved: " + times.size());
+        assertTrue(worst <= 1, "calls in a window, as a multiple of the limit: " + worst);
+        assertTrue(times.size() > 20, "too few calls at the cold box: " + times.size());
     }
 }
--- a/lab/src/test/java/barleyspur/lab/ServeProcesses.java
+++ b/lab/src/test/java/barleyspur/lab/ServeProcesses.java
@@ -20,10 +20,20 @@
 import org.json.JSONObject;
 import org.json.JSONTokener;
 
-/** Doormans started by the deployment's own {@code run} line, and the station of stand-ins that their lists name. */
+/**
+ * Doorman processes started with the {@code run} line of the deployment, and the station of fake boxes that they
+ * list.
+ */
 final class ServeProcesses implements AutoCloseable {
 
-    /** How a node that has just started gains capacity, and what pushes it over. */
+    /**
+     * How the capacity of a node grows after its start, and what overloads it.
+     *
+     * @param coldMs the time from its start until it has all of its capacity
+     * @param fallMs the time over which the load on a cold node is summed
+     * @param coldFrom the share of its capacity that it has at its start
+     * @param fallMultiple the multiple of its current capacity that overloads it
+     */
     record ColdRule(double coldMs, double fallMs, double coldFrom, double fallMultiple) {}
 
     private static final Path ROOT = Path.of("..").toAbsolutePath().normalize();
@@ -32,7 +42,7 @@
     private static final int READY_MS = 60_000;
     private static final int NODES_A_NETWORK = 250;
 
-    /** Each station has addresses of its own: those of the one before may not be free yet. */
+    /** Gives each station its own addresses, since those of the previous one may still be in use. */
     private static final AtomicInteger STATIONS = new AtomicInteger();
 
     private final String network =
@@ -50,12 +60,12 @@
         this.cold = cold;
     }
 
-    /** The shell's commands before {@code run}, for processes that are started from here on. */
+    /** Sets shell commands to execute before the {@code run} line, for processes started from now on. */
     void startedBy(String shellCommands) {
         prefix = shellCommands;
     }
 
-    /** How many descriptors processes have that are started from here on. */
+    /** Sets the limit of file descriptors in the configuration of processes started from now on. */
     void sockets(int limit) {
         sockets = limit;
     }
@@ -73,7 +83,10 @@
         return new InetSocketAddress(network + "252." + number, PORT);
     }
 
-    /** Of so many nodes the last is the origin, one in twenty (one at least) a parent, the others are caches. */
+    /**
+     * Returns the kind of a node: the last is the origin, one in twenty (at least one) is a parent, the others are
+     * caches.
+     */
     private static StandBoxes.Kind kind(int number, int nodes) {
         if (number == nodes - 1) {
             return StandBoxes.Kind.ORIGIN;
@@ -81,13 +94,13 @@
         return number >= nodes - 1 - Math.max(1, nodes / 20) ? StandBoxes.Kind.PARENT : StandBoxes.Kind.CACHE;
     }
 
-    /** One node of so many as the command channel lists it. */
+    /** Describes one node in the form of the command channel. */
     JSONObject target(int number, int nodes, double size, double bootMs) {
         String uid = "s-" + Integer.toHexString(number + 1);
         return NodeList.node(uid, box(number), kind(number, nodes), 0, size, bootMs);
     }
 
-    /** So many nodes, which answer what they hold after so long. */
+    /** Starts fake boxes for all nodes. */
     StandBoxes boxes(int nodes, int hitMs) throws InterruptedException {
         StandBoxes boxes = new StandBoxes(group, "record", hitMs, new double[StandBoxes.Kind.values().length]);
         for (int i = 0; i < nodes; i++) {
@@ -96,7 +109,7 @@
         return boxes;
     }
 
-    /** Starts so many doormans and waits until they are ready; all nodes are long up. */
+    /** Starts doormans and waits until they are ready; by their lists all nodes have been up for a long time. */
     void start(int doormans, int nodes, InetSocketAddress channel, double size)
             throws IOException, InterruptedException {
         for (int i = 0; i < doormans; i++) {
@@ -107,7 +120,7 @@
         }
     }
 
-    /** The configuration of one doorman of so many. */
+    /** Returns the configuration of one doorman. */
     JSONObject configuration(int number, int doormans, int nodes, InetSocketAddress channel, double size) {
         NodeList listed = new NodeList();
         for (int i = 0; i < nodes; i++) {
@@ -133,13 +146,13 @@
                 .put("known", listed.known());
     }
 
-    /** Starts one doorman and does not wait for it. */
+    /** Starts one doorman without waiting until it is ready. */
     Process launch(int number, JSONObject configuration) throws IOException {
         Path config = Files.createDirectories(folder.resolve("d" + number)).resolve("config.json");
         return launch(number, Files.writeString(config, configuration.toString()));
     }
 
-    /** Starts one doorman that reads its configuration there, and does not wait for it. */
+    /** Starts one doorman with the given configuration file, without waiting until it is ready. */
     Process launch(int number, Path config) throws IOException {
         Path own = Files.createDirectories(folder.resolve("d" + number));
         ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", prefix + runLine()).directory(ROOT.toFile());
@@ -153,11 +166,11 @@
 
     private static String runLine() throws IOException {
         Matcher run = RUN.matcher(Files.readString(ROOT.resolve("deploy").resolve("balancer.toml")));
-        assertTrue(run.find(), "deploy/balancer.toml has a run line");
+        assertTrue(run.find(), "deploy/balancer.toml has no run line");
         return run.group(1);
     }
 
-    /** Waits until a doorman says that it takes work. */
+    /** Waits until a doorman answers that it accepts requests. */
     void awaitReady(int number) throws InterruptedException {
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(READY_MS);
         while (true) {
@@ -166,7 +179,7 @@
                 assertNotNull(client.answer(), "doorman " + number + " is not ready");
                 return;
             } catch (IOException e) {
-                assertTrue(System.nanoTime() < until, "doorman " + number + " never listened");
+                assertTrue(System.nanoTime() < until, "doorman " + number + " did not listen in time");
                 TimeUnit.MILLISECONDS.sleep(50);
             }
         }
@@ -180,16 +193,16 @@
         return processes.get(number);
     }
 
-    /** What a doorman has logged. */
+    /** Returns the log of a doorman. */
     String log(int number) throws IOException {
         return Files.readString(folder.resolve("d" + number).resolve("log"));
     }
 
-    /** The most memory that a doorman has had, in MB. */
+    /** Returns the peak resident memory of a doorman in MB. */
     long peakMemoryMb(int number) throws IOException {
         Path status = Path.of("/proc", Long.toString(process(number).pid()), "status");
         Matcher peak = Pattern.compile("VmHWM:\\s+(\\d+) kB").matcher(Files.readString(status));
-        assertTrue(peak.find(), "the system tells peak memory");
+        assertTrue(peak.find(), "the process status has no peak memory");
         return Long.parseLong(peak.group(1)) / 1024;
     }
 
--- a/lab/src/test/java/barleyspur/lab/ThousandNodesTest.java
+++ b/lab/src/test/java/barleyspur/lab/ThousandNodesTest.java
@@ -20,13 +20,13 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.api.parallel.Isolated;
 
-/** A doorman as deployed, before 1,024 nodes and among 1,024 doormans. */
+/** Tests a doorman, started as in the deployment, with 1,024 nodes and in a fleet of 1,024 doormans. */
 @Isolated
 class ThousandNodesTest {
 
     private static final int NODES = 1_024;
     private static final int DOORMANS = 1_024;
-    /** The most that the platform gives. */
+    /** The maximum number of file descriptors on the platform. */
     private static final int SOCKETS = 1_024;
 
     private static final int MEMORY_MB = 192;
@@ -43,7 +43,9 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
-    /** Guards the caps: whole lists of that size are taken, from the configuration and the channel, and served from. */
+    /**
+     * Guards the size limits: full lists of this size are accepted from the configuration and the channel, and used.
+     */
     @Test
     void wholeListsOfAThousandAreTakenAndServedFrom() throws Exception {
         ServeProcesses.ColdRule cold = new ServeProcesses.ColdRule(8_000, 3_000, 0.24, 3);
@@ -71,7 +73,7 @@
                         "%d nodes, %d doormans: %d nodes reached, %d MB at most%n",
                         NODES, DOORMANS, reached, processes.peakMemoryMb(0));
                 assertTrue(reached > NODES * 9 / 10, "nodes reached: " + reached);
-                assertTrue(processes.peakMemoryMb(0) < MEMORY_MB, "memory");
+                assertTrue(processes.peakMemoryMb(0) < MEMORY_MB, "peak memory");
                 assertTrue(processes.process(0).isAlive());
             }
         }
@@ -90,7 +92,7 @@
         return reached;
     }
 
-    /** Sixteen at a time; each is answered, and as good as all are served. */
+    /** Sends requests, up to 16 at a time; each must be answered, and over 99 % must be served. */
     private static void ask(ThriftClient client, int firstSeqid) throws Exception {
         int asked = 0;
         int served = 0;
--- a/lab/src/test/java/barleyspur/lab/ThriftClient.java
+++ b/lab/src/test/java/barleyspur/lab/ThriftClient.java
@@ -10,7 +10,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 
-/** A client of the Thrift front that waits for each answer. */
+/** A blocking client of the Thrift interface. */
 final class ThriftClient implements AutoCloseable {
     private static final int REPLY = 2;
     private static final int SUCCESS = 0;
@@ -54,16 +54,19 @@
         to.write(text.getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** An answer's sequence number, and whether it is the one of a request that was served. */
+    /** An answer: the sequence number of its request, and whether the request was served. */
     record Answer(int seqid, boolean served) {}
 
-    /** The next answer's sequence number; null at the end of the connection, which must not be a reset. */
+    /**
+     * Reads the next answer and returns its sequence number; null at the end of the connection, which must not be a
+     * reset.
+     */
     Integer answer() throws IOException {
         Answer answer = read();
         return answer == null ? null : answer.seqid();
     }
 
-    /** The next answer; null at the end of the connection, which must not be a reset. */
+    /** Reads the next answer; null at the end of the connection, which must not be a reset. */
     Answer read() throws IOException {
         int first = in.read();
         if (first < 0) {
