--- a/lab/src/main/java/barleyspur/lab/BudgetScale.java
+++ b/lab/src/main/java/barleyspur/lab/BudgetScale.java
@@ -26,40 +26,40 @@
 public class BudgetScale {
 
     private static final double LEASE_MS = 4_000;
-    private static final double WARM_MS = 12_000;
-    private static final double STEP_MS = 5;
+    private static final double WARM_UP_MS = 12_000;
+    private static final double TICK_MS = 5;
 
     @Param({"10", "1000", "5000"})
     int budgets;
 
-    private BudgetAgent doorman;
-    private BudgetLimiter[] places;
-    private double now;
-    private int next;
+    private BudgetAgent agent;
+    private BudgetLimiter[] limiters;
+    private double nowMs;
+    private int nextLimiter;
 
     /** Creates the limiters and waits until each has received a share of its budget. */
     @Setup
-    public void start() {
-        BudgetConfig terms = new BudgetConfig(
+    public void setUp() {
+        BudgetConfig config = new BudgetConfig(
                 List.of("127.0.0.1:1"),
                 16,
                 1_500,
                 500,
                 50,
                 Map.of("p", new BudgetConfig.Budget("p", BudgetKind.PLACES, 1_000, 16, 0, 1, LEASE_MS)));
-        doorman = new BudgetAgent(terms, "d1", "127.0.0.1:1", 1, 1, 0, a -> {});
-        places = new BudgetLimiter[budgets];
+        agent = new BudgetAgent(config, "d1", "127.0.0.1:1", 1, 1, 0, a -> {});
+        limiters = new BudgetLimiter[budgets];
         for (int i = 0; i < budgets; i++) {
-            places[i] = doorman.limiter(0, "p:s" + i);
-            places[i].tryAcquire(0);
+            limiters[i] = agent.limiter(0, "p:s" + i);
+            limiters[i].tryAcquire(0);
         }
         // With a single voter this doorman is its own majority, so it divides the budgets itself.
-        for (now = 0; now < WARM_MS; now += STEP_MS) {
-            doorman.tick(now);
+        for (nowMs = 0; nowMs < WARM_UP_MS; nowMs += TICK_MS) {
+            agent.tick(nowMs);
         }
-        for (BudgetLimiter s : places) {
-            if (s.limit(now) < 1) {
-                throw new IllegalStateException(s.name() + " has received no share");
+        for (BudgetLimiter limiter : limiters) {
+            if (limiter.limit(nowMs) < 1) {
+                throw new IllegalStateException(limiter.name() + " has received no share");
             }
         }
     }
@@ -67,25 +67,25 @@
     /** Acquires a place of one budget and releases it; each call uses the next budget. */
     @Benchmark
     public boolean takeAndRelease() {
-        BudgetLimiter s = places[next];
-        next = next + 1 == places.length ? 0 : next + 1;
-        boolean good = s.tryAcquire(now);
-        s.release(now, now);
-        return good;
+        BudgetLimiter limiter = limiters[nextLimiter];
+        nextLimiter = nextLimiter + 1 == limiters.length ? 0 : nextLimiter + 1;
+        boolean acquired = limiter.tryAcquire(nowMs);
+        limiter.release(nowMs, nowMs);
+        return acquired;
     }
 
     /** Runs one simulated second of a doorman that both divides all budgets and holds a share of each. */
     @Benchmark
     public double second() {
-        for (double end = now + 1_000; now < end; now += STEP_MS) {
-            if (doorman.dueMs() <= now) {
-                doorman.tick(now);
+        for (double endMs = nowMs + 1_000; nowMs < endMs; nowMs += TICK_MS) {
+            if (agent.dueMs() <= nowMs) {
+                agent.tick(nowMs);
             }
         }
-        for (BudgetLimiter s : places) {
-            s.tryAcquire(now);
-            s.release(now, now);
+        for (BudgetLimiter limiter : limiters) {
+            limiter.tryAcquire(nowMs);
+            limiter.release(nowMs, nowMs);
         }
-        return now;
+        return nowMs;
     }
 }
--- a/lab/src/main/java/barleyspur/lab/Lab.java
+++ b/lab/src/main/java/barleyspur/lab/Lab.java
@@ -57,31 +57,29 @@
     }
 
     static int run(String[] args) throws IOException {
-        String name = args.length == 0 ? "" : args[0];
-        if (List.of("help", "--help", "-h").contains(name)) {
+        String command = args.length == 0 ? "" : args[0];
+        if (List.of("help", "--help", "-h").contains(command)) {
             System.out.print(HELP);
             return OK;
         }
         Options options = new Options()
-                .addOption(value("plot", "FILE.png", "write a plot to this file"))
+                .addOption(optionWithValue("plot", "FILE.png", "write a plot to this file"))
                 .addOption(
                         Option.builder("h").longOpt("help").desc("print this").get());
-        switch (name) {
+        switch (command) {
             case "check" ->
                 options = new Options()
                         .addOption(Option.builder("h")
                                 .longOpt("help")
                                 .desc("print this")
                                 .get())
-                        .addOption(value(
-                                "faults",
-                                "N",
-                                "maximum number of faults, tried in all combinations; default 2"))
-                        .addOption(value(
+                        .addOption(optionWithValue(
+                                "faults", "N", "maximum number of faults, tried in all combinations; default 2"))
+                        .addOption(optionWithValue(
                                 "steps",
                                 "N",
                                 "number of steps of 50 ms after the budget is first fully divided; default 14"))
-                        .addOption(value(
+                        .addOption(optionWithValue(
                                 "replay",
                                 "STEP:FAULT:N ...",
                                 "run only these faults, in the notation of a counterexample"));
@@ -95,51 +93,56 @@
                                 .longOpt("virtual")
                                 .desc("run in virtual time")
                                 .get())
-                        .addOption(value(
+                        .addOption(optionWithValue(
                                 "seeds",
                                 "N",
                                 "number of seeds to run in virtual time, from the seed of the file on; default 1"))
-                        .addOption(value("sizes", "N,N,...", "fleet sizes to measure; default 3,14,100,1000"))
-                        .addOption(value("minutes", "N", "virtual minutes for each row of false verdicts; default 60"))
-                        .addOption(value("jar", "FILE", "jar of the doorman; default doorman/target/barleyspur.jar"))
-                        .addOption(value("folder", "DIR", "folder for the logs and the report; default found/fleet"));
+                        .addOption(optionWithValue("sizes", "N,N,...", "fleet sizes to measure; default 3,14,100,1000"))
+                        .addOption(optionWithValue(
+                                "minutes", "N", "virtual minutes for each row of false verdicts; default 60"))
+                        .addOption(optionWithValue(
+                                "jar", "FILE", "jar of the doorman; default doorman/target/barleyspur.jar"))
+                        .addOption(optionWithValue(
+                                "folder", "DIR", "folder for the logs and the report; default found/fleet"));
             case "scale" ->
-                options.addOption(value("seconds", "N", "duration of each iteration; default 2"))
+                options.addOption(optionWithValue("seconds", "N", "duration of each iteration; default 2"))
                         .addOption(Option.builder()
                                 .longOpt("c1")
                                 .desc("use the C1 compiler only, as the doorman does")
                                 .get());
             case "tier-replay" ->
-                options.addOption(value("days", "N", "number of days, at least 3; default 8"))
-                        .addOption(value("requests", "N", "approximate number of requests a day; default 60000"))
-                        .addOption(value(
+                options.addOption(optionWithValue("days", "N", "number of days, at least 3; default 8"))
+                        .addOption(
+                                optionWithValue("requests", "N", "approximate number of requests a day; default 60000"))
+                        .addOption(optionWithValue(
                                 "scan",
                                 "PERCENT",
                                 "of the requests during scans for one-time objects (3.7 to 19); default 10"))
-                        .addOption(value("seed", "N", "seed of the trace; default 1"))
-                        .addOption(value("mb", "N,N,...", "sizes of the store; default 500,1000,2000,4000,8000"));
+                        .addOption(optionWithValue("seed", "N", "seed of the trace; default 1"))
+                        .addOption(optionWithValue(
+                                "mb", "N,N,...", "sizes of the store; default 500,1000,2000,4000,8000"));
             default -> {
-                System.err.println(
-                        "barleyspur-lab: " + (name.isEmpty() ? "a command is missing" : "unknown command " + name));
+                System.err.println("barleyspur-lab: "
+                        + (command.isEmpty() ? "a command is missing" : "unknown command " + command));
                 System.err.print(HELP);
                 return USAGE;
             }
         }
         try {
-            CommandLine line = new DefaultParser().parse(options, Arrays.copyOfRange(args, 1, args.length));
-            if (line.hasOption("help")) {
+            CommandLine commandLine = new DefaultParser().parse(options, Arrays.copyOfRange(args, 1, args.length));
+            if (commandLine.hasOption("help")) {
                 HelpFormatter.builder()
                         .setShowSince(false)
                         .get()
                         .printHelp(
-                                "barleyspur-lab " + name
-                                        + switch (name) {
+                                "barleyspur-lab " + command
+                                        + switch (command) {
                                             case "fleet" -> " run SCENARIO.hcl|demo|measure";
                                             case "budget" -> " run SCENARIO.hcl|measure|scale";
                                             case "check" -> " budget";
                                             default -> "";
                                         } + " [OPTIONS]",
-                                switch (name) {
+                                switch (command) {
                                     case "scale" -> "Benchmark the decision module by the number of boxes.";
                                     case "fleet" ->
                                         "Run a schedule of faults against several doormans; see docs/FLEET.md.";
@@ -154,87 +157,95 @@
                                 false);
                 return OK;
             }
-            if (name.equals("fleet")) {
-                return fleet(line);
+            if (command.equals("fleet")) {
+                return runFleet(commandLine);
             }
-            if (name.equals("budget")) {
-                return budget(line);
+            if (command.equals("budget")) {
+                return runBudget(commandLine);
             }
-            if (name.equals("check")) {
-                if (!line.getArgList().equals(List.of("budget"))) {
-                    throw new IllegalArgumentException("expected budget, not " + String.join(" ", line.getArgList()));
+            if (command.equals("check")) {
+                if (!commandLine.getArgList().equals(List.of("budget"))) {
+                    throw new IllegalArgumentException(
+                            "expected budget, not " + String.join(" ", commandLine.getArgList()));
                 }
                 return BudgetLab.check(
-                                number(line, "steps", 14, 1),
-                                number(line, "faults", 2, 0),
-                                line.getOptionValue("replay"))
+                                parseInteger(commandLine, "steps", 14, 1),
+                                parseInteger(commandLine, "faults", 2, 0),
+                                commandLine.getOptionValue("replay"))
                         ? OK
                         : FAILED;
             }
-            return name.equals("scale")
-                    ? scale(number(line, "seconds", 2, 1), line.getOptionValue("plot"), line.hasOption("c1"))
-                    : replay(line);
+            return command.equals("scale")
+                    ? runScale(
+                            parseInteger(commandLine, "seconds", 2, 1),
+                            commandLine.getOptionValue("plot"),
+                            commandLine.hasOption("c1"))
+                    : runTierReplay(commandLine);
         } catch (ParseException | IllegalArgumentException e) {
-            System.err.println("barleyspur-lab: " + e.getMessage() + "; see barleyspur-lab " + name + " --help");
+            System.err.println("barleyspur-lab: " + e.getMessage() + "; see barleyspur-lab " + command + " --help");
             return USAGE;
         }
     }
 
-    private static Option value(String name, String value, String about) {
+    private static Option optionWithValue(String name, String valueName, String description) {
         return Option.builder()
                 .longOpt(name)
                 .hasArg()
-                .argName(value)
-                .desc(about)
+                .argName(valueName)
+                .desc(description)
                 .get();
     }
 
-    private static int number(CommandLine line, String option, int otherwise, int least) {
-        return number(option, line.getOptionValue(option, Integer.toString(otherwise)), least);
+    private static int parseInteger(CommandLine commandLine, String option, int defaultValue, int minimum) {
+        return parseInteger(option, commandLine.getOptionValue(option, Integer.toString(defaultValue)), minimum);
     }
 
-    private static int number(String option, String text, int least) {
+    private static int parseInteger(String option, String text, int minimum) {
         try {
             int number = Integer.parseInt(text.strip());
-            if (number >= least) {
+            if (number >= minimum) {
                 return number;
             }
         } catch (NumberFormatException e) {
             // The exception below names the option.
         }
-        throw new IllegalArgumentException("--" + option + " is not an integer of at least " + least + ": " + text);
+        throw new IllegalArgumentException("--" + option + " is not an integer of at least " + minimum + ": " + text);
     }
 
-    private static int fleet(CommandLine line) throws IOException {
-        List<String> words = line.getArgList();
-        if (words.equals(List.of("measure"))) {
+    private static int runFleet(CommandLine commandLine) throws IOException {
+        List<String> arguments = commandLine.getArgList();
+        if (arguments.equals(List.of("measure"))) {
             List<Integer> sizes = new ArrayList<>();
-            for (String n : line.getOptionValue("sizes", "3,14,100,1000").split(",")) {
-                sizes.add(number("sizes", n, 3));
+            for (String size :
+                    commandLine.getOptionValue("sizes", "3,14,100,1000").split(",")) {
+                sizes.add(parseInteger("sizes", size, 3));
             }
             FleetMeasure.print(sizes);
-            FleetMeasure.printVerdicts(14, number(line, "minutes", 60, 1));
+            FleetMeasure.printVerdicts(14, parseInteger(commandLine, "minutes", 60, 1));
             return OK;
         }
-        if (words.equals(List.of("demo"))) {
+        if (arguments.equals(List.of("demo"))) {
             try {
-                return FleetDemo.run(jar(line), Path.of(line.getOptionValue("folder", "found/demo"))) ? OK : FAILED;
+                return FleetDemo.run(
+                                doormanJar(commandLine), Path.of(commandLine.getOptionValue("folder", "found/demo")))
+                        ? OK
+                        : FAILED;
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
                 return FAILED;
             }
         }
-        if (words.size() != 2 || !words.get(0).equals("run")) {
+        if (arguments.size() != 2 || !arguments.get(0).equals("run")) {
             throw new IllegalArgumentException(
-                    "expected run SCENARIO.hcl, demo or measure, not " + String.join(" ", words));
+                    "expected run SCENARIO.hcl, demo or measure, not " + String.join(" ", arguments));
         }
-        Path scenario = Path.of(words.get(1));
-        Path folder = Path.of(line.getOptionValue("folder", "found/fleet"));
-        int seeds = number(line, "seeds", 1, 1);
+        Path scenario = Path.of(arguments.get(1));
+        Path folder = Path.of(commandLine.getOptionValue("folder", "found/fleet"));
+        int seeds = parseInteger(commandLine, "seeds", 1, 1);
         try {
-            return (line.hasOption("virtual")
+            return (commandLine.hasOption("virtual")
                             ? FleetLab.virtual(scenario, seeds, folder)
-                            : FleetLab.real(scenario, jar(line), folder))
+                            : FleetLab.real(scenario, doormanJar(commandLine), folder))
                     ? OK
                     : FAILED;
         } catch (Hcl.Invalid e) {
@@ -243,30 +254,30 @@
         }
     }
 
-    private static int budget(CommandLine line) throws IOException {
-        List<String> words = line.getArgList();
-        if (words.equals(List.of("measure"))) {
+    private static int runBudget(CommandLine commandLine) throws IOException {
+        List<String> arguments = commandLine.getArgList();
+        if (arguments.equals(List.of("measure"))) {
             List<Integer> sizes = new ArrayList<>();
-            for (String n : line.getOptionValue("sizes", "3,14,100").split(",")) {
-                sizes.add(number("sizes", n, 3));
+            for (String size : commandLine.getOptionValue("sizes", "3,14,100").split(",")) {
+                sizes.add(parseInteger("sizes", size, 3));
             }
             BudgetLab.measure(sizes);
             return OK;
         }
-        if (words.equals(List.of("scale"))) {
-            return bench(BudgetScale.class, 1, false) == null ? FAILED : OK;
+        if (arguments.equals(List.of("scale"))) {
+            return runBenchmark(BudgetScale.class, 1, false) == null ? FAILED : OK;
         }
-        if (words.size() != 2 || !words.get(0).equals("run")) {
+        if (arguments.size() != 2 || !arguments.get(0).equals("run")) {
             throw new IllegalArgumentException(
-                    "expected run SCENARIO.hcl, measure or scale, not " + String.join(" ", words));
+                    "expected run SCENARIO.hcl, measure or scale, not " + String.join(" ", arguments));
         }
-        Path scenario = Path.of(words.get(1));
-        Path folder = Path.of(line.getOptionValue("folder", "found/budget"));
-        int seeds = number(line, "seeds", 1, 1);
+        Path scenario = Path.of(arguments.get(1));
+        Path folder = Path.of(commandLine.getOptionValue("folder", "found/budget"));
+        int seeds = parseInteger(commandLine, "seeds", 1, 1);
         try {
-            return (line.hasOption("virtual")
+            return (commandLine.hasOption("virtual")
                             ? BudgetLab.virtual(scenario, seeds, folder)
-                            : BudgetLab.real(scenario, jar(line), folder))
+                            : BudgetLab.real(scenario, doormanJar(commandLine), folder))
                     ? OK
                     : FAILED;
         } catch (Hcl.Invalid e) {
@@ -275,60 +286,62 @@
         }
     }
 
-    private static Path jar(CommandLine line) {
-        Path jar = Path.of(line.getOptionValue("jar", "doorman/target/barleyspur.jar"));
+    private static Path doormanJar(CommandLine commandLine) {
+        Path jar = Path.of(commandLine.getOptionValue("jar", "doorman/target/barleyspur.jar"));
         if (!Files.isReadable(jar)) {
             throw new IllegalArgumentException("there is no " + jar + ": build it, or specify another file with --jar");
         }
         return jar;
     }
 
-    private static int replay(CommandLine line) throws IOException {
+    private static int runTierReplay(CommandLine commandLine) throws IOException {
         List<Integer> sizes = new ArrayList<>();
-        for (String mb : line.getOptionValue("mb", "500,1000,2000,4000,8000").split(",")) {
-            sizes.add(number("mb", mb, 1));
+        for (String mb :
+                commandLine.getOptionValue("mb", "500,1000,2000,4000,8000").split(",")) {
+            sizes.add(parseInteger("mb", mb, 1));
         }
-        String plot = line.getOptionValue("plot");
-        double scan = Double.parseDouble(line.getOptionValue("scan", "10"));
-        if (!(scan >= 0 && scan <= 25)) {
-            throw new IllegalArgumentException("--scan is not from 0 to 25: " + scan);
+        String plot = commandLine.getOptionValue("plot");
+        double scanPercent = Double.parseDouble(commandLine.getOptionValue("scan", "10"));
+        if (!(scanPercent >= 0 && scanPercent <= 25)) {
+            throw new IllegalArgumentException("--scan is not from 0 to 25: " + scanPercent);
         }
         TierReplay.report(
-                number(line, "days", 8, 3),
-                number(line, "requests", 60_000, 100),
-                scan / 100,
-                number(line, "seed", 1, 0),
+                parseInteger(commandLine, "days", 8, 3),
+                parseInteger(commandLine, "requests", 60_000, 100),
+                scanPercent / 100,
+                parseInteger(commandLine, "seed", 1, 0),
                 sizes,
                 plot == null ? null : Path.of(plot));
         return OK;
     }
 
-    private static int scale(int seconds, String plot, boolean firstCompiler) throws IOException {
-        Collection<RunResult> results = bench(DecisionScale.class, seconds, firstCompiler);
+    private static int runScale(int secondsPerIteration, String plot, boolean firstCompiler) throws IOException {
+        Collection<RunResult> results = runBenchmark(DecisionScale.class, secondsPerIteration, firstCompiler);
         if (results == null) {
             return FAILED;
         }
         if (plot != null) {
-            plot(results, Path.of(plot));
+            writePlot(results, Path.of(plot));
         }
         return OK;
     }
 
     /** Runs a benchmark, which prints its results; returns them, or null if it failed. */
-    private static Collection<RunResult> bench(Class<?> benchmark, int seconds, boolean firstCompiler) {
-        List<String> jvm = new ArrayList<>(List.of("-XX:+UseSerialGC", "-Xmx512m"));
+    private static Collection<RunResult> runBenchmark(
+            Class<?> benchmark, int secondsPerIteration, boolean firstCompiler) {
+        List<String> jvmArguments = new ArrayList<>(List.of("-XX:+UseSerialGC", "-Xmx512m"));
         if (firstCompiler) {
-            jvm.add("-XX:TieredStopAtLevel=1");
+            jvmArguments.add("-XX:TieredStopAtLevel=1");
         }
         ChainedOptionsBuilder options = new OptionsBuilder()
                 .include(benchmark.getSimpleName())
                 .forks(1)
                 .warmupIterations(2)
-                .warmupTime(TimeValue.seconds(seconds))
+                .warmupTime(TimeValue.seconds(secondsPerIteration))
                 .measurementIterations(3)
-                .measurementTime(TimeValue.seconds(seconds))
+                .measurementTime(TimeValue.seconds(secondsPerIteration))
                 .addProfiler("gc")
-                .jvmArgs(jvm.toArray(String[]::new));
+                .jvmArgs(jvmArguments.toArray(String[]::new));
         try {
             return new Runner(options.build()).run();
         } catch (RunnerException e) {
@@ -337,7 +350,7 @@
         }
     }
 
-    private static void plot(Collection<RunResult> results, Path file) throws IOException {
+    private static void writePlot(Collection<RunResult> results, Path file) throws IOException {
         XYChart chart = new XYChartBuilder()
                 .width(900)
                 .height(500)
@@ -346,16 +359,16 @@
                 .yAxisTitle("microseconds")
                 .build();
         chart.getStyler().setXAxisLogarithmic(true).setYAxisLogarithmic(true);
-        for (String what : List.of("full", "delta", "requestWithOutcome")) {
+        for (String operation : List.of("full", "delta", "requestWithOutcome")) {
             List<Double> boxes = new ArrayList<>();
             List<Double> micros = new ArrayList<>();
-            for (RunResult r : results) {
-                if (r.getParams().getBenchmark().endsWith("." + what)) {
-                    boxes.add(Double.parseDouble(r.getParams().getParam("boxes")));
-                    micros.add(r.getPrimaryResult().getScore());
+            for (RunResult result : results) {
+                if (result.getParams().getBenchmark().endsWith("." + operation)) {
+                    boxes.add(Double.parseDouble(result.getParams().getParam("boxes")));
+                    micros.add(result.getPrimaryResult().getScore());
                 }
             }
-            chart.addSeries(what, boxes, micros);
+            chart.addSeries(operation, boxes, micros);
         }
         BitmapEncoder.saveBitmap(chart, file.toString(), BitmapEncoder.BitmapFormat.PNG);
         System.out.println("plot: " + file);
--- a/lab/src/main/java/barleyspur/lab/TierReplay.java
+++ b/lab/src/main/java/barleyspur/lab/TierReplay.java
@@ -22,68 +22,69 @@
     /** Days at the start of the trace that fill the empty store and are excluded from the hit ratios. */
     private static final int WARM_UP_DAYS = 2;
 
-    private static final int HISTORY = 200_000;
+    private static final int HISTORY_OBJECTS = 200_000;
 
     /**
      * Hit ratios from 0 to 1.
      *
-     * @param requests by the number of requests
-     * @param bytes by bytes
-     * @param morning by the number of requests, from 6:30 to 9:30 only
+     * @param byRequests by the number of requests
+     * @param byBytes by bytes
+     * @param inMornings by the number of requests, from 6:30 to 9:30 only
      */
-    record Ratio(double requests, double bytes, double morning) {}
+    record HitRatios(double byRequests, double byBytes, double inMornings) {}
 
     private TierReplay() {}
 
     static Map<String, LongFunction<RetentionPolicy>> policies() {
         Map<String, LongFunction<RetentionPolicy>> policies = new LinkedHashMap<>();
-        policies.put("lru", Keepers.Lru::new);
-        policies.put("aged lfu", Keepers.AgedLfu::new);
-        policies.put("s3-fifo", Keepers.S3Fifo::new);
-        policies.put("w-tinylfu", Keepers.Tiny::new);
-        policies.put("recurrent", kb -> new RecurrencePolicy(kb, HISTORY, 5));
+        policies.put("lru", BaselinePolicies.Lru::new);
+        policies.put("aged lfu", BaselinePolicies.AgedLfu::new);
+        policies.put("s3-fifo", BaselinePolicies.S3Fifo::new);
+        policies.put("w-tinylfu", BaselinePolicies.WTinyLfu::new);
+        policies.put("recurrent", kb -> new RecurrencePolicy(kb, HISTORY_OBJECTS, 5));
         return policies;
     }
 
     /** Replays a trace through one policy and returns its hit ratios. */
-    static Ratio replay(TierTrace t, RetentionPolicy keeper) {
-        Count count = new Count();
-        for (int i = 0; i < t.size(); i++) {
-            boolean hit = keeper.recordRequest(t.object[i], t.part[i], t.kb[i], t.atMs[i]);
+    static HitRatios replay(SyntheticTrace trace, RetentionPolicy policy) {
+        HitCounter counter = new HitCounter();
+        for (int i = 0; i < trace.size(); i++) {
+            boolean hit = policy.recordRequest(trace.objects[i], trace.parts[i], trace.sizesKb[i], trace.timesMs[i]);
             if (!hit) {
-                keeper.admit(t.object[i], t.part[i], t.kb[i], t.atMs[i], (object, part) -> {});
+                policy.admit(
+                        trace.objects[i], trace.parts[i], trace.sizesKb[i], trace.timesMs[i], (object, part) -> {});
             }
-            count.add(t, i, hit);
+            counter.add(trace, i, hit);
         }
-        return count.ratio();
+        return counter.hitRatios();
     }
 
-    private static final class Count {
-        private long asked;
+    private static final class HitCounter {
+        private long requests;
         private long hits;
-        private double askedKb;
+        private double requestedKb;
         private double hitKb;
-        private long morning;
+        private long morningRequests;
         private long morningHits;
 
-        void add(TierTrace t, int i, boolean hit) {
-            if (t.atMs[i] < WARM_UP_DAYS * TierTrace.DAY_MS) {
+        void add(SyntheticTrace trace, int index, boolean hit) {
+            if (trace.timesMs[index] < WARM_UP_DAYS * SyntheticTrace.DAY_MS) {
                 return;
             }
-            double hour = t.atMs[i] % TierTrace.DAY_MS / 3_600_000;
-            boolean early = hour >= 6.5 && hour < 9.5;
-            asked++;
-            askedKb += t.kb[i];
-            morning += early ? 1 : 0;
+            double hour = trace.timesMs[index] % SyntheticTrace.DAY_MS / 3_600_000;
+            boolean inMorning = hour >= 6.5 && hour < 9.5;
+            requests++;
+            requestedKb += trace.sizesKb[index];
+            morningRequests += inMorning ? 1 : 0;
             if (hit) {
                 hits++;
-                hitKb += t.kb[i];
-                morningHits += early ? 1 : 0;
+                hitKb += trace.sizesKb[index];
+                morningHits += inMorning ? 1 : 0;
             }
         }
 
-        Ratio ratio() {
-            return new Ratio((double) hits / asked, hitKb / askedKb, (double) morningHits / morning);
+        HitRatios hitRatios() {
+            return new HitRatios((double) hits / requests, hitKb / requestedKb, (double) morningHits / morningRequests);
         }
     }
 
@@ -92,57 +93,63 @@
      * admit a part whose next request is later than that of all parts it would evict (Belady 1966, with bypass). As
      * the parts differ in size, this is not a strict upper bound but close to one.
      */
-    static Ratio bound(TierTrace t, long mostKb) {
-        int[] next = new int[t.size()];
-        Map<Keepers.Part, Integer> seen = new HashMap<>();
-        for (int i = t.size() - 1; i >= 0; i--) {
-            Keepers.Part p = new Keepers.Part(t.object[i], t.part[i]);
-            Integer later = seen.put(p, i);
-            next[i] = later == null ? Integer.MAX_VALUE : later;
+    static HitRatios beladyBound(SyntheticTrace trace, long capacityKb) {
+        int[] nextUses = new int[trace.size()];
+        Map<BaselinePolicies.PartKey, Integer> nextUseByPart = new HashMap<>();
+        for (int i = trace.size() - 1; i >= 0; i--) {
+            BaselinePolicies.PartKey key = new BaselinePolicies.PartKey(trace.objects[i], trace.parts[i]);
+            Integer nextUse = nextUseByPart.put(key, i);
+            nextUses[i] = nextUse == null ? Integer.MAX_VALUE : nextUse;
         }
         // A kept part is identified by the index of its next request, which is unique.
-        TreeSet<Integer> kept = new TreeSet<>();
-        Map<Integer, Integer> sizes = new HashMap<>();
+        TreeSet<Integer> keptNextUses = new TreeSet<>();
+        Map<Integer, Integer> sizeKbByNextUse = new HashMap<>();
         long keptKb = 0;
-        Count count = new Count();
-        for (int i = 0; i < t.size(); i++) {
-            boolean hit = kept.remove(i);
+        HitCounter counter = new HitCounter();
+        for (int i = 0; i < trace.size(); i++) {
+            boolean hit = keptNextUses.remove(i);
             if (hit) {
-                keptKb -= sizes.remove(i);
+                keptKb -= sizeKbByNextUse.remove(i);
             }
-            count.add(t, i, hit);
-            if (next[i] == Integer.MAX_VALUE || t.kb[i] > mostKb) {
+            counter.add(trace, i, hit);
+            if (nextUses[i] == Integer.MAX_VALUE || trace.sizesKb[i] > capacityKb) {
                 continue;
             }
-            kept.add(next[i]);
-            sizes.put(next[i], t.kb[i]);
-            keptKb += t.kb[i];
-            while (keptKb > mostKb) {
-                keptKb -= sizes.remove(kept.pollLast());
+            keptNextUses.add(nextUses[i]);
+            sizeKbByNextUse.put(nextUses[i], trace.sizesKb[i]);
+            keptKb += trace.sizesKb[i];
+            while (keptKb > capacityKb) {
+                keptKb -= sizeKbByNextUse.remove(keptNextUses.pollLast());
             }
         }
-        return count.ratio();
+        return counter.hitRatios();
     }
 
     /** Prints a table of the hit ratios, and writes a plot of them unless {@code plot} is null. */
-    static void report(int days, int perDay, double scan, long seed, List<Integer> sizesMb, Path plot)
+    static void report(int days, int requestsPerDay, double scanShare, long seed, List<Integer> sizesMb, Path plot)
             throws IOException {
         System.err.println("generating a trace of " + days + " days");
-        TierTrace t = TierTrace.draw(days, perDay, scan, seed);
+        SyntheticTrace trace = SyntheticTrace.generate(days, requestsPerDay, scanShare, seed);
         System.out.printf(
-                Locale.ROOT, "%d requests in %d days, scans of %.1f%%, seed %d%n", t.size(), days, 100 * scan, seed);
+                Locale.ROOT,
+                "%d requests in %d days, scans of %.1f%%, seed %d%n",
+                trace.size(),
+                days,
+                100 * scanShare,
+                seed);
         System.out.println("MB     policy      hits by requests  by bytes  of the mornings  us a request");
-        Map<String, List<Double>> lines = new LinkedHashMap<>();
+        Map<String, List<Double>> series = new LinkedHashMap<>();
         for (int mb : sizesMb) {
-            for (Map.Entry<String, LongFunction<RetentionPolicy>> p : policies().entrySet()) {
-                long start = System.nanoTime();
-                Ratio r = replay(t, p.getValue().apply(mb * 1_000L));
-                print(mb, p.getKey(), r, (System.nanoTime() - start) / 1e3 / t.size());
-                lines.computeIfAbsent(p.getKey(), k -> new ArrayList<>()).add(r.requests());
+            for (Map.Entry<String, LongFunction<RetentionPolicy>> policy :
+                    policies().entrySet()) {
+                long startNanos = System.nanoTime();
+                HitRatios ratios = replay(trace, policy.getValue().apply(mb * 1_000L));
+                printRow(mb, policy.getKey(), ratios, (System.nanoTime() - startNanos) / 1e3 / trace.size());
+                series.computeIfAbsent(policy.getKey(), k -> new ArrayList<>()).add(ratios.byRequests());
             }
-            Ratio bound = bound(t, mb * 1_000L);
-            print(mb, "belady", bound, Double.NaN);
-            lines.computeIfAbsent("belady", k -> new ArrayList<>()).add(bound.requests());
+            HitRatios belady = beladyBound(trace, mb * 1_000L);
+            printRow(mb, "belady", belady, Double.NaN);
+            series.computeIfAbsent("belady", k -> new ArrayList<>()).add(belady.byRequests());
         }
         if (plot != null) {
             XYChart chart = new XYChartBuilder()
@@ -154,21 +161,21 @@
                     .build();
             chart.getStyler().setXAxisLogarithmic(true);
             List<Double> xs = sizesMb.stream().map(Integer::doubleValue).toList();
-            lines.forEach((name, ys) -> chart.addSeries(name, xs, ys));
+            series.forEach((name, ys) -> chart.addSeries(name, xs, ys));
             BitmapEncoder.saveBitmap(chart, plot.toString(), BitmapEncoder.BitmapFormat.PNG);
             System.out.println("plot: " + plot);
         }
     }
 
-    private static void print(int mb, String policy, Ratio r, double micros) {
+    private static void printRow(int mb, String policy, HitRatios ratios, double microsPerRequest) {
         System.out.printf(
                 Locale.ROOT,
                 "%-6d %-11s %16.3f %9.3f %16.3f %s%n",
                 mb,
                 policy,
-                r.requests(),
-                r.bytes(),
-                r.morning(),
-                Double.isNaN(micros) ? "" : String.format(Locale.ROOT, "%13.2f", micros));
+                ratios.byRequests(),
+                ratios.byBytes(),
+                ratios.inMornings(),
+                Double.isNaN(microsPerRequest) ? "" : String.format(Locale.ROOT, "%13.2f", microsPerRequest));
     }
 }
--- a/lab/src/main/java/barleyspur/lab/fleet/BudgetFleet.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/BudgetFleet.java
@@ -2,11 +2,11 @@
 
 import barleyspur.budget.BudgetConfig;
 import barleyspur.budget.BudgetKind;
+import barleyspur.lab.stand.ArrivalMeter;
+import barleyspur.lab.stand.FakeBoxes;
+import barleyspur.lab.stand.FakeCommandChannel;
+import barleyspur.lab.stand.LoadGenerator;
 import barleyspur.lab.stand.NodeList;
-import barleyspur.lab.stand.StandBoxes;
-import barleyspur.lab.stand.StandChannel;
-import barleyspur.lab.stand.StandClients;
-import barleyspur.lab.stand.Tally;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -48,7 +48,7 @@
             BudgetWatch shares,
             List<String> broken,
             List<Double> times,
-            Map<String, Tally> boxes,
+            Map<String, ArrivalMeter> boxes,
             List<String> rows,
             long young,
             List<RealFleet.Struck> struck,
@@ -65,27 +65,27 @@
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         String network =
                 "127." + (20 + ProcessHandle.current().pid() % 200) + "." + (252 - PLAYS.getAndIncrement() % 40) + ".";
-        double[] rates = new double[StandBoxes.Kind.values().length];
+        double[] rates = new double[FakeBoxes.Kind.values().length];
         for (BudgetConfig.Budget b : use.terms().budgets().values()) {
             if (b.kind() == BudgetKind.RATE) {
                 rates[kind(use.at().get(b.name())).ordinal()] = b.capacity();
             }
         }
-        StandBoxes boxes = new StandBoxes(group, "record", (int) use.hitMs(), rates);
+        FakeBoxes boxes = new FakeBoxes(group, "record", (int) use.hitMs(), rates);
         Map<String, InetSocketAddress> addresses = new TreeMap<>();
         NodeList nodes = new NodeList();
         long bootMs = System.currentTimeMillis() + (long) use.coldMs();
         for (int i = 0; i < use.caches() + PARENTS + 1; i++) {
-            StandBoxes.Kind kind = i < use.caches()
-                    ? StandBoxes.Kind.CACHE
-                    : i < use.caches() + PARENTS ? StandBoxes.Kind.PARENT : StandBoxes.Kind.ORIGIN;
+            FakeBoxes.Kind kind = i < use.caches()
+                    ? FakeBoxes.Kind.CACHE
+                    : i < use.caches() + PARENTS ? FakeBoxes.Kind.PARENT : FakeBoxes.Kind.ORIGIN;
             InetSocketAddress at = new InetSocketAddress(network + (i + 1), PORT);
             boxes.listen(at, kind);
             addresses.put("s-" + i, at);
-            nodes.add(NodeList.node("s-" + i, at, kind, i % 2, 64, i == 0 && use.coldMs() > 0 ? bootMs : 0));
+            nodes.add(NodeList.describe("s-" + i, at, kind, i % 2, 64, i == 0 && use.coldMs() > 0 ? bootMs : 0));
         }
         InetSocketAddress channel = new InetSocketAddress(network + "100", PORT);
-        StandChannel.listen(group, channel, 1);
+        FakeCommandChannel.listen(group, channel, 1);
         List<Double> times;
         List<String> rows;
         BudgetWatch shares;
@@ -95,14 +95,14 @@
         double endMs;
         double anewMs;
         long young;
-        Map<String, Tally> tallies = new TreeMap<>();
-        addresses.forEach((uid, at) -> tallies.put(uid, boxes.tally(at)));
+        Map<String, ArrivalMeter> tallies = new TreeMap<>();
+        addresses.forEach((uid, at) -> tallies.put(uid, boxes.meter(at)));
         try (RealFleet fleet = new RealFleet(schedule, views, jar, folder, progress)) {
             BudgetConfig terms = use.terms(fleet.advertised());
             shares = new BudgetWatch(terms);
             fleet.budgets(settings(terms, use), shares);
             fleet.configure(json -> {
-                json.put("channel", channel.getHostString() + ":" + PORT).put("known", nodes.known());
+                json.put("channel", channel.getHostString() + ":" + PORT).put("known", nodes.initialState());
                 json.getJSONObject("settings")
                         .getJSONObject("familyInfo")
                         .put("zoneBalancers", new JSONArray().put(schedule.started()));
@@ -112,23 +112,23 @@
             for (int slot = 0; slot < schedule.slots(); slot++) {
                 fronts.add(fleet.front(slot));
             }
-            StandClients clients = new StandClients(
+            LoadGenerator clients = new LoadGenerator(
                     group,
                     List.of(
-                            new StandClients.Class("parts", 0.7, 600, 4_000),
-                            new StandClients.Class("files", 0.2, 300, 2_500),
-                            new StandClients.Class("record", 0.1, 700, 3_000)),
+                            new LoadGenerator.RequestClass("parts", 0.7, 600, 4_000),
+                            new LoadGenerator.RequestClass("files", 0.2, 300, 2_500),
+                            new LoadGenerator.RequestClass("record", 0.1, 700, 3_000)),
                     fronts,
                     schedule.seed());
             clients.start(use.perS(), (slot, now) -> use.perS(slot, schedule.started(), now) / use.perS());
             // Doormans read the wall clock at their starts, each a little otherwise.
-            tallies.get("s-0").watch(bootMs + CLOCKS_MS, bootMs + (long) youngMs(use) - CLOCKS_MS);
+            tallies.get("s-0").setWindow(bootMs + CLOCKS_MS, bootMs + (long) youngMs(use) - CLOCKS_MS);
             times = fleet.play();
             anewMs = untilAnew(fleet, shares, terms);
             endMs = fleet.nowMs();
             struck = fleet.struck();
             traffic = fleet.traffic();
-            rows = clients.rows();
+            rows = clients.takeRows();
             Map<String, Long> wholes = new TreeMap<>();
             for (RealFleet.Struck s : struck) {
                 if (s.fault() instanceof Fault.Whole w) {
@@ -148,13 +148,13 @@
             }
             broken = new ArrayList<>(views.broken());
             broken.addAll(shares.broken());
-            young = tallies.get("s-0").watched();
+            young = tallies.get("s-0").arrivalsInWindow();
             judge(use, tallies, young, broken);
         } finally {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
         }
-        if (!boxes.runsTwice().startsWith("0 ")) {
-            broken.add("runs at most once: " + boxes.runsTwice() + " ran twice");
+        if (!boxes.duplicateRuns().startsWith("0 ")) {
+            broken.add("runs at most once: " + boxes.duplicateRuns() + " ran twice");
         }
         if (Double.isInfinite(anewMs)) {
             broken.add("divided anew: not within " + PATIENCE_MS + " ms after the last fault");
@@ -183,8 +183,8 @@
         return Double.POSITIVE_INFINITY;
     }
 
-    private static StandBoxes.Kind kind(String model) {
-        return StandBoxes.Kind.valueOf(model.toUpperCase(Locale.ROOT));
+    private static FakeBoxes.Kind kind(String model) {
+        return FakeBoxes.Kind.valueOf(model.toUpperCase(Locale.ROOT));
     }
 
     /** How long a box that has just started is young: as long as an amount lasts. */
@@ -218,19 +218,20 @@
     }
 
     /** What the boxes counted, against the wholes; a whole that was changed is judged by its largest. */
-    private static void judge(Schedule.Use use, Map<String, Tally> tallies, long young, List<String> broken) {
+    private static void judge(Schedule.Use use, Map<String, ArrivalMeter> tallies, long young, List<String> broken) {
         for (BudgetConfig.Budget b : use.terms().budgets().values()) {
-            for (Map.Entry<String, Tally> e : tallies.entrySet()) {
+            for (Map.Entry<String, ArrivalMeter> e : tallies.entrySet()) {
                 int at = Integer.parseInt(e.getKey().substring(2));
                 String model = at < use.caches() ? "cache" : at < use.caches() + PARENTS ? "parent" : "origin";
-                Tally t = e.getValue();
+                ArrivalMeter t = e.getValue();
                 if (!model.equals(use.at().get(b.name()))) {
                     continue;
                 }
-                if (b.kind() == BudgetKind.PLACES && t.mostAtOnce() > b.capacity()) {
-                    broken.add("at the box: " + e.getKey() + " had " + t.mostAtOnce() + " at once of " + b.capacity());
-                } else if (b.kind() == BudgetKind.RATE && t.mostSurelyOverRate() > b.burst() + 1e-6) {
-                    broken.add("at the box: " + e.getKey() + " got " + t.mostSurelyOverRate()
+                if (b.kind() == BudgetKind.PLACES && t.peakConcurrency() > b.capacity()) {
+                    broken.add("at the box: " + e.getKey() + " had " + t.peakConcurrency() + " at once of "
+                            + b.capacity());
+                } else if (b.kind() == BudgetKind.RATE && t.maxOverRateWithoutStalls() > b.burst() + 1e-6) {
+                    broken.add("at the box: " + e.getKey() + " got " + t.maxOverRateWithoutStalls()
                             + " over its rate, the burst is " + b.burst());
                 } else if (b.kind() == BudgetKind.AMOUNT && at == 0 && young > b.capacity()) {
                     broken.add("at the box: " + e.getKey() + " got " + young + " while young of " + b.capacity());
--- a/lab/src/main/java/barleyspur/lab/fleet/BudgetLab.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/BudgetLab.java
@@ -37,9 +37,9 @@
                             Locale.ROOT,
                             "%-6s %6d arrived, %3d at once at most, %.1f over its " + "rate at most%n",
                             uid,
-                            t.arrived(),
-                            t.mostAtOnce(),
-                            t.mostOverRate()));
+                            t.arrivals(),
+                            t.peakConcurrency(),
+                            t.maxOverRate()));
             System.out.printf(
                     Locale.ROOT,
                     "divided anew %.1f s after the last fault; a process began to divide %d times%n",
@@ -98,9 +98,9 @@
         r.boxes()
                 .forEach((uid, t) -> boxes.put(new JSONObject()
                         .put("box", uid)
-                        .put("arrived", t.arrived())
-                        .put("most_at_once", t.mostAtOnce())
-                        .put("most_over_rate", t.mostOverRate())));
+                        .put("arrived", t.arrivals())
+                        .put("most_at_once", t.peakConcurrency())
+                        .put("most_over_rate", t.maxOverRate())));
         StringBuilder struck = new StringBuilder();
         r.struck()
                 .forEach(s -> struck.append(String.format(
--- a/lab/src/main/java/barleyspur/lab/fleet/FleetDemo.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/FleetDemo.java
@@ -1,9 +1,9 @@
 package barleyspur.lab.fleet;
 
+import barleyspur.lab.stand.FakeBoxes;
+import barleyspur.lab.stand.FakeCommandChannel;
+import barleyspur.lab.stand.LoadGenerator;
 import barleyspur.lab.stand.NodeList;
-import barleyspur.lab.stand.StandBoxes;
-import barleyspur.lab.stand.StandChannel;
-import barleyspur.lab.stand.StandClients;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -43,20 +43,20 @@
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         String network = "127." + (20 + ProcessHandle.current().pid() % 200) + ".250.";
         InetSocketAddress channel = new InetSocketAddress(network + "100", PORT);
-        StandBoxes boxes = new StandBoxes(group, "record");
+        FakeBoxes boxes = new FakeBoxes(group, "record");
         NodeList nodes = new NodeList();
         for (int i = 0; i < CACHES + PARENTS + 1; i++) {
-            StandBoxes.Kind kind = i < CACHES
-                    ? StandBoxes.Kind.CACHE
-                    : i < CACHES + PARENTS ? StandBoxes.Kind.PARENT : StandBoxes.Kind.ORIGIN;
+            FakeBoxes.Kind kind = i < CACHES
+                    ? FakeBoxes.Kind.CACHE
+                    : i < CACHES + PARENTS ? FakeBoxes.Kind.PARENT : FakeBoxes.Kind.ORIGIN;
             InetSocketAddress at = new InetSocketAddress(network + (i + 1), PORT);
             boxes.listen(at, kind);
-            nodes.add(NodeList.node("s-" + i, at, kind, i % 2, 4, 0));
+            nodes.add(NodeList.describe("s-" + i, at, kind, i % 2, 4, 0));
         }
-        StandChannel.listen(group, channel, 1);
+        FakeCommandChannel.listen(group, channel, 1);
         try (RealFleet fleet = new RealFleet(schedule, watch, jar, folder, System.out::println)) {
             fleet.configure(json -> {
-                json.put("channel", channel.getHostString() + ":" + PORT).put("known", nodes.known());
+                json.put("channel", channel.getHostString() + ":" + PORT).put("known", nodes.initialState());
                 json.getJSONObject("settings")
                         .getJSONObject("familyInfo")
                         .put("zoneBalancers", new JSONArray().put(DOORMANS));
@@ -66,25 +66,25 @@
             for (int i = 0; i < DOORMANS; i++) {
                 fronts.add(fleet.front(i));
             }
-            StandClients clients = new StandClients(
+            LoadGenerator clients = new LoadGenerator(
                     group,
                     List.of(
-                            new StandClients.Class("parts", 0.55, 600, 6_000),
-                            new StandClients.Class("files", 0.41, 300, 2_500),
-                            new StandClients.Class("record", 0.04, 700, 3_000)),
+                            new LoadGenerator.RequestClass("parts", 0.55, 600, 6_000),
+                            new LoadGenerator.RequestClass("files", 0.41, 300, 2_500),
+                            new LoadGenerator.RequestClass("record", 0.04, 700, 3_000)),
                     fronts,
                     1);
             clients.start(REQUESTS_PER_S);
             fleet.every(ROW_MS, () -> {
                 System.out.println("             views: " + fleet.sizes());
-                clients.rows().forEach(r -> System.out.println("             " + r));
+                clients.takeRows().forEach(r -> System.out.println("             " + r));
             });
             fleet.play();
-            System.out.println("requests that must not run twice and did: " + boxes.runsTwice()
+            System.out.println("requests that must not run twice and did: " + boxes.duplicateRuns()
                     + "; attempts at boxes: " + boxes.attempts());
         } finally {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
         }
-        return FleetLab.judge(watch.broken()) && boxes.runsTwice().startsWith("0 ");
+        return FleetLab.judge(watch.broken()) && boxes.duplicateRuns().startsWith("0 ");
     }
 }
--- a/lab/src/main/java/barleyspur/lab/fleet/RealFleet.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/RealFleet.java
@@ -1,7 +1,7 @@
 package barleyspur.lab.fleet;
 
 import barleyspur.lab.ProcessSignal;
-import barleyspur.lab.stand.StandChannel;
+import barleyspur.lab.stand.FakeCommandChannel;
 import java.io.IOException;
 import java.io.RandomAccessFile;
 import java.io.UncheckedIOException;
@@ -158,7 +158,7 @@
         Runtime.getRuntime().addShutdownHook(hook);
         relays = new Relays(new Links(schedule.slots(), schedule.seed() + 1), fronts, behind);
         channel = new InetSocketAddress(network + "251.1", CHANNEL);
-        StandChannel.listen(relays.group(), channel, 0);
+        FakeCommandChannel.listen(relays.group(), channel, 0);
     }
 
     private String host(int slot) {
--- a/lab/src/main/java/barleyspur/lab/stand/StandBoxes.java
+++ b/lab/src/main/java/barleyspur/lab/stand/FakeBoxes.java
@@ -25,7 +25,7 @@
  * request at the head office 40 ms. Runs of requests that must not run twice are counted by request id, so that
  * duplicates are found.
  */
-public final class StandBoxes {
+public final class FakeBoxes {
 
     /** The kind of a box, in the order in which the settings number the flavors. */
     public enum Kind {
@@ -34,51 +34,51 @@
         ORIGIN
     }
 
-    private static final int BODY = 2_000;
-    private static final int KEEPS = 5_000;
+    private static final int BODY_BYTES = 2_000;
+    private static final int CAPACITY_PARTS = 5_000;
     private static final int HIT_MS = 3;
     private static final int FILL_MS = 30;
     private static final int ORIGIN_MS = 40;
 
     private static final double NANOS_PER_MS = 1e6;
-    private static final int LOOK_MS = 5;
+    private static final int STALL_CHECK_MS = 5;
 
     private final EventLoopGroup group;
-    private final String onceClass;
+    private final String nonIdempotentClass;
     private final int hitMs;
-    private final double[] rates;
-    private final Map<InetSocketAddress, Tally> tallies = new ConcurrentHashMap<>();
-    private double lookedMs = now();
+    private final double[] ratesPerS;
+    private final Map<InetSocketAddress, ArrivalMeter> meters = new ConcurrentHashMap<>();
+    private double lastStallCheckMs = nowMs();
     private double stalledMs;
     private double stalledAtMs;
-    private final Map<String, Integer> runs = new HashMap<>();
-    private long attempts;
+    private final Map<String, Integer> runsByRequest = new HashMap<>();
+    private long attemptCount;
 
     /**
      * Creates a station without any box yet, which measures no rates.
      *
-     * @param onceClass the class whose requests must not run twice
+     * @param nonIdempotentClass the class whose requests must not run twice
      */
-    public StandBoxes(EventLoopGroup group, String onceClass) {
-        this(group, onceClass, HIT_MS, new double[Kind.values().length]);
+    public FakeBoxes(EventLoopGroup group, String nonIdempotentClass) {
+        this(group, nonIdempotentClass, HIT_MS, new double[Kind.values().length]);
     }
 
     /**
      * Creates a station without any box yet.
      *
-     * @param onceClass the class whose requests must not run twice
+     * @param nonIdempotentClass the class whose requests must not run twice
      * @param hitMs how long a hit takes
-     * @param rates the rate in attempts a second, by kind, whose excess is measured; 0 where none is
+     * @param ratesPerS the rate in attempts a second, by kind, whose excess is measured; 0 where none is
      */
-    public StandBoxes(EventLoopGroup group, String onceClass, int hitMs, double[] rates) {
+    public FakeBoxes(EventLoopGroup group, String nonIdempotentClass, int hitMs, double[] ratesPerS) {
         this.group = group;
-        this.onceClass = onceClass;
+        this.nonIdempotentClass = nonIdempotentClass;
         this.hitMs = hitMs;
-        this.rates = rates.clone();
-        group.next().scheduleAtFixedRate(this::look, LOOK_MS, LOOK_MS, TimeUnit.MILLISECONDS);
+        this.ratesPerS = ratesPerS.clone();
+        group.next().scheduleAtFixedRate(this::checkForStall, STALL_CHECK_MS, STALL_CHECK_MS, TimeUnit.MILLISECONDS);
     }
 
-    private static double now() {
+    private static double nowMs() {
         return System.nanoTime() / NANOS_PER_MS;
     }
 
@@ -86,38 +86,38 @@
      * Records for how long this process was not scheduled: attempts that arrived in the meantime are read all at once
      * and look like a burst.
      */
-    private void look() {
-        double now = now();
-        double late = now - lookedMs - LOOK_MS;
-        if (late > LOOK_MS && (late > stalledMs || now - stalledAtMs > 1_000)) {
-            stalledMs = late;
-            stalledAtMs = now;
-        } else if (now - stalledAtMs > 1_000) {
+    private void checkForStall() {
+        double nowMs = nowMs();
+        double delayMs = nowMs - lastStallCheckMs - STALL_CHECK_MS;
+        if (delayMs > STALL_CHECK_MS && (delayMs > stalledMs || nowMs - stalledAtMs > 1_000)) {
+            stalledMs = delayMs;
+            stalledAtMs = nowMs;
+        } else if (nowMs - stalledAtMs > 1_000) {
             stalledMs = 0;
         }
-        lookedMs = now;
+        lastStallCheckMs = nowMs;
     }
 
     /** Returns for how long at most an attempt that is read now may have waited for this process. */
-    private double waitedMs() {
-        return Math.max(stalledMs, now() - lookedMs) + LOOK_MS;
+    private double maxDelayMs() {
+        return Math.max(stalledMs, nowMs() - lastStallCheckMs) + STALL_CHECK_MS;
     }
 
     /** Returns the meter of one box. */
-    public Tally tally(InetSocketAddress address) {
-        return tallies.get(address);
+    public ArrivalMeter meter(InetSocketAddress address) {
+        return meters.get(address);
     }
 
     /** Starts a box that listens at this address. */
     public void listen(InetSocketAddress address, Kind kind) throws InterruptedException {
-        Tally tally = new Tally(rates[kind.ordinal()]);
-        tallies.put(address, tally);
-        Map<String, Boolean> kept = new LinkedHashMap<>(16, 0.75f, true) {
+        ArrivalMeter meter = new ArrivalMeter(ratesPerS[kind.ordinal()]);
+        meters.put(address, meter);
+        Map<String, Boolean> keptParts = new LinkedHashMap<>(16, 0.75f, true) {
             private static final long serialVersionUID = 1L;
 
             @Override
             protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
-                return size() > KEEPS;
+                return size() > CAPACITY_PARTS;
             }
         };
         new ServerBootstrap()
@@ -126,23 +126,23 @@
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new RespDecoder(), new Box(kind, kept, tally));
+                        channel.pipeline().addLast(new RespDecoder(), new BoxHandler(kind, keptParts, meter));
                     }
                 })
                 .bind(address)
                 .sync();
     }
 
-    private final class Box extends SimpleChannelInboundHandler<RespDecoder.Message> {
+    private final class BoxHandler extends SimpleChannelInboundHandler<RespDecoder.Message> {
         private final Kind kind;
-        private final Map<String, Boolean> kept;
-        private final Tally tally;
+        private final Map<String, Boolean> keptParts;
+        private final ArrivalMeter meter;
         private final Set<String> cancelled = new HashSet<>();
 
-        Box(Kind kind, Map<String, Boolean> kept, Tally tally) {
-            this.tally = tally;
+        BoxHandler(Kind kind, Map<String, Boolean> keptParts, ArrivalMeter meter) {
+            this.meter = meter;
             this.kind = kind;
-            this.kept = kept;
+            this.keptParts = keptParts;
         }
 
         @Override
@@ -150,60 +150,62 @@
             if (message.body() != null) {
                 message.body().release();
             }
-            String word = message.strings().get(0);
-            if (word.equals("cancel")) {
+            String command = message.strings().get(0);
+            if (command.equals("cancel")) {
                 cancelled.add(message.strings().get(1));
-            } else if (word.equals("serve")) {
+            } else if (command.equals("serve")) {
                 serve(ctx, message.strings().get(1), message.strings().get(2));
             }
         }
 
         private void serve(ChannelHandlerContext ctx, String id, String fields) {
-            Map<String, String> f = new HashMap<>();
+            Map<String, String> fieldByName = new HashMap<>();
             for (String field : fields.split(",")) {
-                int at = field.indexOf('=');
-                f.put(field.substring(0, Math.max(0, at)), field.substring(at + 1));
+                int separator = field.indexOf('=');
+                fieldByName.put(field.substring(0, Math.max(0, separator)), field.substring(separator + 1));
             }
-            attempts++;
-            tally.arrives(now(), waitedMs());
-            boolean once = onceClass.equals(f.get("class"));
-            String part = f.get("key") + "/" + f.get("part");
-            boolean held = kind != Kind.ORIGIN && !once && kept.get(part) != null;
-            if (kind == Kind.CACHE && !held && f.get("parent") == null) {
-                answer(ctx, id, "LACK", "-", 0, hitMs);
+            attemptCount++;
+            meter.recordArrival(nowMs(), maxDelayMs());
+            boolean nonIdempotent = nonIdempotentClass.equals(fieldByName.get("class"));
+            String part = fieldByName.get("key") + "/" + fieldByName.get("part");
+            boolean hit = kind != Kind.ORIGIN && !nonIdempotent && keptParts.get(part) != null;
+            if (kind == Kind.CACHE && !hit && fieldByName.get("parent") == null) {
+                sendAnswer(ctx, id, "LACK", "-", 0, hitMs);
                 return;
             }
-            if (once) {
-                runs.merge(id, 1, Integer::sum);
+            if (nonIdempotent) {
+                runsByRequest.merge(id, 1, Integer::sum);
             } else if (kind != Kind.ORIGIN) {
-                kept.put(part, true);
+                keptParts.put(part, true);
             }
-            answer(
+            sendAnswer(
                     ctx,
                     id,
                     "DONE",
-                    "how=" + (held ? "h" : "f") + ",digest=4be0c1927d55a6f3,dated=" + System.currentTimeMillis(),
-                    BODY,
-                    held ? hitMs : kind == Kind.ORIGIN || once ? ORIGIN_MS : hitMs + FILL_MS);
+                    "how=" + (hit ? "h" : "f") + ",digest=4be0c1927d55a6f3,dated=" + System.currentTimeMillis(),
+                    BODY_BYTES,
+                    hit ? hitMs : kind == Kind.ORIGIN || nonIdempotent ? ORIGIN_MS : hitMs + FILL_MS);
         }
 
-        private void answer(ChannelHandlerContext ctx, String id, String word, String fields, int body, int afterMs) {
+        private void sendAnswer(
+                ChannelHandlerContext ctx, String id, String status, String fields, int bodyBytes, int delayMs) {
             ctx.executor()
                     .schedule(
                             () -> {
-                                tally.done();
+                                meter.recordCompletion();
                                 if (!cancelled.remove(id) && ctx.channel().isActive()) {
                                     ByteBuf out = ctx.alloc().buffer();
                                     ByteBufUtil.writeAscii(
                                             out,
-                                            "*4\r\n$" + id.length() + "\r\n" + id + "\r\n$" + word.length() + "\r\n"
-                                                    + word + "\r\n$" + fields.length() + "\r\n" + fields + "\r\n$"
-                                                    + body + "\r\n");
-                                    ctx.writeAndFlush(
-                                            out.writeZero(body).writeByte('\r').writeByte('\n'));
+                                            "*4\r\n$" + id.length() + "\r\n" + id + "\r\n$" + status.length() + "\r\n"
+                                                    + status + "\r\n$" + fields.length() + "\r\n" + fields + "\r\n$"
+                                                    + bodyBytes + "\r\n");
+                                    ctx.writeAndFlush(out.writeZero(bodyBytes)
+                                            .writeByte('\r')
+                                            .writeByte('\n'));
                                 }
                             },
-                            afterMs,
+                            delayMs,
                             TimeUnit.MILLISECONDS);
         }
 
@@ -218,12 +220,12 @@
     }
 
     /** Returns how many of the requests that must not run twice did so, as {@code "0 of 12"}. */
-    public String runsTwice() {
-        return runs.values().stream().filter(n -> n > 1).count() + " of " + runs.size();
+    public String duplicateRuns() {
+        return runsByRequest.values().stream().filter(n -> n > 1).count() + " of " + runsByRequest.size();
     }
 
     /** Returns how many attempts all boxes have received. */
     public long attempts() {
-        return attempts;
+        return attemptCount;
     }
 }
--- a/lab/src/main/java/barleyspur/lab/stand/StandChannel.java
+++ b/lab/src/main/java/barleyspur/lab/stand/FakeCommandChannel.java
@@ -18,13 +18,13 @@
 import java.util.concurrent.TimeUnit;
 
 /** A fake command channel. It sends the events that it is given, and every second the cursor of the last one. */
-public final class StandChannel {
+public final class FakeCommandChannel {
 
     private final ChannelGroup connections = new DefaultChannelGroup(ImmediateEventExecutor.INSTANCE);
-    private volatile long last;
+    private volatile long lastCursor;
 
-    private StandChannel(long last) {
-        this.last = last;
+    private FakeCommandChannel(long lastCursor) {
+        this.lastCursor = lastCursor;
     }
 
     /**
@@ -32,22 +32,22 @@
      *
      * @param body the members of the event's JSON object besides its cursor, such as {@code "nodes":...}
      */
-    public void tell(String body) {
-        last++;
+    public void sendEvent(String body) {
+        lastCursor++;
         connections.writeAndFlush(
-                Unpooled.copiedBuffer("{\"cursor\":" + last + "," + body + "}\n", StandardCharsets.UTF_8));
+                Unpooled.copiedBuffer("{\"cursor\":" + lastCursor + "," + body + "}\n", StandardCharsets.UTF_8));
     }
 
     /**
      * Starts a channel.
      *
-     * @param last the cursor of the last event that all doormans know from their configuration
+     * @param lastCursor the cursor of the last event that all doormans know from their configuration
      */
-    public static StandChannel listen(EventLoopGroup group, InetSocketAddress address, long last)
+    public static FakeCommandChannel listen(EventLoopGroup group, InetSocketAddress address, long lastCursor)
             throws InterruptedException {
-        StandChannel told = new StandChannel(last);
-        told.listen(group, address);
-        return told;
+        FakeCommandChannel commandChannel = new FakeCommandChannel(lastCursor);
+        commandChannel.listen(group, address);
+        return commandChannel;
     }
 
     private void listen(EventLoopGroup group, InetSocketAddress address) throws InterruptedException {
@@ -66,7 +66,7 @@
                                                 () -> {
                                                     if (ctx.channel().isActive()) {
                                                         ctx.writeAndFlush(
-                                                                ByteBufUtil.writeAscii(ctx.alloc(), last + "\n"));
+                                                                ByteBufUtil.writeAscii(ctx.alloc(), lastCursor + "\n"));
                                                     }
                                                 },
                                                 0,
@@ -75,9 +75,9 @@
                             }
 
                             @Override
-                            protected void channelRead0(ChannelHandlerContext ctx, ByteBuf resume) {
+                            protected void channelRead0(ChannelHandlerContext ctx, ByteBuf request) {
                                 // No doorman has missed an event, since events are sent only after all have connected.
-                                resume.skipBytes(resume.readableBytes());
+                                request.skipBytes(request.readableBytes());
                             }
 
                             @Override
--- a/lab/src/main/java/barleyspur/lab/stand/StandClients.java
+++ b/lab/src/main/java/barleyspur/lab/stand/LoadGenerator.java
@@ -26,22 +26,22 @@
  * answers to earlier ones, each to a doorman that has declared itself ready on the connection, and their outcomes are
  * counted by class. All state is confined to one event loop.
  */
-public final class StandClients {
+public final class LoadGenerator {
 
     /** Counts of the outcomes of requests. */
-    public static final class Counts {
-        long asked;
-        long served;
+    public static final class OutcomeCounts {
+        long sent;
+        long inTime;
         long late;
         long refused;
         long failed;
         long lost;
 
         /** Returns the counts as a row of a table. */
-        public String row() {
+        public String toRow() {
             return String.format(
                     "%6d asked %6d in time %5d late %5d refused %5d failed %5d lost",
-                    asked, served, late, refused, failed, lost);
+                    sent, inTime, late, refused, failed, lost);
         }
     }
 
@@ -49,27 +49,27 @@
      * A class of requests.
      *
      * @param share its share of all requests, from 0 to 1
-     * @param aimMs the time in which an answer counts as in time
+     * @param latencyTargetMs the time in which an answer counts as in time
      * @param deadlineMs the deadline that is sent with the request
      */
-    public record Class(String name, double share, double aimMs, double deadlineMs) {}
+    public record RequestClass(String name, double share, double latencyTargetMs, double deadlineMs) {}
 
-    private static final int REPLY = 2;
-    private static final int STRUCT = 12;
+    private static final int REPLY_TYPE = 2;
+    private static final int STRUCT_FIELD_TYPE = 12;
     private static final int MAX_FRAME = 1 << 20;
     private static final double NANOS_PER_MS = 1e6;
-    private static final int OBJECTS = 300;
+    private static final int OBJECT_COUNT = 300;
 
-    private record Open(Class c, long sentNanos) {}
+    private record PendingRequest(RequestClass requestClass, long sentNanos) {}
 
-    private final class Doorman extends SimpleChannelInboundHandler<ByteBuf> {
+    private final class DoormanConnection extends SimpleChannelInboundHandler<ByteBuf> {
         private final InetSocketAddress address;
-        private final Map<Integer, Open> open = new HashMap<>();
+        private final Map<Integer, PendingRequest> pending = new HashMap<>();
         private Channel channel;
-        private boolean taken;
-        private int next = 1;
+        private boolean ready;
+        private int lastSequenceNumber = 1;
 
-        Doorman(InetSocketAddress address) {
+        DoormanConnection(InetSocketAddress address) {
             this.address = address;
         }
 
@@ -83,7 +83,7 @@
                         protected void initChannel(Channel connection) {
                             connection
                                     .pipeline()
-                                    .addLast(new LengthFieldBasedFrameDecoder(MAX_FRAME, 0, 4, 0, 4), shared());
+                                    .addLast(new LengthFieldBasedFrameDecoder(MAX_FRAME, 0, 4, 0, 4), handler());
                         }
                     })
                     .connect(address)
@@ -94,7 +94,7 @@
                     });
         }
 
-        private Doorman shared() {
+        private DoormanConnection handler() {
             return this;
         }
 
@@ -106,17 +106,17 @@
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             channel = ctx.channel();
-            open.clear();
-            next = 1;
-            ByteBuf frame = call("alive", next);
-            ctx.writeAndFlush(close(frame.writeByte(0)));
+            pending.clear();
+            lastSequenceNumber = 1;
+            ByteBuf frame = beginCall("alive", lastSequenceNumber);
+            ctx.writeAndFlush(finishFrame(frame.writeByte(0)));
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            taken = false;
-            open.values().forEach(o -> counts(o.c).lost++);
-            open.clear();
+            ready = false;
+            pending.values().forEach(o -> counts(o.requestClass).lost++);
+            pending.clear();
             loop.schedule(this::connect, 300, TimeUnit.MILLISECONDS);
         }
 
@@ -125,58 +125,58 @@
             int type = in.readInt() & 0xFF;
             String method =
                     in.readCharSequence(in.readInt(), StandardCharsets.US_ASCII).toString();
-            int number = in.readInt();
+            int sequenceNumber = in.readInt();
             if (method.equals("alive")) {
-                taken = true;
+                ready = true;
                 return;
             }
-            Open o = open.remove(number);
-            if (o == null) {
+            PendingRequest request = pending.remove(sequenceNumber);
+            if (request == null) {
                 return;
             }
-            Counts counts = counts(o.c);
-            int outcome = type == REPLY && in.readByte() == STRUCT ? in.readShort() : 2;
+            OutcomeCounts counts = counts(request.requestClass);
+            int outcome = type == REPLY_TYPE && in.readByte() == STRUCT_FIELD_TYPE ? in.readShort() : 2;
             if (outcome == 1) {
                 counts.refused++;
             } else if (outcome == 2) {
                 counts.failed++;
-            } else if ((System.nanoTime() - o.sentNanos) / NANOS_PER_MS <= o.c.aimMs) {
-                counts.served++;
+            } else if ((System.nanoTime() - request.sentNanos) / NANOS_PER_MS <= request.requestClass.latencyTargetMs) {
+                counts.inTime++;
             } else {
                 counts.late++;
             }
         }
 
-        void ask(Class c) {
-            int number = ++next;
-            open.put(number, new Open(c, System.nanoTime()));
+        void send(RequestClass requestClass) {
+            int sequenceNumber = ++lastSequenceNumber;
+            pending.put(sequenceNumber, new PendingRequest(requestClass, System.nanoTime()));
             Map<String, String> fields = Map.of(
                     "c",
-                    c.name,
+                    requestClass.name,
                     "i",
-                    hex(random.nextLong()),
+                    toHex(random.nextLong()),
                     "d",
-                    Integer.toString((int) c.deadlineMs),
+                    Integer.toString((int) requestClass.deadlineMs),
                     "o",
-                    hex((long) (OBJECTS * Math.pow(random.nextDouble(), 3)) + 1),
+                    toHex((long) (OBJECT_COUNT * Math.pow(random.nextDouble(), 3)) + 1),
                     "seg",
                     Integer.toString(random.nextInt(8)),
                     "bucket",
                     "1",
                     "m",
                     "100.5");
-            ByteBuf frame = call("dispatch", number);
+            ByteBuf frame = beginCall("dispatch", sequenceNumber);
             frame.writeByte(13).writeShort(1).writeByte(11).writeByte(11).writeInt(fields.size());
-            fields.forEach((name, value) -> text(text(frame, name), value));
-            text(frame.writeByte(11).writeShort(2), "").writeByte(0);
-            channel.writeAndFlush(close(frame));
+            fields.forEach((name, value) -> writeText(writeText(frame, name), value));
+            writeText(frame.writeByte(11).writeShort(2), "").writeByte(0);
+            channel.writeAndFlush(finishFrame(frame));
             loop.schedule(
                     () -> {
-                        if (open.remove(number) != null) {
-                            counts(c).lost++;
+                        if (pending.remove(sequenceNumber) != null) {
+                            counts(requestClass).lost++;
                         }
                     },
-                    (long) c.deadlineMs + 500,
+                    (long) requestClass.deadlineMs + 500,
                     TimeUnit.MILLISECONDS);
         }
 
@@ -188,94 +188,97 @@
 
     private final EventLoop loop;
     private final SplittableRandom random;
-    private final List<Class> classes;
-    private final List<Doorman> doormans = new ArrayList<>();
-    private final Map<String, Counts> byClass = new HashMap<>();
-    private long unasked;
+    private final List<RequestClass> classes;
+    private final List<DoormanConnection> doormans = new ArrayList<>();
+    private final Map<String, OutcomeCounts> countsByClass = new HashMap<>();
+    private long notSent;
 
     /** Creates clients of the doormans at these addresses; the seed determines the sequence of requests. */
-    public StandClients(EventLoopGroup group, List<Class> classes, List<InetSocketAddress> addresses, long seed) {
+    public LoadGenerator(
+            EventLoopGroup group, List<RequestClass> classes, List<InetSocketAddress> addresses, long seed) {
         this.loop = group.next();
         this.random = new SplittableRandom(seed);
         this.classes = classes;
-        addresses.forEach(a -> doormans.add(new Doorman(a)));
+        addresses.forEach(a -> doormans.add(new DoormanConnection(a)));
     }
 
     /** Starts to connect, and to send requests at this rate, each to a random doorman that is ready. */
-    public void start(double perSecond) {
-        loop.execute(() -> doormans.forEach(Doorman::connect));
-        long every = (long) (1e9 / perSecond);
-        loop.scheduleAtFixedRate(this::ask, every, every, TimeUnit.NANOSECONDS);
+    public void start(double requestsPerS) {
+        loop.execute(() -> doormans.forEach(DoormanConnection::connect));
+        long intervalNanos = (long) (1e9 / requestsPerS);
+        loop.scheduleAtFixedRate(this::sendRequest, intervalNanos, intervalNanos, TimeUnit.NANOSECONDS);
     }
 
     /** Distributes the requests among the doormans, by slot and time. */
-    public interface Parts {
+    public interface TrafficShares {
         /** Returns the share of the requests that the doorman of a slot gets at a time since the start. */
-        double of(int slot, double nowMs);
+        double shareOf(int slot, double nowMs);
     }
 
     /**
      * Starts to connect, and to send requests at this total rate. The doorman of each slot gets its share; a request
      * for a doorman that is not ready is not sent to another one.
      */
-    public void start(double perSecond, Parts parts) {
-        loop.execute(() -> doormans.forEach(Doorman::connect));
-        long from = System.nanoTime();
-        long every = (long) (1e9 / perSecond);
+    public void start(double requestsPerS, TrafficShares shares) {
+        loop.execute(() -> doormans.forEach(DoormanConnection::connect));
+        long startNanos = System.nanoTime();
+        long intervalNanos = (long) (1e9 / requestsPerS);
         loop.scheduleAtFixedRate(
                 () -> {
-                    double draw = random.nextDouble();
-                    double nowMs = (System.nanoTime() - from) / NANOS_PER_MS;
+                    double remaining = random.nextDouble();
+                    double nowMs = (System.nanoTime() - startNanos) / NANOS_PER_MS;
                     for (int slot = 0; slot < doormans.size(); slot++) {
-                        draw -= parts.of(slot, nowMs);
-                        if (draw <= 0) {
-                            ask(doormans.get(slot).taken ? List.of(doormans.get(slot)) : List.of());
+                        remaining -= shares.shareOf(slot, nowMs);
+                        if (remaining <= 0) {
+                            sendRequest(doormans.get(slot).ready ? List.of(doormans.get(slot)) : List.of());
                             return;
                         }
                     }
                 },
-                every,
-                every,
+                intervalNanos,
+                intervalNanos,
                 TimeUnit.NANOSECONDS);
     }
 
-    private void ask() {
-        ask(doormans.stream().filter(d -> d.taken).toList());
+    private void sendRequest() {
+        sendRequest(doormans.stream().filter(d -> d.ready).toList());
     }
 
-    private void ask(List<Doorman> up) {
-        if (up.isEmpty()) {
-            unasked++;
+    private void sendRequest(List<DoormanConnection> readyDoormans) {
+        if (readyDoormans.isEmpty()) {
+            notSent++;
             return;
         }
-        double draw = random.nextDouble();
-        Class c = classes.get(0);
-        for (Class k : classes) {
-            if (draw < k.share) {
-                c = k;
+        double remaining = random.nextDouble();
+        RequestClass requestClass = classes.get(0);
+        for (RequestClass candidate : classes) {
+            if (remaining < candidate.share) {
+                requestClass = candidate;
                 break;
             }
-            draw -= k.share;
+            remaining -= candidate.share;
         }
-        counts(c).asked++;
-        up.get(random.nextInt(up.size())).ask(c);
+        counts(requestClass).sent++;
+        readyDoormans.get(random.nextInt(readyDoormans.size())).send(requestClass);
     }
 
-    private Counts counts(Class c) {
-        return byClass.computeIfAbsent(c.name, n -> new Counts());
+    private OutcomeCounts counts(RequestClass requestClass) {
+        return countsByClass.computeIfAbsent(requestClass.name, n -> new OutcomeCounts());
     }
 
     /** Returns a row for each class with the counts since the last call, and resets the counts. */
-    public List<String> rows() {
+    public List<String> takeRows() {
         return loop.submit(() -> {
                     List<String> rows = new ArrayList<>();
-                    for (Class c : classes) {
-                        rows.add(String.format("%-8s %s", c.name, counts(c).row()));
+                    for (RequestClass requestClass : classes) {
+                        rows.add(String.format(
+                                "%-8s %s",
+                                requestClass.name, counts(requestClass).toRow()));
                     }
-                    byClass.clear();
-                    if (unasked > 0) {
-                        rows.add(unasked + " not sent: no doorman was ready");
-                        unasked = 0;
+                    countsByClass.clear();
+                    if (notSent > 0) {
+                        rows.add(notSent + " not sent: no doorman was ready");
+                        notSent = 0;
                     }
                     return rows;
                 })
@@ -283,19 +286,20 @@
                 .getNow();
     }
 
-    private static String hex(long number) {
+    private static String toHex(long number) {
         return String.format("%016x", number);
     }
 
-    private static ByteBuf call(String method, int number) {
-        return text(Unpooled.buffer().writeInt(0).writeInt(0x80010001), method).writeInt(number);
+    private static ByteBuf beginCall(String method, int sequenceNumber) {
+        return writeText(Unpooled.buffer().writeInt(0).writeInt(0x80010001), method)
+                .writeInt(sequenceNumber);
     }
 
-    private static ByteBuf close(ByteBuf frame) {
+    private static ByteBuf finishFrame(ByteBuf frame) {
         return frame.setInt(0, frame.readableBytes() - Integer.BYTES);
     }
 
-    private static ByteBuf text(ByteBuf out, String text) {
+    private static ByteBuf writeText(ByteBuf out, String text) {
         return out.writeInt(text.length()).writeBytes(text.getBytes(StandardCharsets.US_ASCII));
     }
 }
--- a/lab/src/main/java/barleyspur/lab/stand/NodeList.java
+++ b/lab/src/main/java/barleyspur/lab/stand/NodeList.java
@@ -15,10 +15,10 @@
      *
      * @param bootMs its start time as Unix time, 0 for a node that has been up for a long time
      */
-    public static JSONObject node(
+    public static JSONObject describe(
             String uid,
             InetSocketAddress address,
-            StandBoxes.Kind kind,
+            FakeBoxes.Kind kind,
             int podGroup,
             double capacityHint,
             double bootMs) {
@@ -41,15 +41,15 @@
     /**
      * Returns the nodes as an event of the command channel.
      *
-     * @param whole whether these are all nodes, rather than only those that have changed
+     * @param full whether these are all nodes, rather than only those that have changed
      */
-    public JSONObject event(int revision, boolean whole) {
-        return new JSONObject().put("rev", revision).put("all", whole).put("targets", targets);
+    public JSONObject toEvent(int revision, boolean full) {
+        return new JSONObject().put("rev", revision).put("all", full).put("targets", targets);
     }
 
     /** Returns the part of the configuration that a doorman knows at its start: a first event with the full list. */
-    public JSONObject known() {
-        JSONObject first = new JSONObject().put("cursor", 1).put("nodes", event(1, true));
-        return new JSONObject().put("cursor", 1).put("cmds", new JSONArray().put(first));
+    public JSONObject initialState() {
+        JSONObject event = new JSONObject().put("cursor", 1).put("nodes", toEvent(1, true));
+        return new JSONObject().put("cursor", 1).put("cmds", new JSONArray().put(event));
     }
 }
--- a/lab/src/test/java/barleyspur/lab/EndingProcessesTest.java
+++ b/lab/src/test/java/barleyspur/lab/ProcessLifecycleTest.java
@@ -4,11 +4,11 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import barleyspur.lab.stand.ArrivalMeter;
+import barleyspur.lab.stand.FakeBoxes;
+import barleyspur.lab.stand.FakeCommandChannel;
+import barleyspur.lab.stand.LoadGenerator;
 import barleyspur.lab.stand.NodeList;
-import barleyspur.lab.stand.StandBoxes;
-import barleyspur.lab.stand.StandChannel;
-import barleyspur.lab.stand.StandClients;
-import barleyspur.lab.stand.Tally;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -41,32 +41,34 @@
  * just started. Runs isolated from other tests, since some of these start many processes at once.
  */
 @Isolated
-class EndingProcessesTest {
+class ProcessLifecycleTest {
 
     /** The time from SIGTERM to SIGKILL that the protocol specifies for the longest deadline of the classes. */
-    private static final int KILL_MS = 3_700;
+    private static final int KILL_TIMEOUT_MS = 3_700;
     /** The exit code of a JVM that was terminated by SIGTERM, after its shutdown hooks have run. */
-    private static final int ENDED_BY_SIGTERM = 128 + 15;
+    private static final int SIGTERM_EXIT_CODE = 128 + 15;
     /** The time by which a signal has been handled. */
-    private static final int SIGNALLED_MS = 500;
+    private static final int SIGNAL_HANDLING_MS = 500;
     /** For how long after SIGTERM requests are sent on open connections. */
-    private static final int ASKED_MS = 600;
+    private static final int SENDING_AFTER_SIGTERM_MS = 600;
 
     @TempDir
     Path folder;
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private ServeProcesses processes;
-    private final AtomicLong ids = new AtomicLong(1);
+    private DoormanProcesses processes;
+    private final AtomicLong nextId = new AtomicLong(1);
 
     @BeforeEach
-    void begin() {
-        processes = new ServeProcesses(
-                folder, group, new ServeProcesses.ColdRule(COLD_MS, FALL_MS, COLD_FROM, FALL_MULTIPLE));
+    void setUp() {
+        processes = new DoormanProcesses(
+                folder,
+                group,
+                new DoormanProcesses.ColdRule(WARM_AFTER_MS, OVERLOAD_SPAN_MS, FROM_SHARE, OVERLOAD_MULTIPLE));
     }
 
     @AfterEach
-    void end() {
+    void tearDown() {
         processes.close();
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
@@ -77,16 +79,16 @@
      *
      * @return the number of requests, each of which was answered exactly once
      */
-    private int ask(InetSocketAddress address, long untilNanos) throws IOException {
+    private int sendRequests(InetSocketAddress address, long sendUntilNanos) throws IOException {
         try (ThriftClient client = new ThriftClient(address)) {
-            int asked = 0;
+            int sent = 0;
             int answered = 0;
             while (true) {
-                while (asked - answered < 3 && System.nanoTime() < untilNanos) {
-                    long id = ids.getAndIncrement();
+                while (sent - answered < 3 && System.nanoTime() < sendUntilNanos) {
+                    long id = nextId.getAndIncrement();
                     client.send(
                             "dispatch",
-                            ++asked,
+                            ++sent,
                             Map.of(
                                     "c",
                                     id % 10 == 0 ? "record" : "files",
@@ -103,13 +105,13 @@
                                     "m",
                                     "100.5"));
                 }
-                Integer answer = client.answer();
-                if (answer == null) {
-                    assertEquals(asked, answered, "number of answers before the end of the connection");
-                    return asked;
+                Integer sequenceNumber = client.readSequenceNumber();
+                if (sequenceNumber == null) {
+                    assertEquals(sent, answered, "number of answers before the end of the connection");
+                    return sent;
                 }
                 answered++;
-                assertTrue(answer <= asked, "answer to a request that was not sent");
+                assertTrue(sequenceNumber <= sent, "answer to a request that was not sent");
             }
         }
     }
@@ -120,8 +122,8 @@
      * 2 s of processor time.
      */
     @Test
-    void aDoormanIsReadyWithoutAnybodyElse() throws Exception {
-        processes.start(1, 200, processes.channel(3), SIZE);
+    void becomesReadyWithoutChannelAndBoxes() throws Exception {
+        processes.startDoormans(1, 200, processes.channelAddress(3), CAPACITY_HINT);
         System.out.printf(
                 "ready with 200 boxes and no channel after %.1f s of a core%n",
                 processes.process(0).info().totalCpuDuration().orElseThrow().toMillis() / 1e3);
@@ -132,29 +134,30 @@
      * disabled.
      */
     @Test
-    void anIgnoredHangUpIsSaid() throws Exception {
-        processes.startedBy("trap '' HUP; ");
-        processes.start(1, FEW, processes.channel(4), SIZE);
-        assertTrue(processes.log(0).contains("SIGHUP is ignored"));
+    void logsThatIgnoredSighupDisablesReloads() throws Exception {
+        processes.setShellPrefix("trap '' HUP; ");
+        processes.startDoormans(1, NODE_COUNT, processes.channelAddress(4), CAPACITY_HINT);
+        assertTrue(processes.readLog(0).contains("SIGHUP is ignored"));
     }
 
     /**
      * Guards overlapping restarts: SIGTERM during the start terminates the process in time and as a planned shutdown.
      */
     @Test
-    void sigtermBeforeItListensEndsIt() throws Exception {
-        Process process = processes.launch(0, processes.configuration(0, 1, FEW, processes.channel(5), SIZE));
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
+    void sigtermDuringStartTerminatesProcess() throws Exception {
+        Process process = processes.launch(
+                0, processes.configuration(0, 1, NODE_COUNT, processes.channelAddress(5), CAPACITY_HINT));
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
         // The warm-up before the start has begun once the log has its synthetic nodes.
-        while (processes.log(0).isEmpty() && System.nanoTime() < until) {
+        while (processes.readLog(0).isEmpty() && System.nanoTime() < deadlineNanos) {
             TimeUnit.MILLISECONDS.sleep(1);
         }
-        assertFalse(processes.log(0).contains("serves"), "the process serves before it got SIGTERM");
+        assertFalse(processes.readLog(0).contains("serves"), "the process serves before it got SIGTERM");
         process.destroy();
         assertTrue(
-                process.waitFor(KILL_MS, TimeUnit.MILLISECONDS),
+                process.waitFor(KILL_TIMEOUT_MS, TimeUnit.MILLISECONDS),
                 "the process is still running at the time of SIGKILL");
-        assertEquals(ENDED_BY_SIGTERM, process.exitValue(), processes.log(0));
+        assertEquals(SIGTERM_EXIT_CODE, process.exitValue(), processes.readLog(0));
     }
 
     /**
@@ -163,31 +166,33 @@
      * meanwhile.
      */
     @Test
-    void hangUpWhileItStartsIsCarriedOut() throws Exception {
+    void sighupDuringStartCausesReload() throws Exception {
         Path pipe = folder.resolve("pipe.json");
         assertEquals(0, new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor(), "mkfifo " + pipe);
         byte[] configuration = processes
-                .configuration(0, 1, FEW, processes.channel(6), SIZE)
+                .configuration(0, 1, NODE_COUNT, processes.channelAddress(6), CAPACITY_HINT)
                 .toString()
                 .getBytes(StandardCharsets.UTF_8);
         Process process;
         // Opened for reading as well, since opening a pipe only for writing blocks until it has a reader.
         try (RandomAccessFile writer = new RandomAccessFile(pipe.toFile(), "rw")) {
             process = processes.launch(0, pipe);
-            await("the process reads the configuration", () -> hasOpen(process, pipe));
+            await("the process reads the configuration", () -> hasFileOpen(process, pipe));
             ProcessSignal.send(process, "HUP");
-            TimeUnit.MILLISECONDS.sleep(SIGNALLED_MS);
+            TimeUnit.MILLISECONDS.sleep(SIGNAL_HANDLING_MS);
             assertTrue(process.isAlive(), "SIGHUP terminated the process");
             // The reload reads a regular file of the same name.
-            Path next = Files.write(folder.resolve("next.json"), configuration);
-            Files.move(next, pipe, StandardCopyOption.REPLACE_EXISTING);
+            Path replacement = Files.write(folder.resolve("next.json"), configuration);
+            Files.move(replacement, pipe, StandardCopyOption.REPLACE_EXISTING);
             writer.write(configuration);
         }
         processes.awaitReady(0);
-        await("the process reloads its configuration", () -> processes.log(0).contains("reload: done"));
+        await(
+                "the process reloads its configuration",
+                () -> processes.readLog(0).contains("reload: done"));
     }
 
-    private static boolean hasOpen(Process process, Path file) throws IOException {
+    private static boolean hasFileOpen(Process process, Path file) throws IOException {
         try (Stream<Path> descriptors = Files.list(Path.of("/proc", Long.toString(process.pid()), "fd"))) {
             for (Path descriptor : descriptors.toList()) {
                 if (Files.isSymbolicLink(descriptor)
@@ -203,9 +208,9 @@
     }
 
     private static void await(String what, Callable<Boolean> condition) throws Exception {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(30);
         while (!condition.call()) {
-            assertTrue(System.nanoTime() < until, "timeout waiting for: " + what);
+            assertTrue(System.nanoTime() < deadlineNanos, "timeout waiting for: " + what);
             TimeUnit.MILLISECONDS.sleep(5);
         }
     }
@@ -214,54 +219,55 @@
      * Guards planned restarts: all requests sent until 0.6 s after SIGTERM are answered, and no connection is reset.
      */
     @Test
-    void aWaveOfSigtermsLeavesNothingUnanswered() throws Exception {
-        StandBoxes boxes = processes.boxes(FEW, 150);
-        InetSocketAddress channel = processes.channel(1);
-        StandChannel.listen(group, channel, 1);
-        processes.start(3, FEW, channel, SIZE);
+    void sigtermLeavesNoRequestUnanswered() throws Exception {
+        FakeBoxes boxes = processes.startBoxes(NODE_COUNT, 150);
+        InetSocketAddress channel = processes.channelAddress(1);
+        FakeCommandChannel.listen(group, channel, 1);
+        processes.startDoormans(3, NODE_COUNT, channel, CAPACITY_HINT);
         ExecutorService clients = Executors.newCachedThreadPool();
         try {
-            long term = System.nanoTime() + TimeUnit.SECONDS.toNanos(2);
-            List<Future<Integer>> asked = new ArrayList<>();
+            long sigtermNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(2);
+            List<Future<Integer>> requestCounts = new ArrayList<>();
             for (int i = 0; i < 3; i++) {
-                InetSocketAddress front = processes.front(i);
-                Callable<Integer> one = () -> ask(front, term + TimeUnit.MILLISECONDS.toNanos(ASKED_MS));
+                InetSocketAddress front = processes.frontAddress(i);
+                Callable<Integer> client = () ->
+                        sendRequests(front, sigtermNanos + TimeUnit.MILLISECONDS.toNanos(SENDING_AFTER_SIGTERM_MS));
                 for (int j = 0; j < 8; j++) {
-                    asked.add(clients.submit(one));
+                    requestCounts.add(clients.submit(client));
                 }
             }
-            TimeUnit.NANOSECONDS.sleep(term - System.nanoTime());
-            processes.all().forEach(Process::destroy);
+            TimeUnit.NANOSECONDS.sleep(sigtermNanos - System.nanoTime());
+            processes.allProcesses().forEach(Process::destroy);
             TimeUnit.MILLISECONDS.sleep(300);
-            processes.all().forEach(Process::destroy);
-            int all = 0;
-            for (Future<Integer> count : asked) {
-                all += count.get(30, TimeUnit.SECONDS);
+            processes.allProcesses().forEach(Process::destroy);
+            int totalRequests = 0;
+            for (Future<Integer> count : requestCounts) {
+                totalRequests += count.get(30, TimeUnit.SECONDS);
             }
-            for (Process process : processes.all()) {
+            for (Process process : processes.allProcesses()) {
                 assertTrue(
                         process.waitFor(
-                                term + TimeUnit.MILLISECONDS.toNanos(KILL_MS) - System.nanoTime(),
+                                sigtermNanos + TimeUnit.MILLISECONDS.toNanos(KILL_TIMEOUT_MS) - System.nanoTime(),
                                 TimeUnit.NANOSECONDS),
                         "the process is still running at the time of SIGKILL");
             }
-            assertTrue(all > 200, "requests: " + all);
-            assertTrue(boxes.runsTwice().startsWith("0 "), boxes.runsTwice());
+            assertTrue(totalRequests > 200, "requests: " + totalRequests);
+            assertTrue(boxes.duplicateRuns().startsWith("0 "), boxes.duplicateRuns());
         } finally {
             clients.shutdownNow();
         }
     }
 
     /** Number of nodes: four caches, a parent and an origin. */
-    private static final int FEW = 6;
+    private static final int NODE_COUNT = 6;
 
-    private static final int DOORMANS = 30;
-    private static final double SIZE = 2;
-    private static final double COLD_MS = 8_000;
-    private static final double FALL_MS = 3_000;
-    private static final double COLD_FROM = 0.24;
-    private static final double FALL_MULTIPLE = 1;
-    private static final double PER_S = 300;
+    private static final int DOORMAN_COUNT = 30;
+    private static final double CAPACITY_HINT = 2;
+    private static final double WARM_AFTER_MS = 8_000;
+    private static final double OVERLOAD_SPAN_MS = 3_000;
+    private static final double FROM_SHARE = 0.24;
+    private static final double OVERLOAD_MULTIPLE = 1;
+    private static final double REQUESTS_PER_S = 300;
     /** Work of a request: 100.5 KB at 5 KB/ms, the pace in the settings. */
     private static final double WORK_MS = 100.5 / 5;
 
@@ -271,39 +277,41 @@
      * rest allows for random variation. It must still get some calls.
      */
     @Test
-    void thirtyProcessesStayWithinWhatAColdBoxBears() throws Exception {
-        StandBoxes boxes = processes.boxes(FEW, 3);
-        InetSocketAddress channel = processes.channel(2);
-        StandChannel told = StandChannel.listen(group, channel, 1);
-        processes.start(DOORMANS, FEW, channel, SIZE);
+    void thirtyProcessesDoNotOverloadColdBox() throws Exception {
+        FakeBoxes boxes = processes.startBoxes(NODE_COUNT, 3);
+        InetSocketAddress channel = processes.channelAddress(2);
+        FakeCommandChannel commandChannel = FakeCommandChannel.listen(group, channel, 1);
+        processes.startDoormans(DOORMAN_COUNT, NODE_COUNT, channel, CAPACITY_HINT);
         List<InetSocketAddress> fronts = new ArrayList<>();
-        for (int i = 0; i < DOORMANS; i++) {
-            fronts.add(processes.front(i));
+        for (int i = 0; i < DOORMAN_COUNT; i++) {
+            fronts.add(processes.frontAddress(i));
         }
-        new StandClients(group, List.of(new StandClients.Class("files", 1, 300, 2_500)), fronts, 1).start(PER_S);
+        new LoadGenerator(group, List.of(new LoadGenerator.RequestClass("files", 1, 300, 2_500)), fronts, 1)
+                .start(REQUESTS_PER_S);
         TimeUnit.SECONDS.sleep(4);
-        long boot = System.currentTimeMillis();
-        Tally cold = boxes.tally(processes.box(0));
+        long bootMs = System.currentTimeMillis();
+        ArrivalMeter coldBoxMeter = boxes.meter(processes.boxAddress(0));
         // After 250 ms all calls have arrived that were sent before the doormans learned of the restart.
-        cold.watch(boot + 250, boot + (long) COLD_MS);
+        coldBoxMeter.setWindow(bootMs + 250, bootMs + (long) WARM_AFTER_MS);
         NodeList restarted = new NodeList();
-        restarted.add(processes.target(0, FEW, SIZE, boot));
-        told.tell("\"nodes\":" + restarted.event(2, false));
-        TimeUnit.MILLISECONDS.sleep((long) COLD_MS + 100);
-        List<Long> times = cold.watchedTimes();
-        double worst = 0;
-        for (int first = 0, last = 0; last < times.size(); last++) {
-            while (times.get(last) - times.get(first) >= FALL_MS) {
+        restarted.add(processes.describeNode(0, NODE_COUNT, CAPACITY_HINT, bootMs));
+        commandChannel.sendEvent("\"nodes\":" + restarted.toEvent(2, false));
+        TimeUnit.MILLISECONDS.sleep((long) WARM_AFTER_MS + 100);
+        List<Long> arrivalTimes = coldBoxMeter.arrivalTimesInWindow();
+        double maxLimitMultiple = 0;
+        for (int first = 0, last = 0; last < arrivalTimes.size(); last++) {
+            while (arrivalTimes.get(last) - arrivalTimes.get(first) >= OVERLOAD_SPAN_MS) {
                 first++;
             }
-            double share = COLD_FROM + (1 - COLD_FROM) * (times.get(last) - boot) / COLD_MS;
-            double n = FALL_MULTIPLE * share * SIZE / WORK_MS * FALL_MS;
-            worst = Math.max(worst, (last - first + 1) / (n + 2 * Math.sqrt(n) + 2));
+            double capacityShare = FROM_SHARE + (1 - FROM_SHARE) * (arrivalTimes.get(last) - bootMs) / WARM_AFTER_MS;
+            double expectedCalls = OVERLOAD_MULTIPLE * capacityShare * CAPACITY_HINT / WORK_MS * OVERLOAD_SPAN_MS;
+            maxLimitMultiple =
+                    Math.max(maxLimitMultiple, (last - first + 1) / (expectedCalls + 2 * Math.sqrt(expectedCalls) + 2));
         }
         System.out.printf(
                 "30 processes: %d calls at the cold box, at most %.2f of its limit in a window%n",
-                times.size(), worst);
-        assertTrue(worst <= 1, "calls in a window, as a multiple of the limit: " + worst);
-        assertTrue(times.size() > 20, "too few calls at the cold box: " + times.size());
+                arrivalTimes.size(), maxLimitMultiple);
+        assertTrue(maxLimitMultiple <= 1, "calls in a window, as a multiple of the limit: " + maxLimitMultiple);
+        assertTrue(arrivalTimes.size() > 20, "too few calls at the cold box: " + arrivalTimes.size());
     }
 }
--- a/lab/src/test/java/barleyspur/lab/ThousandNodesTest.java
+++ b/lab/src/test/java/barleyspur/lab/ThousandNodesTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import barleyspur.lab.stand.FakeBoxes;
+import barleyspur.lab.stand.FakeCommandChannel;
 import barleyspur.lab.stand.NodeList;
-import barleyspur.lab.stand.StandBoxes;
-import barleyspur.lab.stand.StandChannel;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -24,14 +24,14 @@
 @Isolated
 class ThousandNodesTest {
 
-    private static final int NODES = 1_024;
-    private static final int DOORMANS = 1_024;
+    private static final int NODE_COUNT = 1_024;
+    private static final int DOORMAN_COUNT = 1_024;
     /** The maximum number of file descriptors on the platform. */
-    private static final int SOCKETS = 1_024;
+    private static final int SOCKET_LIMIT = 1_024;
 
-    private static final int MEMORY_MB = 192;
-    private static final int REQUESTS = 6_000;
-    private static final double SIZE = 2;
+    private static final int MEMORY_LIMIT_MB = 192;
+    private static final int REQUEST_COUNT = 6_000;
+    private static final double CAPACITY_HINT = 2;
 
     @TempDir
     Path folder;
@@ -39,7 +39,7 @@
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
 
     @AfterEach
-    void end() {
+    void tearDown() {
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
@@ -47,58 +47,58 @@
      * Guards the size limits: full lists of this size are accepted from the configuration and the channel, and used.
      */
     @Test
-    void wholeListsOfAThousandAreTakenAndServedFrom() throws Exception {
-        ServeProcesses.ColdRule cold = new ServeProcesses.ColdRule(8_000, 3_000, 0.24, 3);
-        try (ServeProcesses processes = new ServeProcesses(folder, group, cold)) {
-            processes.sockets(SOCKETS);
-            StandBoxes boxes = processes.boxes(NODES, 3);
-            InetSocketAddress channel = processes.channel(9);
-            StandChannel told = StandChannel.listen(group, channel, 1);
-            JSONObject configuration = processes.configuration(0, DOORMANS, NODES, channel, SIZE);
+    void acceptsFullListsOf1024Nodes() throws Exception {
+        DoormanProcesses.ColdRule coldRule = new DoormanProcesses.ColdRule(8_000, 3_000, 0.24, 3);
+        try (DoormanProcesses processes = new DoormanProcesses(folder, group, coldRule)) {
+            processes.setSocketLimit(SOCKET_LIMIT);
+            FakeBoxes boxes = processes.startBoxes(NODE_COUNT, 3);
+            InetSocketAddress channel = processes.channelAddress(9);
+            FakeCommandChannel commandChannel = FakeCommandChannel.listen(group, channel, 1);
+            JSONObject configuration = processes.configuration(0, DOORMAN_COUNT, NODE_COUNT, channel, CAPACITY_HINT);
             JSONObject peers = new JSONObject();
-            for (int i = 1; i < DOORMANS; i++) {
+            for (int i = 1; i < DOORMAN_COUNT; i++) {
                 peers.put("d" + i, "127.1." + i / 250 + "." + (i % 250 + 1) + ":7002");
             }
             processes.launch(0, configuration.put("peers", peers));
-            try (ThriftClient client = connected(processes)) {
-                ask(client, 1);
-                int reached = reached(processes, boxes);
-                NodeList all = new NodeList();
-                for (int i = 0; i < NODES; i++) {
-                    all.add(processes.target(i, NODES, SIZE, 0));
+            try (ThriftClient client = connect(processes)) {
+                sendRequests(client, 1);
+                int reachedNodes = countReachedNodes(processes, boxes);
+                NodeList nodeList = new NodeList();
+                for (int i = 0; i < NODE_COUNT; i++) {
+                    nodeList.add(processes.describeNode(i, NODE_COUNT, CAPACITY_HINT, 0));
                 }
-                told.tell("\"nodes\":" + all.event(2, true));
-                ask(client, REQUESTS + 1);
+                commandChannel.sendEvent("\"nodes\":" + nodeList.toEvent(2, true));
+                sendRequests(client, REQUEST_COUNT + 1);
                 System.out.printf(
                         "%d nodes, %d doormans: %d nodes reached, %d MB at most%n",
-                        NODES, DOORMANS, reached, processes.peakMemoryMb(0));
-                assertTrue(reached > NODES * 9 / 10, "nodes reached: " + reached);
-                assertTrue(processes.peakMemoryMb(0) < MEMORY_MB, "peak memory");
+                        NODE_COUNT, DOORMAN_COUNT, reachedNodes, processes.peakMemoryMb(0));
+                assertTrue(reachedNodes > NODE_COUNT * 9 / 10, "nodes reached: " + reachedNodes);
+                assertTrue(processes.peakMemoryMb(0) < MEMORY_LIMIT_MB, "peak memory");
                 assertTrue(processes.process(0).isAlive());
             }
         }
     }
 
-    private static ThriftClient connected(ServeProcesses processes) throws Exception {
+    private static ThriftClient connect(DoormanProcesses processes) throws Exception {
         processes.awaitReady(0);
-        return new ThriftClient(processes.front(0));
+        return new ThriftClient(processes.frontAddress(0));
     }
 
-    private static int reached(ServeProcesses processes, StandBoxes boxes) {
-        int reached = 0;
-        for (int i = 0; i < NODES; i++) {
-            reached += boxes.tally(processes.box(i)).arrived() > 0 ? 1 : 0;
+    private static int countReachedNodes(DoormanProcesses processes, FakeBoxes boxes) {
+        int reachedNodes = 0;
+        for (int i = 0; i < NODE_COUNT; i++) {
+            reachedNodes += boxes.meter(processes.boxAddress(i)).arrivals() > 0 ? 1 : 0;
         }
-        return reached;
+        return reachedNodes;
     }
 
     /** Sends requests, up to 16 at a time; each must be answered, and over 99 % must be served. */
-    private static void ask(ThriftClient client, int firstSeqid) throws Exception {
-        int asked = 0;
+    private static void sendRequests(ThriftClient client, int firstSeqid) throws Exception {
+        int sent = 0;
         int served = 0;
-        for (int answered = 0; answered < REQUESTS; answered++) {
-            while (asked < REQUESTS && asked - answered < 16) {
-                int seqid = firstSeqid + asked++;
+        for (int answered = 0; answered < REQUEST_COUNT; answered++) {
+            while (sent < REQUEST_COUNT && sent - answered < 16) {
+                int seqid = firstSeqid + sent++;
                 client.send(
                         "dispatch",
                         seqid,
@@ -118,11 +118,11 @@
                                 "m",
                                 "100.5"));
             }
-            ThriftClient.Answer answer = client.read();
+            ThriftClient.Answer answer = client.readAnswer();
             assertNotNull(answer, "the connection has ended");
             served += answer.served() ? 1 : 0;
         }
-        assertEquals(REQUESTS, asked);
-        assertTrue(served > REQUESTS * 0.99, "served: " + served);
+        assertEquals(REQUEST_COUNT, sent);
+        assertTrue(served > REQUEST_COUNT * 0.99, "served: " + served);
     }
 }
--- a/lab/src/test/java/barleyspur/lab/ThriftClient.java
+++ b/lab/src/test/java/barleyspur/lab/ThriftClient.java
@@ -27,12 +27,12 @@
         out = new DataOutputStream(socket.getOutputStream());
     }
 
-    void send(String method, int seqid, Map<String, String> fields) throws IOException {
+    void send(String method, int sequenceNumber, Map<String, String> fields) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         DataOutputStream frame = new DataOutputStream(bytes);
         frame.writeInt(0x80010001);
-        text(frame, method);
-        frame.writeInt(seqid);
+        writeText(frame, method);
+        frame.writeInt(sequenceNumber);
         if (fields != null) {
             frame.writeByte(13);
             frame.writeShort(1);
@@ -40,8 +40,8 @@
             frame.writeByte(11);
             frame.writeInt(fields.size());
             for (Map.Entry<String, String> field : fields.entrySet()) {
-                text(frame, field.getKey());
-                text(frame, field.getValue());
+                writeText(frame, field.getKey());
+                writeText(frame, field.getValue());
             }
         }
         frame.writeByte(0);
@@ -49,38 +49,38 @@
         out.write(bytes.toByteArray());
     }
 
-    private static void text(DataOutputStream to, String text) throws IOException {
-        to.writeInt(text.length());
-        to.write(text.getBytes(StandardCharsets.US_ASCII));
+    private static void writeText(DataOutputStream output, String text) throws IOException {
+        output.writeInt(text.length());
+        output.write(text.getBytes(StandardCharsets.US_ASCII));
     }
 
     /** An answer: the sequence number of its request, and whether the request was served. */
-    record Answer(int seqid, boolean served) {}
+    record Answer(int sequenceNumber, boolean served) {}
 
     /**
      * Reads the next answer and returns its sequence number; null at the end of the connection, which must not be a
      * reset.
      */
-    Integer answer() throws IOException {
-        Answer answer = read();
-        return answer == null ? null : answer.seqid();
+    Integer readSequenceNumber() throws IOException {
+        Answer answer = readAnswer();
+        return answer == null ? null : answer.sequenceNumber();
     }
 
     /** Reads the next answer; null at the end of the connection, which must not be a reset. */
-    Answer read() throws IOException {
-        int first = in.read();
-        if (first < 0) {
+    Answer readAnswer() throws IOException {
+        int firstByte = in.read();
+        if (firstByte < 0) {
             return null;
         }
         byte[] bytes = new byte
-                [first << 24 | in.readUnsignedByte() << 16 | in.readUnsignedByte() << 8 | in.readUnsignedByte()];
+                [firstByte << 24 | in.readUnsignedByte() << 16 | in.readUnsignedByte() << 8 | in.readUnsignedByte()];
         in.readFully(bytes);
         ByteBuffer frame = ByteBuffer.wrap(bytes);
         int type = frame.getInt() & 0xFF;
         frame.position(frame.getInt() + frame.position());
-        int seqid = frame.getInt();
+        int sequenceNumber = frame.getInt();
         frame.get();
-        return new Answer(seqid, type == REPLY && frame.getShort() == SUCCESS);
+        return new Answer(sequenceNumber, type == REPLY && frame.getShort() == SUCCESS);
     }
 
     @Override
--- a/lab/src/test/java/barleyspur/lab/fleet/BudgetProcessesTest.java
+++ b/lab/src/test/java/barleyspur/lab/fleet/BudgetProcessesTest.java
@@ -42,7 +42,7 @@
     @Test
     void leasesOfLostHoldersAreNotReused() throws Exception {
         BudgetFleet.Result result = play("holders.hcl");
-        assertTrue(result.boxes().get("s-0").mostAtOnce() > 0, "the box got no requests");
+        assertTrue(result.boxes().get("s-0").peakConcurrency() > 0, "the box got no requests");
     }
 
     /**
@@ -101,6 +101,6 @@
     /** The total that may be sent to a young box isn't granted again when a coordinator dies. */
     @Test
     void amountIsSpentOnce() throws Exception {
-        assertTrue(play("cold.hcl").boxes().get("s-0").arrived() > 0, "the box got no requests");
+        assertTrue(play("cold.hcl").boxes().get("s-0").arrivals() > 0, "the box got no requests");
     }
 }
--- a/lab/src/test/java/barleyspur/lab/fleet/EmbeddedClocksTest.java
+++ b/lab/src/test/java/barleyspur/lab/fleet/EmbeddedClocksTest.java
@@ -8,11 +8,11 @@
 import barleyspur.doorman.Clock;
 import barleyspur.doorman.EventLoopClock;
 import barleyspur.doorman.SocketPollTimes;
+import barleyspur.lab.stand.ArrivalMeter;
+import barleyspur.lab.stand.FakeBoxes;
+import barleyspur.lab.stand.FakeCommandChannel;
+import barleyspur.lab.stand.LoadGenerator;
 import barleyspur.lab.stand.NodeList;
-import barleyspur.lab.stand.StandBoxes;
-import barleyspur.lab.stand.StandChannel;
-import barleyspur.lab.stand.StandClients;
-import barleyspur.lab.stand.Tally;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -63,15 +63,15 @@
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         List<DoormanServer> nodes = new ArrayList<>();
         try {
-            StandBoxes boxes = new StandBoxes(group, "record", 40, new double[3]);
+            FakeBoxes boxes = new FakeBoxes(group, "record", 40, new double[3]);
             NodeList listed = new NodeList();
             for (int i = 0; i < 3; i++) {
                 InetSocketAddress at = new InetSocketAddress(network + (50 + i), 7001);
-                boxes.listen(at, StandBoxes.Kind.values()[i]);
-                listed.add(NodeList.node("s-" + i, at, StandBoxes.Kind.values()[i], 0, 64, 0));
+                boxes.listen(at, FakeBoxes.Kind.values()[i]);
+                listed.add(NodeList.describe("s-" + i, at, FakeBoxes.Kind.values()[i], 0, 64, 0));
             }
             InetSocketAddress channel = new InetSocketAddress(network + "100", 7001);
-            StandChannel.listen(group, channel, 1);
+            FakeCommandChannel.listen(group, channel, 1);
             Path key = Files.writeString(folder.resolve("fleet.key"), "Lab0key1That2Nobody3Else4Should5Have6In7Use8\n");
             Files.setPosixFilePermissions(key, PosixFilePermissions.fromString("rw-------"));
             List<InetSocketAddress> fronts = new ArrayList<>();
@@ -84,17 +84,19 @@
                         (loop, polls) -> new SkewedClock(loop, polls, rate)));
                 nodes.get(i).start();
             }
-            StandClients clients =
-                    new StandClients(group, List.of(new StandClients.Class("parts", 1, 600, 3_000)), fronts, 1);
+            LoadGenerator clients = new LoadGenerator(
+                    group, List.of(new LoadGenerator.RequestClass("parts", 1, 600, 3_000)), fronts, 1);
             clients.start(300, (slot, now) -> 1.0 / RATES.length);
             TimeUnit.SECONDS.sleep(9);
             DoormanServer first = nodes.remove(0);
             first.drain();
             first.awaitEnd();
             TimeUnit.SECONDS.sleep(6);
-            Tally tally = boxes.tally(new InetSocketAddress(network + "50", 7001));
-            assertTrue(tally.arrived() > 0, "the box received no calls");
-            assertTrue(tally.mostAtOnce() <= CAPACITY, tally.mostAtOnce() + " concurrent calls, limit " + CAPACITY);
+            ArrivalMeter tally = boxes.meter(new InetSocketAddress(network + "50", 7001));
+            assertTrue(tally.arrivals() > 0, "the box received no calls");
+            assertTrue(
+                    tally.peakConcurrency() <= CAPACITY,
+                    tally.peakConcurrency() + " concurrent calls, limit " + CAPACITY);
         } finally {
             nodes.forEach(DoormanServer::drain);
             for (DoormanServer node : nodes) {
@@ -111,7 +113,7 @@
                 .put("name", "e" + index)
                 .put("listen", network + (index + 1) + ":7001")
                 .put("channel", channel.getHostString() + ":7001")
-                .put("known", listed.known());
+                .put("known", listed.initialState());
         Path file = Files.writeString(folder.resolve("c" + index + ".json"), json.toString(1));
         return Configuration.load(Map.of("RELAY_CONFIG", file.toString(), "TMPDIR", folder.toString()));
     }
