--- a/lab/src/main/java/barleyspur/lab/Lab.java
+++ b/lab/src/main/java/barleyspur/lab/Lab.java
@@ -315,8 +315,8 @@
         return OK;
     }
 
-    private static int runScale(int secondsPerIteration, String plot, boolean firstCompiler) throws IOException {
-        Collection<RunResult> results = runBenchmark(DecisionScale.class, secondsPerIteration, firstCompiler);
+    private static int runScale(int secondsPerIteration, String plot, boolean c1Only) throws IOException {
+        Collection<RunResult> results = runBenchmark(DecisionScale.class, secondsPerIteration, c1Only);
         if (results == null) {
             return FAILED;
         }
@@ -327,10 +327,9 @@
     }
 
     /** Runs a benchmark, which prints its results; returns them, or null if it failed. */
-    private static Collection<RunResult> runBenchmark(
-            Class<?> benchmark, int secondsPerIteration, boolean firstCompiler) {
+    private static Collection<RunResult> runBenchmark(Class<?> benchmark, int secondsPerIteration, boolean c1Only) {
         List<String> jvmArguments = new ArrayList<>(List.of("-XX:+UseSerialGC", "-Xmx512m"));
-        if (firstCompiler) {
+        if (c1Only) {
             jvmArguments.add("-XX:TieredStopAtLevel=1");
         }
         ChainedOptionsBuilder options = new OptionsBuilder()
--- a/lab/src/main/java/barleyspur/lab/SyntheticTrace.java
+++ b/lab/src/main/java/barleyspur/lab/SyntheticTrace.java
@@ -37,16 +37,18 @@
         sizesKb = new int[capacity];
     }
 
+    /** Returns the number of requests. */
     int size() {
         return requestCount;
     }
 
+    /** Appends a request, or ignores it if the trace is full. */
     private void add(double timeMs, long object, int part, int sizeKb) {
-        if (this.requestCount < timesMs.length) {
-            timesMs[this.requestCount] = timeMs;
-            objects[this.requestCount] = object;
-            parts[this.requestCount] = part;
-            sizesKb[this.requestCount++] = sizeKb;
+        if (requestCount < timesMs.length) {
+            timesMs[requestCount] = timeMs;
+            objects[requestCount] = object;
+            parts[requestCount] = part;
+            sizesKb[requestCount++] = sizeKb;
         }
     }
 
@@ -81,11 +83,12 @@
             for (int i = 0; i < requestsPerDay / 4; i++) {
                 double dayFraction = random.nextDouble();
                 double timeMs = dayStartMs + 24 * HOUR_MS * dayFraction;
-                boolean inScan = timeMs >= scanStartMs
+                boolean oneTimeObject = timeMs >= scanStartMs
                                 && timeMs < scanStartMs + 4 * HOUR_MS
                                 && random.nextDouble() < scanShare * 4
                         || random.nextDouble() < 0.03;
-                trace.addViewing(inScan ? nextOneTimeObject++ : objectByRank[steadyRanks.sample()], timeMs, random);
+                trace.addViewing(
+                        oneTimeObject ? nextOneTimeObject++ : objectByRank[steadyRanks.sample()], timeMs, random);
             }
             for (int i = 0; i < requestsPerDay / 10; i++) {
                 trace.addViewing(
@@ -126,6 +129,7 @@
         }
     }
 
+    /** Sorts all columns by time; requests of the same time keep their order. */
     private void sortByTime() {
         Integer[] order = new Integer[requestCount];
         Arrays.setAll(order, i -> i);
--- a/lab/src/main/java/barleyspur/lab/TierReplay.java
+++ b/lab/src/main/java/barleyspur/lab/TierReplay.java
@@ -22,6 +22,7 @@
     /** Days at the start of the trace that fill the empty store and are excluded from the hit ratios. */
     private static final int WARM_UP_DAYS = 2;
 
+    /** Objects in the request history of the disk tier's own policy. */
     private static final int HISTORY_OBJECTS = 200_000;
 
     /**
@@ -35,6 +36,7 @@
 
     private TierReplay() {}
 
+    /** Returns constructors of all policies, which take the capacity in KB, by name. */
     static Map<String, LongFunction<RetentionPolicy>> policies() {
         Map<String, LongFunction<RetentionPolicy>> policies = new LinkedHashMap<>();
         policies.put("lru", BaselinePolicies.Lru::new);
@@ -59,6 +61,7 @@
         return counter.hitRatios();
     }
 
+    /** Counts hits and requests after the warm-up days. */
     private static final class HitCounter {
         private long requests;
         private long hits;
--- a/lab/src/main/java/barleyspur/lab/stand/ArrivalMeter.java
+++ b/lab/src/main/java/barleyspur/lab/stand/ArrivalMeter.java
@@ -19,7 +19,9 @@
     private volatile long windowEndMs;
     private volatile long windowCount;
     private final List<Long> windowTimesMs = new ArrayList<>();
+    /** Level of a leaky bucket that drains at the rate and to which each arrival adds 1. */
     private double level;
+
     private double levelUpdatedMs;
     private double maxLevel;
     /** The highest level, less the arrivals that may have queued up while this process was not scheduled. */
