--- a/lab/src/main/java/barleyspur/lab/stand/StandChannel.java
+++ b/lab/src/main/java/barleyspur/lab/stand/FakeCommandChannel.java
@@ -17,29 +17,37 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
 
-/** The command channel: events as they are told, and each second the number of the last one. */
-public final class StandChannel {
+/** A fake command channel. It sends the events that it is given, and every second the cursor of the last one. */
+public final class FakeCommandChannel {
 
     private final ChannelGroup connections = new DefaultChannelGroup(ImmediateEventExecutor.INSTANCE);
-    private volatile long last;
+    private volatile long lastCursor;
 
-    private StandChannel(long last) {
-        this.last = last;
+    private FakeCommandChannel(long lastCursor) {
+        this.lastCursor = lastCursor;
     }
 
-    /** Tells all that are connected one event more: {@code body} is what stands beside its number, as in {@code "nodes":...}. */
-    public void tell(String body) {
-        last++;
+    /**
+     * Sends the next event to all connected doormans.
+     *
+     * @param body the members of the event's JSON object besides its cursor, such as {@code "nodes":...}
+     */
+    public void sendEvent(String body) {
+        lastCursor++;
         connections.writeAndFlush(
-                Unpooled.copiedBuffer("{\"cursor\":" + last + "," + body + "}\n", StandardCharsets.UTF_8));
+                Unpooled.copiedBuffer("{\"cursor\":" + lastCursor + "," + body + "}\n", StandardCharsets.UTF_8));
     }
 
-    /** Listens; {@code last} is the number of the last event, which all have from their start. */
-    public static StandChannel listen(EventLoopGroup group, InetSocketAddress address, long last)
+    /**
+     * Starts a channel.
+     *
+     * @param lastCursor the cursor of the last event that all doormans know from their configuration
+     */
+    public static FakeCommandChannel listen(EventLoopGroup group, InetSocketAddress address, long lastCursor)
             throws InterruptedException {
-        StandChannel told = new StandChannel(last);
-        told.listen(group, address);
-        return told;
+        FakeCommandChannel commandChannel = new FakeCommandChannel(lastCursor);
+        commandChannel.listen(group, address);
+        return commandChannel;
     }
 
     private void listen(EventLoopGroup group, InetSocketAddress address) throws InterruptedException {
@@ -58,7 +66,7 @@
                                                 () -> {
                                                     if (ctx.channel().isActive()) {
                                                         ctx.writeAndFlush(
-                                                                ByteBufUtil.writeAscii(ctx.alloc(), last + "\n"));
+                                                                ByteBufUtil.writeAscii(ctx.alloc(), lastCursor + "\n"));
                                                     }
                                                 },
                                                 0,
@@ -67,9 +75,9 @@
                             }
 
                             @Override
-                            protected void channelRead0(ChannelHandlerContext ctx, ByteBuf resume) {
-                                // Nobody lacks anything: events are told once all are connected.
-                                resume.skipBytes(resume.readableBytes());
+                            protected void channelRead0(ChannelHandlerContext ctx, ByteBuf request) {
+                                // No doorman has missed an event, since events are sent only after all have connected.
+                                request.skipBytes(request.readableBytes());
                             }
 
                             @Override
