--- a/lab/src/main/java/barleyspur/lab/Lab.java
+++ b/lab/src/main/java/barleyspur/lab/Lab.java
@@ -1,10 +1,10 @@
 package barleyspur.lab;
 
 import barleyspur.config.Hcl;
-import barleyspur.lab.fleet.BudgetLab;
+import barleyspur.lab.fleet.BudgetCommands;
 import barleyspur.lab.fleet.FleetDemo;
-import barleyspur.lab.fleet.FleetLab;
-import barleyspur.lab.fleet.FleetMeasure;
+import barleyspur.lab.fleet.FleetMeasurement;
+import barleyspur.lab.fleet.FleetRunCommand;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -152,7 +152,7 @@
                 if (!line.getArgList().equals(List.of("budget"))) {
                     throw new IllegalArgumentException("budget was wanted, not " + String.join(" ", line.getArgList()));
                 }
-                return BudgetLab.check(
+                return BudgetCommands.check(
                                 number(line, "steps", 14, 1),
                                 number(line, "faults", 2, 0),
                                 line.getOptionValue("replay"))
@@ -200,8 +200,8 @@
             for (String n : line.getOptionValue("sizes", "3,14,100,1000").split(",")) {
                 sizes.add(number("sizes", n, 3));
             }
-            FleetMeasure.print(sizes);
-            FleetMeasure.printVerdicts(14, number(line, "minutes", 60, 1));
+            FleetMeasurement.print(sizes);
+            FleetMeasurement.printVerdicts(14, number(line, "minutes", 60, 1));
             return OK;
         }
         if (words.equals(List.of("demo"))) {
@@ -221,8 +221,8 @@
         int seeds = number(line, "seeds", 1, 1);
         try {
             return (line.hasOption("virtual")
-                            ? FleetLab.virtual(scenario, seeds, folder)
-                            : FleetLab.real(scenario, jar(line), folder))
+                            ? FleetRunCommand.virtual(scenario, seeds, folder)
+                            : FleetRunCommand.real(scenario, jar(line), folder))
                     ? OK
                     : FAILED;
         } catch (Hcl.Invalid e) {
@@ -238,7 +238,7 @@
             for (String n : line.getOptionValue("sizes", "3,14,100").split(",")) {
                 sizes.add(number("sizes", n, 3));
             }
-            BudgetLab.measure(sizes);
+            BudgetCommands.measure(sizes);
             return OK;
         }
         if (words.equals(List.of("scale"))) {
@@ -253,8 +253,8 @@
         int seeds = number(line, "seeds", 1, 1);
         try {
             return (line.hasOption("virtual")
-                            ? BudgetLab.virtual(scenario, seeds, folder)
-                            : BudgetLab.real(scenario, jar(line), folder))
+                            ? BudgetCommands.virtual(scenario, seeds, folder)
+                            : BudgetCommands.real(scenario, jar(line), folder))
                     ? OK
                     : FAILED;
         } catch (Hcl.Invalid e) {
--- a/lab/src/main/java/barleyspur/lab/fleet/BudgetLab.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/BudgetCommands.java
@@ -18,19 +18,19 @@
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
 /** The commands {@code budget run} and {@code budget measure}. */
-public final class BudgetLab {
+public final class BudgetCommands {
 
     static final double DRIFT = 0.01;
     private static final double PLOT_MS = 500;
 
-    private BudgetLab() {}
+    private BudgetCommands() {}
 
     /** Plays a scenario with budgets on real processes; whether all promises were kept. */
     public static boolean real(Path scenario, Path jar, Path folder) throws Hcl.Invalid, IOException {
-        Schedule schedule = load(scenario);
-        System.out.printf("%s: %d doormans, logs below %s%n", schedule.name(), schedule.started(), folder);
+        FaultSchedule schedule = load(scenario);
+        System.out.printf("%s: %d doormans, logs below %s%n", schedule.name(), schedule.initialDoormans(), folder);
         try {
-            BudgetFleet.Result r = BudgetFleet.play(schedule, jar, folder, System.out::println);
+            BudgetProcessRun.RunResult r = BudgetProcessRun.play(schedule, jar, folder, System.out::println);
             r.rows().forEach(System.out::println);
             r.boxes()
                     .forEach((uid, t) -> System.out.printf(
@@ -52,23 +52,23 @@
                     r.traffic().stream().mapToDouble(t -> t[1]).max().orElse(0),
                     r.young());
             report(folder, schedule, r);
-            return FleetLab.judge(r.broken());
+            return FleetRunCommand.judge(r.broken());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return false;
         }
     }
 
-    private static Schedule load(Path scenario) throws Hcl.Invalid {
-        Schedule schedule = ScenarioFile.load(scenario);
-        if (schedule.use() == null) {
+    private static FaultSchedule load(Path scenario) throws Hcl.Invalid {
+        FaultSchedule schedule = ScenarioFile.load(scenario);
+        if (schedule.workload() == null) {
             throw new Hcl.Invalid(
                     scenario.toString(), 1, "has no block load { ... } and no budgets: fleet run plays it");
         }
         return schedule;
     }
 
-    private static void report(Path folder, Schedule schedule, BudgetFleet.Result r) throws IOException {
+    private static void report(Path folder, FaultSchedule schedule, BudgetProcessRun.RunResult r) throws IOException {
         XYChart chart = new XYChartBuilder()
                 .width(1_000)
                 .height(400)
@@ -77,7 +77,7 @@
                 .yAxisTitle("part of the whole that is held")
                 .build();
         JSONArray held = new JSONArray();
-        for (String budget : new TreeMap<>(schedule.use().terms().budgets()).keySet()) {
+        for (String budget : new TreeMap<>(schedule.workload().config().budgets()).keySet()) {
             List<Double> xs = new ArrayList<>();
             List<Double> ys = new ArrayList<>();
             for (double t = 0; t + PLOT_MS <= r.endMs(); t += PLOT_MS) {
@@ -107,13 +107,13 @@
                         Locale.ROOT,
                         "<tr><td>%.1f<td>%s",
                         s.atMs() / 1e3,
-                        FleetReport.escaped(s.fault().toString()))));
+                        FleetRunReport.escaped(s.fault().toString()))));
         Files.writeString(
                 folder.resolve("report.json"),
                 new JSONObject()
                                 .put("scenario", schedule.name())
-                                .put("doormans", schedule.started())
-                                .put("seed", schedule.seed())
+                                .put("doormans", schedule.initialDoormans())
+                                .put("seed", schedule.randomSeed())
                                 .put("held", held)
                                 .put("boxes", boxes)
                                 .put(
@@ -127,43 +127,46 @@
                         + "\n");
         Files.writeString(
                 folder.resolve("report.html"),
-                "<!doctype html><meta charset=utf-8><title>" + FleetReport.escaped(schedule.name()) + "</title><h1>"
-                        + FleetReport.escaped(schedule.name()) + "</h1><p>"
+                "<!doctype html><meta charset=utf-8><title>" + FleetRunReport.escaped(schedule.name()) + "</title><h1>"
+                        + FleetRunReport.escaped(schedule.name()) + "</h1><p>"
                         + (r.broken().isEmpty()
                                 ? "All promises kept."
-                                : "Broken: " + FleetReport.escaped(r.broken().toString()))
+                                : "Broken: " + FleetRunReport.escaped(r.broken().toString()))
                         + "</p><img src=held.png>"
                         + "<h2>Faults</h2><table border=1><tr><th>second<th>fault" + struck
                         + "</table><h2>The scenario</h2><pre>"
-                        + FleetReport.escaped(ScenarioFile.write(schedule)) + "</pre>\n");
+                        + FleetRunReport.escaped(ScenarioFile.write(schedule)) + "</pre>\n");
         System.out.println("report: " + folder.resolve("report.html"));
     }
 
     /** Plays a scenario in virtual time from its seed on; the first seed that breaks a promise is shrunk and written. */
     public static boolean virtual(Path scenario, int seeds, Path folder) throws Hcl.Invalid, IOException {
-        Schedule schedule = load(scenario);
+        FaultSchedule schedule = load(scenario);
         long start = System.nanoTime();
         double usable = 0;
         for (int i = 0; i < seeds; i++) {
-            Schedule played = schedule.with(schedule.seed() + i);
-            BudgetWorld world = BudgetWorld.of(played, DRIFT);
-            world.play();
-            if (!world.broken().isEmpty()) {
-                Schedule small = Shrinker.shrink(played, s -> {
-                    BudgetWorld again = BudgetWorld.of(s, DRIFT);
-                    again.play();
-                    return !again.broken().isEmpty();
+            FaultSchedule played = schedule.with(schedule.randomSeed() + i);
+            BudgetSimulation world = BudgetSimulation.forSchedule(played, DRIFT);
+            world.run();
+            if (!world.violations().isEmpty()) {
+                FaultSchedule small = Shrinker.shrink(played, s -> {
+                    BudgetSimulation again = BudgetSimulation.forSchedule(s, DRIFT);
+                    again.run();
+                    return !again.violations().isEmpty();
                 });
                 Files.createDirectories(folder);
-                Path file = folder.resolve("broken-" + played.seed() + ".hcl");
+                Path file = folder.resolve("broken-" + played.randomSeed() + ".hcl");
                 Files.writeString(file, ScenarioFile.write(small));
                 System.out.printf(
                         "seed %d; shrunk from %d to %d steps; again: barleyspur-lab budget run %s --virtual%n",
-                        played.seed(), played.steps().size(), small.steps().size(), file);
-                return FleetLab.judge(world.broken());
+                        played.randomSeed(),
+                        played.steps().size(),
+                        small.steps().size(),
+                        file);
+                return FleetRunCommand.judge(world.violations());
             }
-            usable += played.use().terms().budgets().keySet().stream()
-                    .mapToDouble(world::usable)
+            usable += played.workload().config().budgets().keySet().stream()
+                    .mapToDouble(world::usableFraction)
                     .min()
                     .orElse(0);
         }
@@ -173,10 +176,10 @@
                         + "used on average%n",
                 schedule.name(),
                 seeds,
-                schedule.started(),
+                schedule.initialDoormans(),
                 (System.nanoTime() - start) / 1e9,
                 usable / seeds);
-        return FleetLab.judge(List.of());
+        return FleetRunCommand.judge(List.of());
     }
 
     /**
@@ -187,15 +190,15 @@
     public static boolean check(int steps, int faults, String replay) {
         boolean good = true;
         for (Kind kind : Kind.values()) {
-            BudgetChecker checker = new BudgetChecker(kind, steps);
+            BudgetModelChecker checker = new BudgetModelChecker(kind, steps);
             if (replay != null) {
-                String broken = checker.play(BudgetChecker.parse(replay));
+                String broken = checker.play(BudgetModelChecker.parse(replay));
                 System.out.printf("%s: %s%n", kind, broken == null ? "not over the whole" : "BROKEN " + broken);
                 good &= broken == null;
                 continue;
             }
             long start = System.nanoTime();
-            BudgetChecker.Result r = checker.explore(faults);
+            BudgetModelChecker.ExplorationResult r = checker.explore(faults);
             System.out.printf(
                     Locale.ROOT,
                     "%s: %d schedules of up to %d faults in %d steps, %d steps played, %d different states "
@@ -222,6 +225,6 @@
 
     /** Prints what is found by size and kind of load, in virtual time. */
     public static void measure(List<Integer> sizes) {
-        BudgetMeasure.print(sizes.stream().sorted(Comparator.naturalOrder()).toList());
+        BudgetMeasurement.print(sizes.stream().sorted(Comparator.naturalOrder()).toList());
     }
 }
--- a/lab/src/main/java/barleyspur/lab/fleet/BudgetMeasure.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/BudgetMeasurement.java
@@ -9,18 +9,18 @@
 import java.util.TreeMap;
 
 /** {@code budget measure}: use of the whole, time to divide anew and traffic by size and load, in virtual time. */
-final class BudgetMeasure {
+final class BudgetMeasurement {
 
     private static final double LEASE_MS = 4_000;
     private static final double TERM_MS = 1_500;
     private static final double WARM_MS = 15_000;
     private static final double OVER_MS = 20_000;
 
-    private BudgetMeasure() {}
+    private BudgetMeasurement() {}
 
-    private static BudgetWorld world(int doormans, long whole, BudgetWorld.Demand demand) {
+    private static BudgetSimulation world(int doormans, long whole, BudgetSimulation.Demand demand) {
         Terms terms = new Terms(
-                BudgetWorld.voters(Math.min(3, doormans)),
+                BudgetSimulation.voterAddresses(Math.min(3, doormans)),
                 doormans,
                 TERM_MS,
                 500,
@@ -28,8 +28,8 @@
                 Map.of(
                         "calls",
                         new Terms.Budget("calls", Kind.RATE, whole, Math.max(doormans, whole), 0, 1, LEASE_MS)));
-        Schedule schedule = new Schedule("measure", doormans, doormans, List.of(0), 500, List.of(), 0, 1);
-        return new BudgetWorld(schedule, terms, BudgetLab.DRIFT, List.of("calls:s0"), demand);
+        FaultSchedule schedule = new FaultSchedule("measure", doormans, doormans, List.of(0), 500, List.of(), 0, 1);
+        return new BudgetSimulation(schedule, terms, BudgetCommands.DRIFT, List.of("calls:s0"), demand);
     }
 
     /** What a fixed part for each would let through of what is wanted, as a part of the whole. */
@@ -47,7 +47,7 @@
                 "doormans  load      in use  fixed parts  Jain  words/s a doorman  real ms/virtual s  anew s after kill");
         for (int n : sizes) {
             long whole = 20L * n;
-            Map<String, BudgetWorld.Demand> loads = new TreeMap<>();
+            Map<String, BudgetSimulation.Demand> loads = new TreeMap<>();
             loads.put("even", (b, slot, now) -> 30);
             loads.put("skewed", (b, slot, now) -> slot < Math.max(1, n / 3) ? 90 : 2);
             loads.put("jumping", (b, slot, now) -> slot % 3 == (int) (now / 1_000) % 3 ? 90 : 2);
@@ -55,25 +55,25 @@
         }
     }
 
-    private static void row(int n, long whole, String name, BudgetWorld.Demand demand) {
-        BudgetWorld world = world(n, whole, demand);
-        world.begin();
-        world.playTo(WARM_MS);
-        long sent = world.sent;
-        long arrived = world.box("calls:s0").arrived;
-        Map<Integer, Long> bySlot = new TreeMap<>(world.box("calls:s0").bySlot);
+    private static void row(int n, long whole, String name, BudgetSimulation.Demand demand) {
+        BudgetSimulation world = world(n, whole, demand);
+        world.startInitialProcesses();
+        world.runUntil(WARM_MS);
+        long sent = world.sentMessages;
+        long arrived = world.box("calls:s0").arrivals;
+        Map<Integer, Long> bySlot = new TreeMap<>(world.box("calls:s0").arrivalsBySlot);
         long nanos = System.nanoTime();
-        world.playTo(WARM_MS + OVER_MS);
+        world.runUntil(WARM_MS + OVER_MS);
         double real = (System.nanoTime() - nanos) / 1e6 / (OVER_MS / 1e3);
-        double words = (world.sent - sent) / (OVER_MS / 1e3) / n;
-        double used = (world.box("calls:s0").arrived - arrived) / (OVER_MS / 1e3) / whole;
+        double words = (world.sentMessages - sent) / (OVER_MS / 1e3) / n;
+        double used = (world.box("calls:s0").arrivals - arrived) / (OVER_MS / 1e3) / whole;
         double[] wants = new double[n];
         double sum = 0;
         double squares = 0;
         int hungry = 0;
         for (int i = 0; i < n; i++) {
-            wants[i] = demand.perS("calls", i, 0);
-            double got = world.box("calls:s0").bySlot.getOrDefault(i, 0L) - bySlot.getOrDefault(i, 0L);
+            wants[i] = demand.attemptsPerSecond("calls", i, 0);
+            double got = world.box("calls:s0").arrivalsBySlot.getOrDefault(i, 0L) - bySlot.getOrDefault(i, 0L);
             // Among those that want the most, which all are to have alike.
             if (name.equals("jumping") || wants[i] > 2) {
                 sum += got;
@@ -91,8 +91,10 @@
         double killed = world.nowMs;
         double anew = Double.POSITIVE_INFINITY;
         while (world.nowMs - killed < 30_000 && Double.isInfinite(anew)) {
-            world.playTo(world.nowMs + 100);
-            anew = world.usable("calls:s0") >= 0.95 && world.nowMs - killed > 1_000 ? world.nowMs - killed : anew;
+            world.runUntil(world.nowMs + 100);
+            anew = world.usableFraction("calls:s0") >= 0.95 && world.nowMs - killed > 1_000
+                    ? world.nowMs - killed
+                    : anew;
         }
         System.out.printf(
                 Locale.ROOT,
@@ -105,6 +107,8 @@
                 words,
                 real,
                 anew / 1e3,
-                world.broken().isEmpty() ? "" : "  BROKEN " + world.broken().get(0));
+                world.violations().isEmpty()
+                        ? ""
+                        : "  BROKEN " + world.violations().get(0));
     }
 }
--- a/lab/src/main/java/barleyspur/lab/fleet/BudgetChecker.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/BudgetModelChecker.java
@@ -20,10 +20,10 @@
  * first, so that the first counterexample is a shortest one. In each step the time moves, what was sent in the step before
  * arrives, everybody ticks and takes what it can get.
  */
-final class BudgetChecker {
+final class BudgetModelChecker {
 
     /** What may be done to one doorman in one step. */
-    enum Blow {
+    enum FaultKind {
         /** What it sent in the step before is lost. */
         LOSE,
         /** The same arrives six steps later, after what was sent since. */
@@ -45,7 +45,7 @@
     }
 
     /** A fault: in which step, what, and to whom. */
-    record Placed(int step, Blow blow, int doorman) {
+    record PlacedFault(int step, FaultKind blow, int doorman) {
         @Override
         public String toString() {
             return step + ":" + blow + ":" + (doorman + 1);
@@ -53,13 +53,13 @@
     }
 
     /** Faults as they are printed. */
-    static List<Placed> parse(String text) {
-        List<Placed> faults = new ArrayList<>();
+    static List<PlacedFault> parse(String text) {
+        List<PlacedFault> faults = new ArrayList<>();
         for (String word : text.strip().split(" +")) {
             String[] parts = word.split(":");
             try {
-                faults.add(
-                        new Placed(Integer.parseInt(parts[0]), Blow.valueOf(parts[1]), Integer.parseInt(parts[2]) - 1));
+                faults.add(new PlacedFault(
+                        Integer.parseInt(parts[0]), FaultKind.valueOf(parts[1]), Integer.parseInt(parts[2]) - 1));
             } catch (RuntimeException e) {
                 throw new IllegalArgumentException("--replay is no fault, as 27:RESTART:1: " + word, e);
             }
@@ -68,7 +68,7 @@
     }
 
     /** What an exploration came to. */
-    record Result(long schedules, long steps, int states, List<Placed> counterexample, String broken) {}
+    record ExplorationResult(long schedules, long steps, int states, List<PlacedFault> counterexample, String broken) {}
 
     private static final int DOORMANS = 3;
     static final double STEP_MS = 50;
@@ -89,11 +89,11 @@
     private final Terms terms;
     private final int steps;
 
-    BudgetChecker(Kind kind, int steps) {
+    BudgetModelChecker(Kind kind, int steps) {
         this.steps = steps;
         double lease = kind == Kind.AMOUNT ? AMOUNT_STEPS * STEP_MS : LEASE_MS;
         terms = new Terms(
-                BudgetWorld.voters(DOORMANS),
+                BudgetSimulation.voterAddresses(DOORMANS),
                 DOORMANS,
                 TERM_MS,
                 HOLD_MS,
@@ -101,10 +101,10 @@
                 Map.of("b", new Terms.Budget("b", kind, 2, DOORMANS, 0, 1, lease)));
     }
 
-    private record Flying(int atStep, int from, int to, Word word) {}
+    private record InFlightMessage(int atStep, int from, int to, Word word) {}
 
     /** The world, played from its beginning for each schedule. */
-    private final class World {
+    private final class Model {
         private final Budgets[] budgets = new Budgets[DOORMANS];
         private final Share[] shares = new Share[DOORMANS];
         private final long[] nonces = new long[DOORMANS];
@@ -113,14 +113,14 @@
         /** Units in use: who took them, when they are given back there, and whether that process lives. */
         private final List<double[]> inUse = new ArrayList<>();
 
-        private List<Flying> flying = new ArrayList<>();
-        private List<Flying> sentNow = new ArrayList<>();
+        private List<InFlightMessage> flying = new ArrayList<>();
+        private List<InFlightMessage> sentNow = new ArrayList<>();
         private int step;
         private long lives;
         private long spentByDead;
         private String broken;
 
-        World() {
+        Model() {
             for (int i = 0; i < DOORMANS; i++) {
                 start(i);
             }
@@ -134,14 +134,15 @@
             int self = i;
             nonces[i] = ++lives;
             frozenTo[i] = 0;
-            budgets[i] = new Budgets(terms, "d" + (i + 1), BudgetWorld.address(i), nonces[i], lives, clock(i), a -> {
-                if (a instanceof Action.Send s) {
-                    sentNow.add(new Flying(
-                            step + 1, self, Integer.parseInt(s.address().substring(8, 9)) - 1, s.word()));
-                }
-            });
+            budgets[i] =
+                    new Budgets(terms, "d" + (i + 1), BudgetSimulation.addressOf(i), nonces[i], lives, clock(i), a -> {
+                        if (a instanceof Action.Send s) {
+                            sentNow.add(new InFlightMessage(
+                                    step + 1, self, Integer.parseInt(s.address().substring(8, 9)) - 1, s.word()));
+                        }
+                    });
             Set<String> others = new HashSet<>(terms.voters());
-            others.remove(BudgetWorld.address(i));
+            others.remove(BudgetSimulation.addressOf(i));
             budgets[i].there(others);
         }
 
@@ -162,25 +163,29 @@
             return budgets[i] != null && step >= frozenTo[i];
         }
 
-        void play(List<Placed> faults, int to) {
+        void play(List<PlacedFault> faults, int to) {
             while (step < to && broken == null) {
                 step++;
-                List<Flying> now = new ArrayList<>(sentNow);
+                List<InFlightMessage> now = new ArrayList<>(sentNow);
                 sentNow = new ArrayList<>();
-                for (Placed f : faults) {
+                for (PlacedFault f : faults) {
                     if (f.step == step) {
                         strike(f, now);
                     }
                 }
                 flying.addAll(now);
-                List<Flying> later = new ArrayList<>();
-                for (Flying f : flying) {
+                List<InFlightMessage> later = new ArrayList<>();
+                for (InFlightMessage f : flying) {
                     boolean cut = step < cutTo[f.from] || step < cutTo[f.to];
                     if (f.atStep > step || step < frozenTo[f.to] && budgets[f.to] != null) {
                         later.add(f);
                     } else if (!cut && budgets[f.to] != null) {
                         budgets[f.to].receive(
-                                clock(f.to), BudgetWorld.address(f.from), "d" + (f.from + 1), nonces[f.from], f.word);
+                                clock(f.to),
+                                BudgetSimulation.addressOf(f.from),
+                                "d" + (f.from + 1),
+                                nonces[f.from],
+                                f.word);
                     }
                 }
                 flying = later;
@@ -214,15 +219,15 @@
             budgets[i].wantsMore(clock(i), shares[i]);
         }
 
-        private void strike(Placed f, List<Flying> now) {
+        private void strike(PlacedFault f, List<InFlightMessage> now) {
             int i = f.doorman;
             switch (f.blow) {
                 case LOSE -> now.removeIf(m -> m.from == i);
                 case LATE, TWICE -> {
-                    for (Flying m : List.copyOf(now)) {
+                    for (InFlightMessage m : List.copyOf(now)) {
                         if (m.from == i) {
-                            flying.add(new Flying(step + LATER, m.from, m.to, m.word));
-                            if (f.blow == Blow.LATE) {
+                            flying.add(new InFlightMessage(step + LATER, m.from, m.to, m.word));
+                            if (f.blow == FaultKind.LATE) {
                                 now.remove(m);
                             }
                         }
@@ -232,7 +237,7 @@
                     if (budgets[i] != null) {
                         kill(i);
                     }
-                    if (f.blow == Blow.RESTART) {
+                    if (f.blow == FaultKind.RESTART) {
                         start(i);
                     }
                 }
@@ -243,7 +248,7 @@
                         start(i);
                     }
                 }
-                case FREEZE, FREEZE_LONG -> frozenTo[i] = step + (f.blow == Blow.FREEZE ? SHORT : LONG);
+                case FREEZE, FREEZE_LONG -> frozenTo[i] = step + (f.blow == FaultKind.FREEZE ? SHORT : LONG);
                 default -> cutTo[i] = step + LONG;
             }
         }
@@ -297,15 +302,15 @@
     }
 
     /** Plays one schedule; null, or what it breaks. */
-    String play(List<Placed> faults) {
-        World world = new World();
+    String play(List<PlacedFault> faults) {
+        Model world = new Model();
         world.play(faults, WARM_UP + steps);
         return world.broken;
     }
 
     /** Whether both units are held when the warm-up is over: else nothing would be shown. */
     boolean isWarm() {
-        World world = new World();
+        Model world = new Model();
         world.play(List.of(), WARM_UP);
         long sum = 0;
         for (int i = 0; i < DOORMANS; i++) {
@@ -322,21 +327,21 @@
     }
 
     /** All ways to place up to so many faults; ends with the first that breaks the promise. */
-    Result explore(int most) {
+    ExplorationResult explore(int most) {
         long[] counts = new long[2];
         Set<Long> states = new HashSet<>();
         for (int count = 0; count <= most; count++) {
-            List<Placed> found = explore(new ArrayList<>(), count, WARM_UP + 1, counts, states);
+            List<PlacedFault> found = explore(new ArrayList<>(), count, WARM_UP + 1, counts, states);
             if (found != null) {
-                return new Result(counts[0], counts[1], states.size(), found, play(found));
+                return new ExplorationResult(counts[0], counts[1], states.size(), found, play(found));
             }
         }
-        return new Result(counts[0], counts[1], states.size(), null, null);
+        return new ExplorationResult(counts[0], counts[1], states.size(), null, null);
     }
 
-    private List<Placed> explore(List<Placed> faults, int left, int from, long[] counts, Set<Long> states) {
+    private List<PlacedFault> explore(List<PlacedFault> faults, int left, int from, long[] counts, Set<Long> states) {
         if (left == 0) {
-            World world = new World();
+            Model world = new Model();
             int last = faults.isEmpty() ? 0 : faults.get(faults.size() - 1).step;
             world.play(faults, last);
             counts[0]++;
@@ -348,10 +353,10 @@
             return world.broken == null ? null : List.copyOf(faults);
         }
         for (int step = from; step <= WARM_UP + steps; step++) {
-            for (Blow blow : Blow.values()) {
+            for (FaultKind blow : FaultKind.values()) {
                 for (int i = 0; i < DOORMANS; i++) {
-                    faults.add(new Placed(step, blow, i));
-                    List<Placed> found = explore(faults, left - 1, step + 1, counts, states);
+                    faults.add(new PlacedFault(step, blow, i));
+                    List<PlacedFault> found = explore(faults, left - 1, step + 1, counts, states);
                     faults.remove(faults.size() - 1);
                     if (found != null) {
                         return found;
--- a/lab/src/main/java/barleyspur/lab/fleet/BudgetWatch.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/BudgetMonitor.java
@@ -13,7 +13,7 @@
  * Joins what every process told of its shares, on the machine's one monotonic clock, and finds any instant at which all
  * together could use more than the whole. Also what a killed process held counts until it runs out.
  */
-final class BudgetWatch {
+final class BudgetMonitor {
 
     /** A share as a process told it. */
     record Told(double atMs, int process, int slot, String budget, long amount, double untilMs) {}
@@ -28,7 +28,7 @@
 
     private int dividers;
 
-    BudgetWatch(Terms terms) {
+    BudgetMonitor(Terms terms) {
         this.terms = terms;
     }
 
--- a/lab/src/main/java/barleyspur/lab/fleet/BudgetFleet.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/BudgetProcessRun.java
@@ -28,7 +28,7 @@
  * clients that ask at a rate whatever becomes of it. Judged by what the processes told of their shares, joined on the
  * machine's clock, and independently by what the boxes counted.
  */
-final class BudgetFleet {
+final class BudgetProcessRun {
 
     private static final int PORT = 7001;
     private static final int PARENTS = 2;
@@ -43,54 +43,54 @@
     private static final long CLOCKS_MS = 200;
 
     /** What a play came to; {@code young}: what came to the young box while it surely was one. */
-    record Result(
-            Watch views,
-            BudgetWatch shares,
+    record RunResult(
+            MembershipMonitor views,
+            BudgetMonitor shares,
             List<String> broken,
             List<Double> times,
             Map<String, Tally> boxes,
             List<String> rows,
             long young,
-            List<RealFleet.Struck> struck,
+            List<RealFleet.InjectedFault> struck,
             List<double[]> traffic,
             double endMs,
             double anewMs) {}
 
-    private BudgetFleet() {}
+    private BudgetProcessRun() {}
 
-    static Result play(Schedule schedule, Path jar, Path folder, Consumer<String> progress)
+    static RunResult play(FaultSchedule schedule, Path jar, Path folder, Consumer<String> progress)
             throws IOException, InterruptedException {
-        Schedule.Use use = schedule.use();
-        Watch views = new Watch(true);
+        FaultSchedule.Workload use = schedule.workload();
+        MembershipMonitor views = new MembershipMonitor(true);
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         String network =
                 "127." + (20 + ProcessHandle.current().pid() % 200) + "." + (252 - PLAYS.getAndIncrement() % 40) + ".";
         double[] rates = new double[StandBoxes.Kind.values().length];
-        for (Terms.Budget b : use.terms().budgets().values()) {
+        for (Terms.Budget b : use.config().budgets().values()) {
             if (b.kind() == Kind.RATE) {
-                rates[kind(use.at().get(b.name())).ordinal()] = b.whole();
+                rates[kind(use.modelByBudget().get(b.name())).ordinal()] = b.whole();
             }
         }
-        StandBoxes boxes = new StandBoxes(group, "record", (int) use.hitMs(), rates);
+        StandBoxes boxes = new StandBoxes(group, "record", (int) use.hitServiceMs(), rates);
         Map<String, InetSocketAddress> addresses = new TreeMap<>();
         NodeList nodes = new NodeList();
-        long bootMs = System.currentTimeMillis() + (long) use.coldMs();
-        for (int i = 0; i < use.caches() + PARENTS + 1; i++) {
-            StandBoxes.Kind kind = i < use.caches()
+        long bootMs = System.currentTimeMillis() + (long) use.firstCacheStartMs();
+        for (int i = 0; i < use.cacheCount() + PARENTS + 1; i++) {
+            StandBoxes.Kind kind = i < use.cacheCount()
                     ? StandBoxes.Kind.CACHE
-                    : i < use.caches() + PARENTS ? StandBoxes.Kind.PARENT : StandBoxes.Kind.ORIGIN;
+                    : i < use.cacheCount() + PARENTS ? StandBoxes.Kind.PARENT : StandBoxes.Kind.ORIGIN;
             InetSocketAddress at = new InetSocketAddress(network + (i + 1), PORT);
             boxes.listen(at, kind);
             addresses.put("s-" + i, at);
-            nodes.add(NodeList.node("s-" + i, at, kind, i % 2, 64, i == 0 && use.coldMs() > 0 ? bootMs : 0));
+            nodes.add(NodeList.node("s-" + i, at, kind, i % 2, 64, i == 0 && use.firstCacheStartMs() > 0 ? bootMs : 0));
         }
         InetSocketAddress channel = new InetSocketAddress(network + "100", PORT);
         StandChannel.listen(group, channel, 1);
         List<Double> times;
         List<String> rows;
-        BudgetWatch shares;
+        BudgetMonitor shares;
         List<String> broken;
-        List<RealFleet.Struck> struck;
+        List<RealFleet.InjectedFault> struck;
         List<double[]> traffic;
         double endMs;
         double anewMs;
@@ -99,17 +99,17 @@
         addresses.forEach((uid, at) -> tallies.put(uid, boxes.tally(at)));
         try (RealFleet fleet = new RealFleet(schedule, views, jar, folder, progress)) {
             Terms terms = use.terms(fleet.advertised());
-            shares = new BudgetWatch(terms);
+            shares = new BudgetMonitor(terms);
             fleet.budgets(settings(terms, use), shares);
             fleet.configure(json -> {
                 json.put("channel", channel.getHostString() + ":" + PORT).put("known", nodes.known());
                 json.getJSONObject("settings")
                         .getJSONObject("familyInfo")
-                        .put("zoneBalancers", new JSONArray().put(schedule.started()));
+                        .put("zoneBalancers", new JSONArray().put(schedule.initialDoormans()));
                 return json;
             });
             List<InetSocketAddress> fronts = new ArrayList<>();
-            for (int slot = 0; slot < schedule.slots(); slot++) {
+            for (int slot = 0; slot < schedule.slotCount(); slot++) {
                 fronts.add(fleet.front(slot));
             }
             StandClients clients = new StandClients(
@@ -119,8 +119,10 @@
                             new StandClients.Class("files", 0.2, 300, 2_500),
                             new StandClients.Class("record", 0.1, 700, 3_000)),
                     fronts,
-                    schedule.seed());
-            clients.start(use.perS(), (slot, now) -> use.perS(slot, schedule.started(), now) / use.perS());
+                    schedule.randomSeed());
+            clients.start(
+                    use.requestsPerS(),
+                    (slot, now) -> use.perS(slot, schedule.initialDoormans(), now) / use.requestsPerS());
             // Doormans read the wall clock at their starts, each a little otherwise.
             tallies.get("s-0").watch(bootMs + CLOCKS_MS, bootMs + (long) youngMs(use) - CLOCKS_MS);
             times = fleet.play();
@@ -130,7 +132,7 @@
             traffic = fleet.traffic();
             rows = clients.rows();
             Map<String, Long> wholes = new TreeMap<>();
-            for (RealFleet.Struck s : struck) {
+            for (RealFleet.InjectedFault s : struck) {
                 if (s.fault() instanceof Fault.Whole w) {
                     Long before = wholes.put(w.budget(), w.whole());
                     // Less has to hold once what was given of more must be over, and everybody has read its settings.
@@ -155,11 +157,11 @@
         if (Double.isInfinite(anewMs)) {
             broken.add("divided anew: not within " + PATIENCE_MS + " ms after the last fault");
         }
-        return new Result(views, shares, broken, times, tallies, rows, young, struck, traffic, endMs, anewMs);
+        return new RunResult(views, shares, broken, times, tallies, rows, young, struck, traffic, endMs, anewMs);
     }
 
     /** Waits until all that is divided for good is held again; one that can't be shared out changes hands now and then. */
-    private static double untilAnew(RealFleet fleet, BudgetWatch shares, Terms terms)
+    private static double untilAnew(RealFleet fleet, BudgetMonitor shares, Terms terms)
             throws IOException, InterruptedException {
         double from = fleet.nowMs();
         while (fleet.nowMs() - from < PATIENCE_MS) {
@@ -184,15 +186,15 @@
     }
 
     /** How long a box that has just started is young: as long as an amount lasts. */
-    private static double youngMs(Schedule.Use use) {
-        return use.terms().budgets().values().stream()
+    private static double youngMs(FaultSchedule.Workload use) {
+        return use.config().budgets().values().stream()
                 .filter(b -> b.kind() == Kind.AMOUNT)
                 .mapToDouble(Terms.Budget::leaseMs)
                 .min()
                 .orElse(0);
     }
 
-    private static String settings(Terms terms, Schedule.Use use) {
+    private static String settings(Terms terms, FaultSchedule.Workload use) {
         StringBuilder out = new StringBuilder("budgets {\n  voters = [");
         for (int i = 0; i < terms.voters().size(); i++) {
             out.append(i > 0 ? ", " : "")
@@ -209,18 +211,19 @@
                 terms.slackMs()));
         new TreeMap<>(terms.budgets())
                 .values()
-                .forEach(b -> out.append(ScenarioFile.budget(b, use.at().get(b.name()), "")));
+                .forEach(b ->
+                        out.append(ScenarioFile.budget(b, use.modelByBudget().get(b.name()), "")));
         return out.toString();
     }
 
     /** What the boxes counted, against the wholes; a whole that was changed is judged by its largest. */
-    private static void judge(Schedule.Use use, Map<String, Tally> tallies, long young, List<String> broken) {
-        for (Terms.Budget b : use.terms().budgets().values()) {
+    private static void judge(FaultSchedule.Workload use, Map<String, Tally> tallies, long young, List<String> broken) {
+        for (Terms.Budget b : use.config().budgets().values()) {
             for (Map.Entry<String, Tally> e : tallies.entrySet()) {
                 int at = Integer.parseInt(e.getKey().substring(2));
-                String model = at < use.caches() ? "cache" : at < use.caches() + PARENTS ? "parent" : "origin";
+                String model = at < use.cacheCount() ? "cache" : at < use.cacheCount() + PARENTS ? "parent" : "origin";
                 Tally t = e.getValue();
-                if (!model.equals(use.at().get(b.name()))) {
+                if (!model.equals(use.modelByBudget().get(b.name()))) {
                     continue;
                 }
                 if (b.kind() == Kind.PLACES && t.mostAtOnce() > b.whole()) {
--- a/lab/src/main/java/barleyspur/lab/fleet/Relays.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/DatagramRelays.java
@@ -24,36 +24,38 @@
  * A relay before each doorman: all are told its address instead of the doorman's own, so that every datagram between
  * two of them comes by here, known by the socket that it was sent from.
  */
-final class Relays implements AutoCloseable {
+final class DatagramRelays implements AutoCloseable {
 
-    private static final int LONGEST = 2_048;
-    private static final int BUFFER = 1 << 22;
+    private static final int MAX_DATAGRAM_BYTES = 2_048;
+    private static final int RECEIVE_BUFFER_BYTES = 1 << 22;
     private static final double MICROS_PER_MS = 1_000;
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final Links links;
-    private final Channel[] channels;
-    private final InetSocketAddress[] doormans;
-    private final Map<InetSocketAddress, Integer> senders = new HashMap<>();
-    private long bytes;
+    private final LinkFaults linkFaults;
+    private final Channel[] channelBySlot;
+    private final InetSocketAddress[] doormanAddresses;
+    private final Map<InetSocketAddress, Integer> slotByDoormanAddress = new HashMap<>();
+    private long relayedBytes;
 
-    Relays(Links links, List<InetSocketAddress> relays, List<InetSocketAddress> doormans) throws InterruptedException {
-        this.links = links;
-        this.doormans = doormans.toArray(InetSocketAddress[]::new);
-        channels = new Channel[relays.size()];
-        for (int i = 0; i < channels.length; i++) {
+    DatagramRelays(
+            LinkFaults linkFaults, List<InetSocketAddress> relayAddresses, List<InetSocketAddress> doormanAddresses)
+            throws InterruptedException {
+        this.linkFaults = linkFaults;
+        this.doormanAddresses = doormanAddresses.toArray(InetSocketAddress[]::new);
+        channelBySlot = new Channel[relayAddresses.size()];
+        for (int i = 0; i < channelBySlot.length; i++) {
             int slot = i;
-            senders.put(doormans.get(i), i);
-            channels[i] = new Bootstrap()
+            slotByDoormanAddress.put(doormanAddresses.get(i), i);
+            channelBySlot[i] = new Bootstrap()
                     .group(group)
                     .channel(NioDatagramChannel.class)
-                    .option(ChannelOption.SO_RCVBUF, BUFFER)
-                    .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(LONGEST))
+                    .option(ChannelOption.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
+                    .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(MAX_DATAGRAM_BYTES))
                     .handler(new SimpleChannelInboundHandler<DatagramPacket>() {
                         @Override
                         protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
-                            pass(slot, packet);
+                            forward(slot, packet);
                         }
 
                         @Override
@@ -61,52 +63,53 @@
                             // The doorman behind it is down: that is what the schedule wants.
                         }
                     })
-                    .bind(relays.get(i))
+                    .bind(relayAddresses.get(i))
                     .sync()
                     .channel();
         }
     }
 
-    private void pass(int to, DatagramPacket packet) {
-        Integer from = senders.get(packet.sender());
+    private void forward(int to, DatagramPacket packet) {
+        Integer from = slotByDoormanAddress.get(packet.sender());
         if (from == null) {
             return;
         }
-        byte[] whole = new byte[packet.content().readableBytes()];
-        packet.content().readBytes(whole);
-        bytes += whole.length;
-        for (double delay : links.pass(from, to)) {
-            byte[] arrives = links.spoilt(from, to, whole);
-            if (delay < 1) {
-                send(from, to, arrives);
+        byte[] payload = new byte[packet.content().readableBytes()];
+        packet.content().readBytes(payload);
+        relayedBytes += payload.length;
+        for (double delayMs : linkFaults.deliveryDelaysMs(from, to)) {
+            byte[] delivered = linkFaults.maybeCorrupt(from, to, payload);
+            if (delayMs < 1) {
+                send(from, to, delivered);
             } else {
-                loop.schedule(() -> send(from, to, arrives), (long) (delay * MICROS_PER_MS), TimeUnit.MICROSECONDS);
+                loop.schedule(() -> send(from, to, delivered), (long) (delayMs * MICROS_PER_MS), TimeUnit.MICROSECONDS);
             }
         }
     }
 
-    private void send(int from, int to, byte[] arrives) {
-        channels[from].writeAndFlush(
-                new DatagramPacket(Unpooled.wrappedBuffer(arrives), doormans[to]), channels[from].voidPromise());
+    private void send(int from, int to, byte[] payload) {
+        channelBySlot[from].writeAndFlush(
+                new DatagramPacket(Unpooled.wrappedBuffer(payload), doormanAddresses[to]),
+                channelBySlot[from].voidPromise());
     }
 
     /** The loop's group, for what else stands in for others. */
-    EventLoopGroup group() {
+    EventLoopGroup eventLoopGroup() {
         return group;
     }
 
     void apply(Fault fault) {
-        loop.submit(() -> links.apply(fault)).syncUninterruptibly();
+        loop.submit(() -> linkFaults.apply(fault)).syncUninterruptibly();
     }
 
-    List<Set<Integer>> components(Set<Integer> up)
+    List<Set<Integer>> components(Set<Integer> upSlots)
             throws InterruptedException, java.util.concurrent.ExecutionException {
-        return loop.submit(() -> links.components(up)).get();
+        return loop.submit(() -> linkFaults.components(upSlots)).get();
     }
 
     /** Bytes that all members have sent up to now. */
-    long sent() {
-        return loop.submit(() -> bytes).syncUninterruptibly().getNow();
+    long sentBytes() {
+        return loop.submit(() -> relayedBytes).syncUninterruptibly().getNow();
     }
 
     @Override
--- a/lab/src/main/java/barleyspur/lab/fleet/FleetDemo.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/FleetDemo.java
@@ -30,16 +30,16 @@
 
     /** Runs it; whether all promises were kept and nothing ran twice. */
     public static boolean run(Path jar, Path folder) throws IOException, InterruptedException {
-        List<Schedule.Step> steps = List.of(
-                new Schedule.Step(true, 10_000, new Fault.Kill(Set.of(1))),
-                new Schedule.Step(10_000, new Fault.Start(Set.of(1), "", 0, 2)),
-                new Schedule.Step(8_000, new Fault.Split(List.of(Set.of(0, 1), Set.of(2, 3, 4)))),
-                new Schedule.Step(10_000, new Fault.Heal()),
-                new Schedule.Step(6_000, new Fault.Kill(Set.of(2, 3))),
-                new Schedule.Step(8_000, new Fault.Start(Set.of(2, 3), "", 0, 2)),
-                new Schedule.Step(8_000, new Fault.Heal()));
-        Schedule schedule = new Schedule("demo", DOORMANS, DOORMANS, List.of(0, 1), 500, steps, 30_000, 1);
-        Watch watch = new Watch(true);
+        List<FaultSchedule.Step> steps = List.of(
+                new FaultSchedule.Step(true, 10_000, new Fault.Kill(Set.of(1))),
+                new FaultSchedule.Step(10_000, new Fault.Start(Set.of(1), "", 0, 2)),
+                new FaultSchedule.Step(8_000, new Fault.Split(List.of(Set.of(0, 1), Set.of(2, 3, 4)))),
+                new FaultSchedule.Step(10_000, new Fault.Heal()),
+                new FaultSchedule.Step(6_000, new Fault.Kill(Set.of(2, 3))),
+                new FaultSchedule.Step(8_000, new Fault.Start(Set.of(2, 3), "", 0, 2)),
+                new FaultSchedule.Step(8_000, new Fault.Heal()));
+        FaultSchedule schedule = new FaultSchedule("demo", DOORMANS, DOORMANS, List.of(0, 1), 500, steps, 30_000, 1);
+        MembershipMonitor watch = new MembershipMonitor(true);
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         String network = "127." + (20 + ProcessHandle.current().pid() % 200) + ".250.";
         InetSocketAddress channel = new InetSocketAddress(network + "100", PORT);
@@ -85,6 +85,6 @@
         } finally {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
         }
-        return FleetLab.judge(watch.broken()) && boxes.runsTwice().startsWith("0 ");
+        return FleetRunCommand.judge(watch.broken()) && boxes.runsTwice().startsWith("0 ");
     }
 }
--- a/lab/src/main/java/barleyspur/lab/fleet/FleetMeasure.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/FleetMeasurement.java
@@ -5,18 +5,19 @@
 import java.util.Set;
 
 /** {@code fleet measure}: what the view costs and how soon it knows, by the size of the fleet, in virtual time. */
-public final class FleetMeasure {
+public final class FleetMeasurement {
 
     private static final double CALM_MS = 20_000;
     private static final int MOST_FOR_LOSS = 100;
     /** News of a start that are surely told within one calm time. */
     private static final int NEWS_IN_CALM = 250;
 
-    private FleetMeasure() {}
+    private FleetMeasurement() {}
 
-    private static VirtualFleet start(int members, Watch watch) {
-        Schedule schedule = new Schedule("measure", members, members, List.of(0, 1), 500, List.of(), 60_000, 1);
-        VirtualFleet fleet = new VirtualFleet(schedule, watch, members <= FleetLab.MOST_ENCODED);
+    private static VirtualFleet start(int members, MembershipMonitor watch) {
+        FaultSchedule schedule =
+                new FaultSchedule("measure", members, members, List.of(0, 1), 500, List.of(), 60_000, 1);
+        VirtualFleet fleet = new VirtualFleet(schedule, watch, members <= FleetRunCommand.MOST_ENCODED);
         fleet.begin();
         return fleet;
     }
@@ -41,7 +42,7 @@
         System.out.println(
                 "members  join s  calm B/s  known s  settled s  split s  heal s  heal KB  real ms/virtual s");
         for (int n : sizes) {
-            Watch watch = new Watch(true);
+            MembershipMonitor watch = new MembershipMonitor(true);
             VirtualFleet fleet = start(n, watch);
             double join = untilSettled(fleet, 120_000);
             // News of so many joins are told for a while: bounded by the round, not by how many there are.
@@ -58,11 +59,11 @@
             double settled = untilSettled(fleet, 120_000);
             double known = watch.all().stream()
                             .filter(t -> t.kind().equals("Lost"))
-                            .mapToDouble(Watch.Told::atMs)
+                            .mapToDouble(MembershipMonitor.ReportedChange::atMs)
                             .min()
                             .orElse(Double.NaN)
                     - killed;
-            fleet.apply(new Fault.Split(List.of(Schedule.range(0, n / 2), Schedule.range(n / 2, n))));
+            fleet.apply(new Fault.Split(List.of(FaultSchedule.slotRange(0, n / 2), FaultSchedule.slotRange(n / 2, n))));
             double split = untilSettled(fleet, 240_000);
             before = sent(fleet);
             fleet.apply(new Fault.Heal());
@@ -92,15 +93,18 @@
                     n,
                     minutes,
                     String.format(Locale.ROOT, "%.0f%% loss", 100 * loss),
-                    new Fault.Weather(Schedule.range(0, n), Schedule.range(0, n), new Fault.Noise(loss, 20, 0, 0)));
+                    new Fault.Weather(
+                            FaultSchedule.slotRange(0, n),
+                            FaultSchedule.slotRange(0, n),
+                            new Fault.Noise(loss, 20, 0, 0)));
         }
-        row(n, minutes, "a third at a fifth of a core", new Fault.Starve(Schedule.range(0, n / 3), 0.2));
+        row(n, minutes, "a third at a fifth of a core", new Fault.Starve(FaultSchedule.slotRange(0, n / 3), 0.2));
         row(n, minutes, "one at a tenth of a core", new Fault.Starve(Set.of(1), 0.1));
         row(n, minutes, "one link cut one way", new Fault.Cut(Set.of(0), Set.of(1), false));
     }
 
     private static void row(int n, int minutes, String what, Fault fault) {
-        Watch watch = new Watch(true);
+        MembershipMonitor watch = new MembershipMonitor(true);
         VirtualFleet fleet = start(n, watch);
         fleet.playTo(10_000);
         watch.all().clear();
--- a/lab/src/main/java/barleyspur/lab/fleet/FleetLab.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/FleetRunCommand.java
@@ -9,12 +9,12 @@
 import java.util.Locale;
 
 /** The laboratory's command {@code fleet run}: plays a schedule of faults on several doormans. */
-public final class FleetLab {
+public final class FleetRunCommand {
 
     /** In larger fleets datagrams are handed over as objects and sized by their bound. */
     static final int MOST_ENCODED = 200;
 
-    private FleetLab() {}
+    private FleetRunCommand() {}
 
     /**
      * Plays a scenario on real processes, and prints what happened.
@@ -23,9 +23,9 @@
      * @throws Hcl.Invalid where the scenario can't be used
      */
     public static boolean real(Path scenario, Path jar, Path folder) throws Hcl.Invalid, IOException {
-        Schedule schedule = ScenarioFile.load(scenario);
-        Watch watch = new Watch(true);
-        System.out.printf("%s: %d doormans, logs below %s%n", schedule.name(), schedule.started(), folder);
+        FaultSchedule schedule = ScenarioFile.load(scenario);
+        MembershipMonitor watch = new MembershipMonitor(true);
+        System.out.printf("%s: %d doormans, logs below %s%n", schedule.name(), schedule.initialDoormans(), folder);
         try (RealFleet fleet = new RealFleet(schedule, watch, jar, folder, System.out::println)) {
             List<Double> times = fleet.play();
             List<double[]> traffic = fleet.traffic();
@@ -35,7 +35,7 @@
                     fleet.costs(),
                     traffic.isEmpty() ? 0 : traffic.get(traffic.size() - 1)[1],
                     traffic.stream().mapToDouble(t -> t[1]).max().orElse(0));
-            FleetReport.write(folder, schedule, watch, times, traffic);
+            FleetRunReport.write(folder, schedule, watch, times, traffic);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -53,31 +53,34 @@
      * written beside as a scenario of its own.
      */
     public static boolean virtual(Path scenario, int seeds, Path folder) throws Hcl.Invalid, IOException {
-        Schedule schedule = ScenarioFile.load(scenario);
+        FaultSchedule schedule = ScenarioFile.load(scenario);
         List<Double> times = new ArrayList<>();
         long start = System.nanoTime();
         double bytes = 0;
         for (int i = 0; i < seeds; i++) {
-            Schedule played = schedule.with(schedule.seed() + i);
-            Watch watch = new Watch(seeds == 1);
-            VirtualFleet fleet = new VirtualFleet(played, watch, played.slots() <= MOST_ENCODED);
+            FaultSchedule played = schedule.with(schedule.randomSeed() + i);
+            MembershipMonitor watch = new MembershipMonitor(seeds == 1);
+            VirtualFleet fleet = new VirtualFleet(played, watch, played.slotCount() <= MOST_ENCODED);
             List<Double> settled = fleet.play();
             times.addAll(settled);
             bytes += fleet.processes().stream().mapToLong(p -> p.sentBytes).sum()
                     / (fleet.nowMs / 1e3)
-                    / played.started();
+                    / played.initialDoormans();
             if (!watch.broken().isEmpty()) {
-                Schedule small = Shrinker.shrink(played);
+                FaultSchedule small = Shrinker.shrink(played);
                 Files.createDirectories(folder);
-                Path file = folder.resolve("broken-" + played.seed() + ".hcl");
+                Path file = folder.resolve("broken-" + played.randomSeed() + ".hcl");
                 Files.writeString(file, ScenarioFile.write(small));
                 System.out.printf(
                         "seed %d; shrunk from %d to %d steps; again: barleyspur-lab fleet run %s --virtual%n",
-                        played.seed(), played.steps().size(), small.steps().size(), file);
+                        played.randomSeed(),
+                        played.steps().size(),
+                        small.steps().size(),
+                        file);
                 return judge(watch.broken());
             }
             if (seeds == 1) {
-                FleetReport.write(folder, played, watch, settled, List.of());
+                FleetRunReport.write(folder, played, watch, settled, List.of());
             }
         }
         times.sort(null);
@@ -87,7 +90,7 @@
                         + "(99 in 100), %.2f s (most); a member sent %.0f bytes a second%n",
                 schedule.name(),
                 seeds,
-                schedule.started(),
+                schedule.initialDoormans(),
                 (System.nanoTime() - start) / 1e9,
                 times.get(times.size() / 2) / 1e3,
                 times.get(times.size() * 99 / 100) / 1e3,
--- a/lab/src/main/java/barleyspur/lab/fleet/FleetReport.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/FleetRunReport.java
@@ -19,11 +19,12 @@
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
 /** What a play came to: report.html with a plot of the views' sizes over time, and report.json. */
-final class FleetReport {
+final class FleetRunReport {
 
-    private FleetReport() {}
+    private FleetRunReport() {}
 
-    static void write(Path folder, Schedule schedule, Watch watch, List<Double> times, List<double[]> traffic)
+    static void write(
+            Path folder, FaultSchedule schedule, MembershipMonitor watch, List<Double> times, List<double[]> traffic)
             throws IOException {
         Files.createDirectories(folder);
         plot(folder.resolve("views.png"), schedule, watch);
@@ -47,8 +48,8 @@
         StringBuilder rows = new StringBuilder();
         int at = 0;
         String what = "the start";
-        for (Schedule.Step step : schedule.steps()) {
-            if (step.settled()) {
+        for (FaultSchedule.Step step : schedule.steps()) {
+            if (step.awaitSettled()) {
                 at = row(rows, settled, what, times, at);
                 what = "";
             }
@@ -57,9 +58,9 @@
         row(rows, settled, what, times, at);
         JSONObject json = new JSONObject()
                 .put("scenario", schedule.name())
-                .put("doormans", schedule.started())
-                .put("seed", schedule.seed())
-                .put("period_ms", schedule.periodMs())
+                .put("doormans", schedule.initialDoormans())
+                .put("seed", schedule.randomSeed())
+                .put("period_ms", schedule.protocolPeriodMs())
                 .put("settled", settled)
                 .put("broken", new JSONArray(watch.broken()))
                 .put("changes", watch.all().size());
@@ -70,8 +71,9 @@
                 folder.resolve("report.html"),
                 "<!doctype html><meta charset=utf-8><title>"
                         + escaped(schedule.name()) + "</title><h1>" + escaped(schedule.name()) + "</h1><p>"
-                        + schedule.started()
-                        + " doormans, period " + schedule.periodMs() + " ms, seed " + schedule.seed() + "</p><p>"
+                        + schedule.initialDoormans()
+                        + " doormans, period " + schedule.protocolPeriodMs() + " ms, seed " + schedule.randomSeed()
+                        + "</p><p>"
                         + (watch.broken().isEmpty() ? "All promises kept." : "Broken promises:<ul>" + broken + "</ul>")
                         + "</p><h2>Members in each view</h2><img src=views.png>"
                         + (traffic.isEmpty() ? "" : "<h2>Traffic</h2><img src=traffic.png>")
@@ -100,7 +102,7 @@
         return text.replace("&", "&amp;").replace("<", "&lt;").replace(">", "&gt;");
     }
 
-    private static void plot(Path file, Schedule schedule, Watch watch) throws IOException {
+    private static void plot(Path file, FaultSchedule schedule, MembershipMonitor watch) throws IOException {
         XYChart chart = new XYChartBuilder()
                 .width(1_000)
                 .height(500)
@@ -108,11 +110,11 @@
                 .xAxisTitle("seconds")
                 .yAxisTitle("members in a view")
                 .build();
-        chart.getStyler().setLegendVisible(schedule.slots() <= 20);
+        chart.getStyler().setLegendVisible(schedule.slotCount() <= 20);
         Map<Integer, List<Double>> xs = new HashMap<>();
         Map<Integer, List<Double>> ys = new HashMap<>();
         Map<Integer, Set<String>> views = new HashMap<>();
-        for (Watch.Told t : watch.all()) {
+        for (MembershipMonitor.ReportedChange t : watch.all()) {
             Set<String> view = views.computeIfAbsent(t.process(), p -> new HashSet<>());
             if (t.kind().equals("Lost")) {
                 view.remove(t.member());
--- a/lab/src/main/java/barleyspur/lab/fleet/Watch.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/MembershipMonitor.java
@@ -10,10 +10,10 @@
  * Judges what every process told of its view, as it came: that no older incarnation replaces a newer one and that
  * changes come once, in order; and notes verdicts, so that false ones are counted and times are known.
  */
-final class Watch {
+final class MembershipMonitor {
 
     /** One change as a process told it. */
-    record Told(
+    record ReportedChange(
             double atMs,
             int process,
             int slot,
@@ -34,23 +34,23 @@
         }
     }
 
-    private static final class Seen {
+    private static final class ProcessHistory {
         long version;
         final Map<String, Key> keys = new HashMap<>();
     }
 
-    private final Map<Integer, Seen> byProcess = new TreeMap<>();
-    private final List<Told> told = new ArrayList<>();
+    private final Map<Integer, ProcessHistory> byProcess = new TreeMap<>();
+    private final List<ReportedChange> told = new ArrayList<>();
     private final List<String> broken = new ArrayList<>();
     private final boolean keeps;
 
     /** @param keeps whether all that is told is kept, for a report */
-    Watch(boolean keeps) {
+    MembershipMonitor(boolean keeps) {
         this.keeps = keeps;
     }
 
-    void told(Told t) {
-        Seen seen = byProcess.computeIfAbsent(t.process, p -> new Seen());
+    void told(ReportedChange t) {
+        ProcessHistory seen = byProcess.computeIfAbsent(t.process, p -> new ProcessHistory());
         if (t.version != seen.version + 1) {
             broken("changes in order, once", t, "version " + t.version + " after " + seen.version);
         }
@@ -67,7 +67,7 @@
         }
     }
 
-    private void broken(String promise, Told t, String detail) {
+    private void broken(String promise, ReportedChange t, String detail) {
         if (broken.size() < 20) {
             broken.add(String.format(
                     "%s: at %.0f ms process %d in slot %d: %s of %s: %s",
@@ -83,7 +83,7 @@
         return broken;
     }
 
-    List<Told> all() {
+    List<ReportedChange> all() {
         return told;
     }
 }
--- a/lab/src/main/java/barleyspur/lab/fleet/RealFleet.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/RealFleet.java
@@ -58,7 +58,7 @@
     private static final AtomicInteger FLEETS = new AtomicInteger();
 
     /** A process that was started. */
-    private static final class Doorman {
+    private static final class DoormanProcess {
         final int number;
         final int slot;
         final String name;
@@ -83,7 +83,7 @@
             return process.info().totalCpuDuration().orElse(Duration.ZERO).toMillis() / 1e3;
         }
 
-        Doorman(
+        DoormanProcess(
                 int number,
                 int slot,
                 String name,
@@ -103,39 +103,39 @@
         }
     }
 
-    private final Schedule schedule;
-    private final Watch watch;
+    private final FaultSchedule schedule;
+    private final MembershipMonitor watch;
     private final Path jar;
     private final Path folder;
     private final Consumer<String> progress;
     private final String network;
-    private final Relays relays;
+    private final DatagramRelays relays;
     private final InetSocketAddress channel;
     private final HttpClient client =
             HttpClient.newBuilder().connectTimeout(PATIENCE).build();
-    private final Doorman[] running;
-    private final List<Doorman> all = new ArrayList<>();
+    private final DoormanProcess[] running;
+    private final List<DoormanProcess> all = new ArrayList<>();
     private final long startNanos = System.nanoTime();
     private UnaryOperator<JSONObject> configure = json -> json;
     /** Seconds from the start, and bytes a second that a member sent since the sample before. */
     private final List<double[]> traffic = new ArrayList<>();
     /** A fault and when it was. */
-    record Struck(double atMs, Fault fault) {}
+    record InjectedFault(double atMs, Fault fault) {}
 
-    private final List<Struck> struck = new ArrayList<>();
+    private final List<InjectedFault> struck = new ArrayList<>();
     private double sampledMs;
     private long sampledBytes;
     private double calmFromMs;
     /** What stands in each process's own settings beside its fleet. */
     private String more = "";
 
-    private BudgetWatch budgets;
+    private BudgetMonitor budgets;
     private Runnable every;
     private double everyMs;
     private double everyDoneMs;
     private final Thread hook = new Thread(this::end, "end children");
 
-    RealFleet(Schedule schedule, Watch watch, Path jar, Path folder, Consumer<String> progress)
+    RealFleet(FaultSchedule schedule, MembershipMonitor watch, Path jar, Path folder, Consumer<String> progress)
             throws IOException, InterruptedException {
         this.schedule = schedule;
         this.watch = watch;
@@ -143,22 +143,22 @@
         this.folder = folder.toAbsolutePath();
         this.progress = progress;
         this.network = "127." + (20 + (ProcessHandle.current().pid() + FLEETS.getAndIncrement()) % 200) + ".";
-        this.running = new Doorman[schedule.slots()];
+        this.running = new DoormanProcess[schedule.slotCount()];
         Files.createDirectories(folder);
         Path key = folder.resolve("fleet.key");
         Files.writeString(key, "Lab0key1That2Nobody3Else4Should5Have6In7Use8\n");
         Files.setPosixFilePermissions(key, PosixFilePermissions.fromString("rw-------"));
         List<InetSocketAddress> fronts = new ArrayList<>();
         List<InetSocketAddress> behind = new ArrayList<>();
-        for (int slot = 0; slot < schedule.slots(); slot++) {
+        for (int slot = 0; slot < schedule.slotCount(); slot++) {
             fronts.add(new InetSocketAddress(host(slot), RELAY));
             behind.add(new InetSocketAddress(host(slot), FLEET));
         }
         // Also when this process is ended by a signal, its children are.
         Runtime.getRuntime().addShutdownHook(hook);
-        relays = new Relays(new Links(schedule.slots(), schedule.seed() + 1), fronts, behind);
+        relays = new DatagramRelays(new LinkFaults(schedule.slotCount(), schedule.randomSeed() + 1), fronts, behind);
         channel = new InetSocketAddress(network + "251.1", CHANNEL);
-        StandChannel.listen(relays.group(), channel, 0);
+        StandChannel.listen(relays.eventLoopGroup(), channel, 0);
     }
 
     private String host(int slot) {
@@ -175,7 +175,7 @@
     }
 
     /** Divides budgets as well; whoever starts has these blocks in its settings. */
-    void budgets(String blocks, BudgetWatch watcher) {
+    void budgets(String blocks, BudgetMonitor watcher) {
         more = blocks;
         budgets = watcher;
     }
@@ -183,7 +183,7 @@
     /** Addresses by which others know the doormans, by slot. */
     List<String> advertised() {
         List<String> addresses = new ArrayList<>();
-        for (int slot = 0; slot < schedule.slots(); slot++) {
+        for (int slot = 0; slot < schedule.slotCount(); slot++) {
             addresses.add(host(slot) + ":" + RELAY);
         }
         return addresses;
@@ -203,8 +203,8 @@
     /** How many members each doorman's view has, by slot; - where none answers. */
     List<String> sizes() {
         List<String> sizes = new ArrayList<>();
-        Map<Doorman, JSONObject> views = views();
-        for (Doorman d : running) {
+        Map<DoormanProcess, JSONObject> views = views();
+        for (DoormanProcess d : running) {
             JSONObject view = d == null ? null : views.get(d);
             sizes.add(view == null ? "-" : String.valueOf(view.getLong("size")));
         }
@@ -214,20 +214,20 @@
     /** Plays the whole schedule; the times in ms that it took to settle where it says so, and at the end. */
     List<Double> play() throws IOException, InterruptedException {
         List<Double> times = new ArrayList<>();
-        for (int i = 0; i < schedule.started(); i++) {
+        for (int i = 0; i < schedule.initialDoormans(); i++) {
             start(i, "", 0, 2);
         }
-        for (Schedule.Step step : schedule.steps()) {
-            if (step.settled()) {
+        for (FaultSchedule.Step step : schedule.steps()) {
+            if (step.awaitSettled()) {
                 times.add(settle());
             }
             if (calmFromMs == 0) {
                 calmFromMs = nowMs();
-                for (Doorman d : all) {
+                for (DoormanProcess d : all) {
                     d.calmCpu = d.cpuSeconds();
                 }
             }
-            pause(step.afterMs());
+            pause(step.delayMs());
             progress.accept(String.format("%7.1f s  %s", nowMs() / 1e3, step.fault()));
             apply(step.fault());
         }
@@ -247,7 +247,7 @@
     /** Waits until every component has settled on itself; the time in ms that took, or infinity. */
     private double settle() throws IOException, InterruptedException {
         double from = nowMs();
-        double bound = schedule.settleMs() + (from < READY_MS / 2 ? READY_MS : 0);
+        double bound = schedule.settleTimeoutMs() + (from < READY_MS / 2 ? READY_MS : 0);
         while (true) {
             String why = settled();
             read();
@@ -261,7 +261,7 @@
                 return Double.POSITIVE_INFINITY;
             }
             // Looking must not keep the doormans from answering one another.
-            Thread.sleep(LOOK_MS + LOOK_MS * schedule.slots() / LOOKED_AT);
+            Thread.sleep(LOOK_MS + LOOK_MS * schedule.slotCount() / LOOKED_AT);
         }
     }
 
@@ -301,7 +301,7 @@
         builder.environment().put("TMPDIR", own.toString());
         builder.redirectErrorStream(true).redirectOutput(log.toFile());
         synchronized (this) {
-            Doorman d = new Doorman(number, slot, name, builder.start(), log, settings, clockMs, format);
+            DoormanProcess d = new DoormanProcess(number, slot, name, builder.start(), log, settings, clockMs, format);
             all.add(d);
             running[slot] = d;
         }
@@ -316,12 +316,12 @@
                 .put("name", name)
                 .put("listen", host(slot) + ":" + CLIENTS)
                 .put("mgmt", host(slot) + ":" + SECOND)
-                .put("seed", Long.toHexString(schedule.seed() * 1_000 + number));
+                .put("seed", Long.toHexString(schedule.randomSeed() * 1_000 + number));
     }
 
     private String settings(int slot, double clockMs, int format) {
         StringBuilder seeds = new StringBuilder();
-        for (int s : schedule.seeds()) {
+        for (int s : schedule.seedSlots()) {
             if (s != slot) {
                 seeds.append(seeds.isEmpty() ? "" : ", ")
                         .append('"')
@@ -333,34 +333,34 @@
         }
         return "fleet \"lab\" {\n  listen = \"" + host(slot) + ":" + FLEET + "\"\n  advertise = \"" + host(slot) + ":"
                 + RELAY + "\"\n  seeds = [" + seeds + "]\n  key_file = \"" + folder.resolve("fleet.key")
-                + "\"\n  period = \"" + Math.round(schedule.periodMs()) + "ms\"\n  clock_offset = \""
+                + "\"\n  period = \"" + Math.round(schedule.protocolPeriodMs()) + "ms\"\n  clock_offset = \""
                 + Math.round(clockMs) + "ms\"\n  format = " + format + "\n}\n" + more;
     }
 
     private void apply(Fault fault) throws IOException {
-        struck.add(new Struck(nowMs(), fault));
+        struck.add(new InjectedFault(nowMs(), fault));
         if (fault instanceof Fault.Kill f) {
-            for (Doorman d : each(f.slots())) {
+            for (DoormanProcess d : each(f.slots())) {
                 d.process.destroyForcibly();
                 gone(d);
             }
         } else if (fault instanceof Fault.Freeze f) {
-            for (Doorman d : each(f.slots())) {
+            for (DoormanProcess d : each(f.slots())) {
                 d.frozen = true;
                 ProcessSignal.send(d.process, "STOP");
             }
         } else if (fault instanceof Fault.Thaw f) {
-            for (Doorman d : each(f.slots())) {
+            for (DoormanProcess d : each(f.slots())) {
                 ProcessSignal.send(d.process, "CONT");
                 d.frozen = false;
             }
         } else if (fault instanceof Fault.Term f) {
-            for (Doorman d : each(f.slots())) {
+            for (DoormanProcess d : each(f.slots())) {
                 d.leaving = true;
                 d.process.destroy();
             }
         } else if (fault instanceof Fault.Quiesce f) {
-            for (Doorman d : each(f.slots())) {
+            for (DoormanProcess d : each(f.slots())) {
                 client.sendAsync(
                                 HttpRequest.newBuilder(URI.create("http://" + host(d.slot) + ":" + SECOND + "/admin/"
                                                 + (f.on() ? "quiesce" : "resume")))
@@ -376,14 +376,14 @@
             }
         } else if (fault instanceof Fault.Whole f) {
             more = more.replaceAll("(budget \"" + f.budget() + "\" \\{[^}]*whole = )[0-9]+", "$1" + f.whole());
-            for (Doorman d : all) {
+            for (DoormanProcess d : all) {
                 if (d.process.isAlive()) {
                     Files.writeString(d.settings, settings(d.slot, d.clockMs, d.format));
                     reloadOnceItServes(d);
                 }
             }
         } else if (fault instanceof Fault.Starve f) {
-            for (Doorman d : each(f.slots())) {
+            for (DoormanProcess d : each(f.slots())) {
                 starve(d, f.share());
             }
         } else {
@@ -392,7 +392,7 @@
     }
 
     /** By turns stopped and continued, a tenth of a second each round. */
-    private void starve(Doorman d, double share) throws IOException {
+    private void starve(DoormanProcess d, double share) throws IOException {
         if (d.starver != null) {
             d.starver.destroyForcibly();
             d.starver = null;
@@ -413,21 +413,21 @@
         }
     }
 
-    private static void reloadOnceItServes(Doorman d) throws IOException {
+    private static void reloadOnceItServes(DoormanProcess d) throws IOException {
         if (d.serves) {
             ProcessSignal.send(d.process, "HUP");
         }
         d.reloadPending = !d.serves;
     }
 
-    private void gone(Doorman d) {
+    private void gone(DoormanProcess d) {
         if (running[d.slot] == d) {
             running[d.slot] = null;
         }
     }
 
-    private List<Doorman> each(Set<Integer> slots) {
-        List<Doorman> each = new ArrayList<>();
+    private List<DoormanProcess> each(Set<Integer> slots) {
+        List<DoormanProcess> each = new ArrayList<>();
         for (int slot : slots) {
             if (running[slot] != null && running[slot].process.isAlive()) {
                 each.add(running[slot]);
@@ -440,9 +440,9 @@
 
     private void read() throws IOException {
         if (nowMs() - sampledMs >= SAMPLE_MS) {
-            long sent = relays.sent();
+            long sent = relays.sentBytes();
             double seconds = (nowMs() - sampledMs) / 1e3;
-            traffic.add(new double[] {nowMs() / 1e3, (sent - sampledBytes) / seconds / schedule.started()});
+            traffic.add(new double[] {nowMs() / 1e3, (sent - sampledBytes) / seconds / schedule.initialDoormans()});
             sampledMs = nowMs();
             sampledBytes = sent;
         }
@@ -450,7 +450,7 @@
             everyDoneMs = nowMs();
             every.run();
         }
-        for (Doorman d : all) {
+        for (DoormanProcess d : all) {
             try (RandomAccessFile file = new RandomAccessFile(d.log.toFile(), "r")) {
                 if (file.length() > d.read) {
                     byte[] fresh = new byte[(int) (file.length() - d.read)];
@@ -477,7 +477,7 @@
     }
 
     /** Reads a line of the logger {@code fleet}: keys with values, then the event's text. */
-    private void told(Doorman d, String line) {
+    private void told(DoormanProcess d, String line) {
         if (line.contains(SERVES_LOGGER) && line.endsWith(SERVES_EVENT)) {
             d.serves = true;
             return;
@@ -512,7 +512,7 @@
                     case "name given up", "name taken back" -> "Name";
                     default -> "Doubt";
                 };
-        watch.told(new Watch.Told(
+        watch.told(new MembershipMonitor.ReportedChange(
                 Double.parseDouble(keys.get("mono")) - startNanos / NANOS_PER_MS,
                 d.number,
                 d.slot,
@@ -530,9 +530,9 @@
         return Long.parseLong(keys.getOrDefault(key, "0"));
     }
 
-    private Map<Doorman, JSONObject> views() {
-        Map<Doorman, CompletableFuture<JSONObject>> asked = new HashMap<>();
-        for (Doorman d : running) {
+    private Map<DoormanProcess, JSONObject> views() {
+        Map<DoormanProcess, CompletableFuture<JSONObject>> asked = new HashMap<>();
+        for (DoormanProcess d : running) {
             if (d != null && !d.frozen && !d.leaving) {
                 asked.put(
                         d,
@@ -545,7 +545,7 @@
                                 .thenApply(answer -> new JSONObject(answer.body())));
             }
         }
-        Map<Doorman, JSONObject> views = new HashMap<>();
+        Map<DoormanProcess, JSONObject> views = new HashMap<>();
         asked.forEach((d, view) -> {
             try {
                 views.put(d, view.get(PATIENCE.toMillis(), TimeUnit.MILLISECONDS));
@@ -560,9 +560,9 @@
 
     /** Null where every component has settled on itself; else what is still missing. */
     private String settled() throws InterruptedException {
-        Map<Doorman, JSONObject> views = views();
+        Map<DoormanProcess, JSONObject> views = views();
         Set<Integer> up = new TreeSet<>();
-        for (Doorman d : running) {
+        for (DoormanProcess d : running) {
             if (d != null && d.leaving) {
                 return d.name + " is leaving";
             }
@@ -586,7 +586,7 @@
         return null;
     }
 
-    private String settled(Set<Integer> component, Map<Doorman, JSONObject> views) {
+    private String settled(Set<Integer> component, Map<DoormanProcess, JSONObject> views) {
         TreeMap<String, JSONObject> holders = new TreeMap<>();
         for (int slot : component) {
             JSONObject view = views.get(running[slot]);
@@ -620,7 +620,7 @@
                 : "of " + names + " only " + holders.keySet() + " hold their names";
     }
 
-    List<Struck> struck() {
+    List<InjectedFault> struck() {
         return List.copyOf(struck);
     }
 
@@ -633,7 +633,7 @@
         int count = 0;
         double kilobytes = 0;
         double cpu = 0;
-        for (Doorman d : running) {
+        for (DoormanProcess d : running) {
             if (d != null && d.process.isAlive()) {
                 count++;
                 cpu += d.cpuSeconds() - d.calmCpu;
@@ -654,7 +654,7 @@
     }
 
     private synchronized void end() {
-        for (Doorman d : all) {
+        for (DoormanProcess d : all) {
             d.leaving = true;
             if (d.starver != null) {
                 d.starver.destroyForcibly();
@@ -668,7 +668,7 @@
         try {
             Runtime.getRuntime().removeShutdownHook(hook);
             end();
-            for (Doorman d : all) {
+            for (DoormanProcess d : all) {
                 d.process.waitFor(10, TimeUnit.SECONDS);
             }
             read();
--- a/lab/src/main/java/barleyspur/lab/fleet/ScenarioFile.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/ScenarioFile.java
@@ -33,7 +33,7 @@
         this.slots = slots;
     }
 
-    static Schedule load(Path file) throws Hcl.Invalid {
+    static FaultSchedule load(Path file) throws Hcl.Invalid {
         String text;
         try {
             text = Files.readString(file);
@@ -43,7 +43,7 @@
         return read(file.toString(), text);
     }
 
-    static Schedule read(String file, String text) throws Hcl.Invalid {
+    static FaultSchedule read(String file, String text) throws Hcl.Invalid {
         Hcl.Block root = Hcl.read(file, text);
         root.close(List.of("scenario"));
         if (root.blocks().size() != 1) {
@@ -64,8 +64,8 @@
         Hcl.Value seeds = b.value("seeds");
         List<Integer> at = seeds == null ? List.of(0, Math.min(1, slots - 1)) : List.copyOf(reader.slots(seeds));
         b.close(List.of("step", "random", "load", "budget"));
-        Schedule.Use use = use(b, slots);
-        List<Schedule.Step> steps = new ArrayList<>();
+        FaultSchedule.Workload use = use(b, slots);
+        List<FaultSchedule.Step> steps = new ArrayList<>();
         for (Hcl.Block step : b.blocks()) {
             if (step.type().equals("random")) {
                 if (!b.blocks("step").isEmpty() || b.blocks("random").size() > 1) {
@@ -73,15 +73,16 @@
                 }
                 int faults = (int) step.number("faults", 10, 1, 1_000);
                 step.close(List.of());
-                return Schedule.random(doormans, faults, period, settle, seed).with(use);
+                return FaultSchedule.random(doormans, faults, period, settle, seed)
+                        .with(use);
             } else if (step.type().equals("step")) {
                 steps.add(reader.step(step));
             }
         }
-        return new Schedule(name, slots, doormans, at, period, List.copyOf(steps), settle, seed, 0, use);
+        return new FaultSchedule(name, slots, doormans, at, period, List.copyOf(steps), settle, seed, 0, use);
     }
 
-    private static Schedule.Use use(Hcl.Block b, int slots) throws Hcl.Invalid {
+    private static FaultSchedule.Workload use(Hcl.Block b, int slots) throws Hcl.Invalid {
         if (b.blocks("load").size() != 1) {
             if (b.blocks("load").isEmpty() && b.blocks("budget").isEmpty()) {
                 return null;
@@ -104,7 +105,7 @@
             budgets.put(budget.name(), budget);
             each.close(List.of());
         }
-        Schedule.Use use = new Schedule.Use(
+        FaultSchedule.Workload use = new FaultSchedule.Workload(
                 new Terms(List.of(), largest, term, hold, slack, budgets),
                 voters,
                 at,
@@ -117,7 +118,7 @@
         return use;
     }
 
-    private Schedule.Step step(Hcl.Block b) throws Hcl.Invalid {
+    private FaultSchedule.Step step(Hcl.Block b) throws Hcl.Invalid {
         Matcher when = WHEN.matcher(b.label());
         if (!when.matches() || b.label().isBlank()) {
             throw b.invalid(
@@ -126,7 +127,7 @@
         double after = when.group(2) == null ? 0 : Hcl.millis(when.group(2));
         Fault fault = fault(b);
         b.close(FAULTS);
-        return new Schedule.Step(when.group(1) != null, after, fault);
+        return new FaultSchedule.Step(when.group(1) != null, after, fault);
     }
 
     private Fault fault(Hcl.Block b) throws Hcl.Invalid {
@@ -182,11 +183,11 @@
         return found.get(0);
     }
 
-    private interface Maker {
+    private interface FaultFactory {
         Fault of(Set<Integer> slots);
     }
 
-    private void add(List<Fault> found, Hcl.Value value, Maker maker) throws Hcl.Invalid {
+    private void add(List<Fault> found, Hcl.Value value, FaultFactory maker) throws Hcl.Invalid {
         if (value != null) {
             found.add(maker.of(slots(value)));
         }
@@ -206,7 +207,7 @@
 
     private Set<Integer> slots(Hcl.Block b, String key) throws Hcl.Invalid {
         Hcl.Value value = b.value(key);
-        return value == null ? Schedule.range(0, slots) : slots(value);
+        return value == null ? FaultSchedule.slotRange(0, slots) : slots(value);
     }
 
     private Set<Integer> slots(Hcl.Value value) throws Hcl.Invalid {
@@ -218,14 +219,14 @@
         for (String name : names) {
             Matcher m = RANGE.matcher(name);
             if (name.equals("all")) {
-                set.addAll(Schedule.range(0, slots));
+                set.addAll(FaultSchedule.slotRange(0, slots));
             } else if (m.matches()) {
                 int from = Integer.parseInt(m.group(1));
                 int to = m.group(2) == null ? from : Integer.parseInt(m.group(2));
                 if (from < 1 || to > slots || from > to) {
                     throw value.invalid("names " + name + ", but there are d1 to d" + slots);
                 }
-                set.addAll(Schedule.range(from - 1, to));
+                set.addAll(FaultSchedule.slotRange(from - 1, to));
             } else {
                 throw value.invalid("names " + name + ": d1, d2..d5 or all was wanted");
             }
@@ -246,15 +247,16 @@
     // ---- writing ---------------------------------------------------------------------------------------
 
     /** The schedule as a file that reads as the same. */
-    static String write(Schedule s) {
-        StringBuilder out = new StringBuilder("scenario \"" + s.name() + "\" {\n  doormans = " + s.started()
-                + "\n  slots = " + s.slots() + "\n  seeds = " + names(Set.copyOf(s.seeds())) + "\n  period = "
-                + ms(s.periodMs()) + "\n  settle = " + ms(s.settleMs()) + "\n  seed = " + s.seed() + "\n"
-                + use(s.use()));
-        for (Schedule.Step step : s.steps()) {
+    static String write(FaultSchedule s) {
+        StringBuilder out = new StringBuilder("scenario \"" + s.name() + "\" {\n  doormans = " + s.initialDoormans()
+                + "\n  slots = " + s.slotCount() + "\n  seeds = " + names(Set.copyOf(s.seedSlots())) + "\n  period = "
+                + ms(s.protocolPeriodMs()) + "\n  settle = " + ms(s.settleTimeoutMs()) + "\n  seed = " + s.randomSeed()
+                + "\n"
+                + use(s.workload()));
+        for (FaultSchedule.Step step : s.steps()) {
             out.append("  step \"")
-                    .append(step.settled() ? "settled + " : "")
-                    .append(ms(step.afterMs()).replace("\"", ""))
+                    .append(step.awaitSettled() ? "settled + " : "")
+                    .append(ms(step.delayMs()).replace("\"", ""))
                     .append("\" {\n")
                     .append(fault(step.fault()))
                     .append("  }\n");
@@ -262,18 +264,21 @@
         return out.append("}\n").toString();
     }
 
-    private static String use(Schedule.Use u) {
+    private static String use(FaultSchedule.Workload u) {
         if (u == null) {
             return "";
         }
-        Terms t = u.terms();
-        StringBuilder out = new StringBuilder("  load {\n    caches = " + u.caches() + "\n    per_s = " + u.perS()
-                + "\n    jump = " + ms(u.jumpMs()) + "\n    hit = " + ms(u.hitMs()) + "\n    cold = " + ms(u.coldMs())
-                + "\n    voters = " + u.voters() + "\n    largest = " + t.largest() + "\n    term = " + ms(t.termMs())
-                + "\n    hold = " + ms(t.holdMs()) + "\n    slack = " + ms(t.slackMs()) + "\n  }\n");
+        Terms t = u.config();
+        StringBuilder out =
+                new StringBuilder("  load {\n    caches = " + u.cacheCount() + "\n    per_s = " + u.requestsPerS()
+                        + "\n    jump = " + ms(u.hotspotIntervalMs()) + "\n    hit = " + ms(u.hitServiceMs())
+                        + "\n    cold = " + ms(u.firstCacheStartMs())
+                        + "\n    voters = " + u.voterCount() + "\n    largest = " + t.largest() + "\n    term = "
+                        + ms(t.termMs())
+                        + "\n    hold = " + ms(t.holdMs()) + "\n    slack = " + ms(t.slackMs()) + "\n  }\n");
         t.budgets().values().stream()
                 .sorted(Comparator.comparing(Terms.Budget::name))
-                .forEach(b -> out.append(budget(b, u.at().get(b.name()), "  ")));
+                .forEach(b -> out.append(budget(b, u.modelByBudget().get(b.name()), "  ")));
         return out.toString();
     }
 
--- a/lab/src/main/java/barleyspur/lab/fleet/VirtualFleet.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/VirtualFleet.java
@@ -38,7 +38,7 @@
     private static final double SETTLE_LOOK_MS = 50;
 
     /** A process. */
-    final class Process {
+    final class SimulatedProcess {
         final int number;
         final int slot;
         final String name;
@@ -54,13 +54,13 @@
         long sentBytes;
         long sent;
 
-        Process(int number, int slot, String name, double clockMs, int format) {
+        SimulatedProcess(int number, int slot, String name, double clockMs, int format) {
             this.number = number;
             this.slot = slot;
             this.name = name;
             this.startedMs = nowMs;
             List<String> seeds = new ArrayList<>();
-            for (int s : schedule.seeds()) {
+            for (int s : schedule.seedSlots()) {
                 if (s != slot) {
                     seeds.add(address(s));
                 }
@@ -69,7 +69,7 @@
                     name,
                     (long) (WALL_MS + nowMs + clockMs),
                     new About(address(slot), "z" + slot % 3, "serving", "v", 1, format, null),
-                    new Times(schedule.periodMs(), 600_000),
+                    new Times(schedule.protocolPeriodMs(), 600_000),
                     seeds,
                     random.nextLong(),
                     this::carryOut);
@@ -88,19 +88,19 @@
         }
     }
 
-    private record Event(double atMs, long order, Runnable what) {}
+    private record ScheduledEvent(double atMs, long order, Runnable what) {}
 
-    private final Schedule schedule;
+    private final FaultSchedule schedule;
     private final SplittableRandom random;
-    private final Watch watch;
-    private final Links links;
+    private final MembershipMonitor watch;
+    private final LinkFaults links;
     private final boolean encodes;
     private final Codec codec =
             new Codec("lab", "a key that no fleet should have in use".getBytes(StandardCharsets.UTF_8));
-    private final PriorityQueue<Event> events = new PriorityQueue<>(
+    private final PriorityQueue<ScheduledEvent> events = new PriorityQueue<>(
             (a, b) -> a.atMs != b.atMs ? Double.compare(a.atMs, b.atMs) : Long.compare(a.order, b.order));
-    private final Process[] running;
-    private final List<Process> processes = new ArrayList<>();
+    private final SimulatedProcess[] running;
+    private final List<SimulatedProcess> processes = new ArrayList<>();
     private long order;
     private int atOnce;
     double nowMs;
@@ -108,15 +108,15 @@
     private UnaryOperator<Datagram> tampering;
 
     private int tamperedSlot = -1;
-    private Consumer<Process> onStart = p -> {};
+    private Consumer<SimulatedProcess> onStart = p -> {};
 
-    VirtualFleet(Schedule schedule, Watch watch, boolean encodes) {
+    VirtualFleet(FaultSchedule schedule, MembershipMonitor watch, boolean encodes) {
         this.schedule = schedule;
         this.watch = watch;
         this.encodes = encodes;
-        this.random = new SplittableRandom(schedule.seed());
-        this.links = new Links(schedule.slots(), schedule.seed() + 1);
-        this.running = new Process[schedule.slots()];
+        this.random = new SplittableRandom(schedule.randomSeed());
+        this.links = new LinkFaults(schedule.slotCount(), schedule.randomSeed() + 1);
+        this.running = new SimulatedProcess[schedule.slotCount()];
     }
 
     static String address(int slot) {
@@ -134,17 +134,17 @@
         tampering = how;
     }
 
-    void onStart(Consumer<Process> hook) {
+    void onStart(Consumer<SimulatedProcess> hook) {
         onStart = hook;
     }
 
     private void at(double atMs, Runnable what) {
-        events.add(new Event(atMs, order++, what));
+        events.add(new ScheduledEvent(atMs, order++, what));
     }
 
     /** Starts what the schedule starts. */
     void begin() {
-        for (int i = 0; i < schedule.started(); i++) {
+        for (int i = 0; i < schedule.initialDoormans(); i++) {
             int slot = i;
             at(random.nextDouble() * START_STORM_MS, () -> start(slot, "", 0, 2));
         }
@@ -154,7 +154,7 @@
     /** Plays until then. */
     void playTo(double untilMs) {
         while (!events.isEmpty() && events.peek().atMs <= untilMs) {
-            Event e = events.poll();
+            ScheduledEvent e = events.poll();
             atOnce = e.atMs > nowMs ? 0 : atOnce + 1;
             nowMs = Math.max(nowMs, e.atMs);
             if (atOnce > MOST_AT_ONCE) {
@@ -169,11 +169,11 @@
     List<Double> play() {
         List<Double> times = new ArrayList<>();
         begin();
-        for (Schedule.Step step : schedule.steps()) {
-            if (step.settled()) {
+        for (FaultSchedule.Step step : schedule.steps()) {
+            if (step.awaitSettled()) {
                 times.add(settle());
             }
-            playTo(nowMs + step.afterMs());
+            playTo(nowMs + step.delayMs());
             apply(step.fault());
         }
         times.add(settle());
@@ -184,7 +184,7 @@
     private double settle() {
         double from = nowMs;
         for (String why = settled(); why != null; why = settled()) {
-            if (nowMs >= from + schedule.settleMs()) {
+            if (nowMs >= from + schedule.settleTimeoutMs()) {
                 watch.broken("settles: " + why + " " + Math.round(nowMs - from) + " ms after the last step");
                 return Double.POSITIVE_INFINITY;
             }
@@ -197,7 +197,8 @@
         if (running[slot] != null) {
             return;
         }
-        Process p = new Process(processes.size(), slot, name.isEmpty() ? "d" + (slot + 1) : name, clockMs, format);
+        SimulatedProcess p =
+                new SimulatedProcess(processes.size(), slot, name.isEmpty() ? "d" + (slot + 1) : name, clockMs, format);
         processes.add(p);
         running[slot] = p;
         onStart.accept(p);
@@ -205,7 +206,7 @@
         tick(p);
     }
 
-    private void tick(Process p) {
+    private void tick(SimulatedProcess p) {
         p.tickAtMs = Double.POSITIVE_INFINITY;
         if (!p.runs()) {
             return;
@@ -218,7 +219,7 @@
         arm(p);
     }
 
-    private void arm(Process p) {
+    private void arm(SimulatedProcess p) {
         double due = Math.max(nowMs, Math.min(p.membership.dueMs(), p.endsMs));
         if (due < p.tickAtMs) {
             p.tickAtMs = due;
@@ -230,14 +231,14 @@
         }
     }
 
-    private void gone(Process p) {
+    private void gone(SimulatedProcess p) {
         p.gone = true;
         if (running[p.slot] == p) {
             running[p.slot] = null;
         }
     }
 
-    private void send(Process from, Action.Send send) {
+    private void send(SimulatedProcess from, Action.Send send) {
         Datagram d = send.datagram();
         if (from.slot == tamperedSlot) {
             d = tampering.apply(d);
@@ -252,11 +253,11 @@
         if (to >= running.length) {
             return;
         }
-        for (double delay : links.pass(from.slot, to)) {
+        for (double delay : links.deliveryDelaysMs(from.slot, to)) {
             Datagram arrives = d;
             if (encodes) {
                 try {
-                    arrives = codec.decode(links.spoilt(from.slot, to, bytes));
+                    arrives = codec.decode(links.maybeCorrupt(from.slot, to, bytes));
                 } catch (Codec.Refused e) {
                     continue;
                 }
@@ -267,7 +268,7 @@
     }
 
     private void arrive(int slot, Datagram d) {
-        Process p = running[slot];
+        SimulatedProcess p = running[slot];
         if (p == null) {
             return;
         }
@@ -281,10 +282,10 @@
         arm(p);
     }
 
-    private void tell(Process p, Change change) {
+    private void tell(SimulatedProcess p, Change change) {
         Saying s = change instanceof Change.OfMember c ? c.member() : null;
         String why = change instanceof Change.OfMember c ? c.why().name() : "";
-        watch.told(new Watch.Told(
+        watch.told(new MembershipMonitor.ReportedChange(
                 nowMs,
                 p.number,
                 p.slot,
@@ -298,7 +299,7 @@
                 why));
     }
 
-    private void wake(Process p) {
+    private void wake(SimulatedProcess p) {
         if (!p.runs()) {
             return;
         }
@@ -346,7 +347,7 @@
         }
     }
 
-    private void each(Set<Integer> slots, Consumer<Process> what) {
+    private void each(Set<Integer> slots, Consumer<SimulatedProcess> what) {
         for (int slot : slots) {
             if (running[slot] != null) {
                 what.accept(running[slot]);
@@ -354,7 +355,7 @@
         }
     }
 
-    private void stall(Process p, double share) {
+    private void stall(SimulatedProcess p, double share) {
         if (share >= 1 || p.gone) {
             return;
         }
@@ -370,15 +371,15 @@
     /** Null where every component has settled on itself; else what is still missing. */
     String settled() {
         Set<Integer> up = new TreeSet<>();
-        for (Process p : running) {
+        for (SimulatedProcess p : running) {
             if (p != null && !p.frozen && !p.leaving) {
                 up.add(p.slot);
             }
         }
         for (Set<Integer> component : links.components(up)) {
-            TreeMap<String, Process> byName = new TreeMap<>();
+            TreeMap<String, SimulatedProcess> byName = new TreeMap<>();
             for (int slot : component) {
-                Process p = running[slot];
+                SimulatedProcess p = running[slot];
                 byName.merge(p.name, p, (a, b) -> a.membership.self().compareTo(b.membership.self()) > 0 ? a : b);
             }
             String missing = settled(component, byName);
@@ -389,10 +390,10 @@
         return null;
     }
 
-    private String settled(Set<Integer> component, TreeMap<String, Process> byName) {
+    private String settled(Set<Integer> component, TreeMap<String, SimulatedProcess> byName) {
         long digest = byName.firstEntry().getValue().membership.digest();
         for (int slot : component) {
-            Process p = running[slot];
+            SimulatedProcess p = running[slot];
             if (p.membership.inDoubt(nowMs)) {
                 return p.name + " is in doubt";
             }
@@ -413,10 +414,10 @@
         return null;
     }
 
-    private String difference(Process p, TreeMap<String, Process> byName) {
+    private String difference(SimulatedProcess p, TreeMap<String, SimulatedProcess> byName) {
         StringBuilder text = new StringBuilder();
         for (View.Member m : p.membership.view(nowMs).members()) {
-            Process other = byName.get(m.saying().name());
+            SimulatedProcess other = byName.get(m.saying().name());
             Saying own = other == null ? null : other.membership.self();
             if (m.listed() != (own != null) || own != null && m.saying().compareTo(own) != 0) {
                 text.append(", ")
@@ -433,15 +434,15 @@
         return text.length() > 400 ? text.substring(0, 400) : text.toString();
     }
 
-    Process in(int slot) {
+    SimulatedProcess in(int slot) {
         return running[slot];
     }
 
-    List<Process> processes() {
+    List<SimulatedProcess> processes() {
         return processes;
     }
 
-    Links links() {
+    LinkFaults links() {
         return links;
     }
 }
--- a/lab/src/test/java/barleyspur/lab/fleet/BudgetProcessesTest.java
+++ b/lab/src/test/java/barleyspur/lab/fleet/BudgetProcessesTest.java
@@ -26,9 +26,9 @@
     @TempDir
     Path folder;
 
-    private BudgetFleet.Result play(String file) throws Exception {
+    private BudgetProcessRun.RunResult play(String file) throws Exception {
         assertTrue(Files.isReadable(JAR), "the doorman's jar is built first: mvn verify");
-        BudgetFleet.Result result = BudgetFleet.play(
+        BudgetProcessRun.RunResult result = BudgetProcessRun.play(
                 ScenarioFile.load(Path.of("..", "examples", "budget", file)), JAR, folder, System.out::println);
         assertEquals(List.of(), result.broken());
         return result;
@@ -40,7 +40,7 @@
      */
     @Test
     void holdersThatAreLostUseNothingTwice() throws Exception {
-        BudgetFleet.Result result = play("holders.hcl");
+        BudgetProcessRun.RunResult result = play("holders.hcl");
         assertTrue(result.boxes().get("s-0").mostAtOnce() > 0, "the boxes saw nothing at all");
     }
 
@@ -65,7 +65,7 @@
     /** Guards: a whole that is halved by a reload holds once what was given of more is over, and can be raised again. */
     @Test
     void aWholeThatIsHalvedHolds() throws Exception {
-        BudgetFleet.Result result = play("whole.hcl");
+        BudgetProcessRun.RunResult result = play("whole.hcl");
         double lowered = result.struck().stream()
                 .filter(s -> s.fault() instanceof Fault.Whole)
                 .findFirst()
@@ -73,7 +73,7 @@
                 .atMs();
         long before = result.shares().all().stream()
                 .filter(t -> t.atMs() < lowered)
-                .mapToLong(BudgetWatch.Told::amount)
+                .mapToLong(BudgetMonitor.Told::amount)
                 .max()
                 .orElse(0);
         assertTrue(before >= 3, "a quarter of the twelve was held before: " + before);
@@ -84,7 +84,7 @@
     void onePlaceAmongFourteenChangesHands() throws Exception {
         Set<Integer> had = play("one.hcl").shares().all().stream()
                 .filter(t -> t.budget().startsWith("calls:") && t.amount() > 0)
-                .map(BudgetWatch.Told::slot)
+                .map(BudgetMonitor.Told::slot)
                 .collect(Collectors.toSet());
         assertTrue(had.size() > 1, "one place stayed with " + had);
     }
--- a/lab/src/test/java/barleyspur/lab/fleet/BudgetWrongVersionsTest.java
+++ b/lab/src/test/java/barleyspur/lab/fleet/BudgetWrongVersionsTest.java
@@ -210,7 +210,7 @@
 
     /** Called on the classes of a wrong version. */
     static void explore(String kind) {
-        BudgetChecker.Result r = new BudgetChecker(Kind.valueOf(kind), 12).explore(2);
+        BudgetModelChecker.ExplorationResult r = new BudgetModelChecker(Kind.valueOf(kind), 12).explore(2);
         assertEquals(null, r.broken());
     }
 }
--- a/lab/src/test/java/barleyspur/lab/fleet/ProcessesTest.java
+++ b/lab/src/test/java/barleyspur/lab/fleet/ProcessesTest.java
@@ -24,9 +24,9 @@
     @TempDir
     Path folder;
 
-    private Watch play(String file) throws Exception {
+    private MembershipMonitor play(String file) throws Exception {
         assertTrue(Files.isReadable(JAR), "the doorman's jar is built first: mvn verify");
-        Watch watch = new Watch(true);
+        MembershipMonitor watch = new MembershipMonitor(true);
         try (RealFleet fleet = new RealFleet(
                 ScenarioFile.load(Path.of("..", "examples", "fleet", file)), watch, JAR, folder, System.out::println)) {
             fleet.play();
@@ -35,7 +35,7 @@
         return watch;
     }
 
-    private static List<Watch.Told> verdicts(Watch watch) {
+    private static List<MembershipMonitor.ReportedChange> verdicts(MembershipMonitor watch) {
         return watch.all().stream()
                 .filter(t -> t.kind().equals("Lost") && !t.why().equals("STOOD_STILL"))
                 .toList();
@@ -59,10 +59,10 @@
     /** Guards: who is heard by none is out of all other views, and back after; a third lost and garbage break nothing. */
     @Test
     void whoIsHeardByNoneIsGivenUp() throws Exception {
-        Watch watch = play("noise.hcl");
+        MembershipMonitor watch = play("noise.hcl");
         long by = verdicts(watch).stream()
                 .filter(t -> t.member().equals("d4"))
-                .map(Watch.Told::slot)
+                .map(MembershipMonitor.ReportedChange::slot)
                 .distinct()
                 .count();
         assertEquals(8, by);
@@ -74,21 +74,23 @@
      */
     @Test
     void newerLivesReplaceOlderOnes() throws Exception {
-        Watch watch = play("lives.hcl");
+        MembershipMonitor watch = play("lives.hcl");
         assertTrue(watch.all().stream()
                 .anyMatch(t -> t.kind().equals("Lost") && t.standing().equals("LEFT")));
-        Set<String> phases =
-                Set.copyOf(watch.all().stream().map(Watch.Told::kind).toList());
+        Set<String> phases = Set.copyOf(
+                watch.all().stream().map(MembershipMonitor.ReportedChange::kind).toList());
         assertTrue(phases.contains("Name"), "a second process of a name is noticed: " + phases);
     }
 
     /** Guards: all are replaced one by one, older formats beside newer, and each is seen to leave and not to die. */
     @Test
     void aRollingRestartOfMixedFormatsSettles() throws Exception {
-        Watch watch = play("rolling.hcl");
+        MembershipMonitor watch = play("rolling.hcl");
         assertEquals(
                 Set.of("LEFT"),
-                Set.copyOf(verdicts(watch).stream().map(Watch.Told::standing).toList()));
+                Set.copyOf(verdicts(watch).stream()
+                        .map(MembershipMonitor.ReportedChange::standing)
+                        .toList()));
     }
 
     /** Guards: all that start at once with one dead seed find each other when it comes, and again after a power cut. */
--- a/lab/src/test/java/barleyspur/lab/fleet/VirtualFleetTest.java
+++ b/lab/src/test/java/barleyspur/lab/fleet/VirtualFleetTest.java
@@ -20,11 +20,11 @@
 
     private static final double SETTLE_MS = 30_000;
 
-    private static Schedule quiet(int doormans, int started, List<Schedule.Step> steps) {
-        return new Schedule("test", doormans, started, List.of(0, 1), 500, steps, SETTLE_MS, 7);
+    private static FaultSchedule quiet(int doormans, int started, List<FaultSchedule.Step> steps) {
+        return new FaultSchedule("test", doormans, started, List.of(0, 1), 500, steps, SETTLE_MS, 7);
     }
 
-    private static List<Watch.Told> verdicts(Watch watch) {
+    private static List<MembershipMonitor.ReportedChange> verdicts(MembershipMonitor watch) {
         return watch.all().stream().filter(t -> t.kind().equals("Lost")).toList();
     }
 
@@ -40,12 +40,12 @@
     /** Guards: a schedule that is written reads as the same, so that a broken seed's file replays it. */
     @Test
     void aWrittenScheduleReplays() throws Exception {
-        Schedule s = Schedule.random(5, 10, 500, SETTLE_MS, 3);
-        Schedule again = ScenarioFile.read("x.hcl", ScenarioFile.write(s));
+        FaultSchedule s = FaultSchedule.random(5, 10, 500, SETTLE_MS, 3);
+        FaultSchedule again = ScenarioFile.read("x.hcl", ScenarioFile.write(s));
         assertEquals(ScenarioFile.write(s), ScenarioFile.write(again));
         assertEquals(s.steps().size(), again.steps().size());
         // Also when it was drawn: other seeds draw others, but what is written out is played as it stands.
-        Schedule shrunk = s.with(s.steps().subList(0, 3));
+        FaultSchedule shrunk = s.with(s.steps().subList(0, 3));
         assertEquals(
                 3,
                 ScenarioFile.read("x.hcl", ScenarioFile.write(shrunk))
@@ -53,18 +53,20 @@
                         .steps()
                         .size());
         assertEquals(
-                Schedule.random(5, 10, 500, SETTLE_MS, 9).steps(), s.with(9).steps());
+                FaultSchedule.random(5, 10, 500, SETTLE_MS, 9).steps(),
+                s.with(9).steps());
     }
 
     /** Guards: 900 that join a fleet of 100 within a second are all known to all, and nobody is given up meanwhile. */
     @Test
     void nineHundredJoinAHundred() {
-        Watch watch = new Watch(false);
+        MembershipMonitor watch = new MembershipMonitor(false);
         VirtualFleet fleet = new VirtualFleet(
                 quiet(
                         1_000,
                         100,
-                        List.of(new Schedule.Step(true, 1_000, new Fault.Start(Schedule.range(100, 1_000), "", 0, 2)))),
+                        List.of(new FaultSchedule.Step(
+                                true, 1_000, new Fault.Start(FaultSchedule.slotRange(100, 1_000), "", 0, 2)))),
                 watch,
                 false);
         fleet.play();
@@ -73,8 +75,8 @@
     }
 
     /** A member that says of everybody else, all the time, that they are dead, or tells news of foreign incarnations. */
-    private static Watch withLiar(Standing standing, long ahead) {
-        Watch watch = new Watch(true);
+    private static MembershipMonitor withLiar(Standing standing, long ahead) {
+        MembershipMonitor watch = new MembershipMonitor(true);
         VirtualFleet fleet = new VirtualFleet(quiet(14, 14, List.of()), watch, true);
         fleet.begin();
         fleet.playTo(5_000);
@@ -114,7 +116,7 @@
     /** Guards: leaving is not dying: who has SIGTERM is out of all views as one that left, at once. */
     @Test
     void leavingIsSeenAsSuch() {
-        Watch watch = new Watch(true);
+        MembershipMonitor watch = new MembershipMonitor(true);
         VirtualFleet fleet = new VirtualFleet(quiet(14, 14, List.of()), watch, true);
         fleet.begin();
         fleet.playTo(5_000);
@@ -131,7 +133,7 @@
      */
     @Test
     void ofTwoWithOneNameTheNewerHoldsIt() {
-        Watch watch = new Watch(true);
+        MembershipMonitor watch = new MembershipMonitor(true);
         VirtualFleet fleet = new VirtualFleet(quiet(6, 5, List.of()), watch, true);
         fleet.begin();
         fleet.playTo(5_000);
@@ -151,7 +153,7 @@
     /** Guards: a process that stood still knows that its view is in doubt before anything else is done with it. */
     @Test
     void afterAStandstillTheViewIsInDoubt() {
-        Watch watch = new Watch(true);
+        MembershipMonitor watch = new MembershipMonitor(true);
         VirtualFleet fleet = new VirtualFleet(quiet(5, 5, List.of()), watch, true);
         fleet.begin();
         fleet.playTo(5_000);
@@ -161,7 +163,7 @@
         fleet.apply(new Fault.Thaw(Set.of(2)));
         fleet.playTo(16_500);
         assertNull(fleet.settled());
-        List<Watch.Told> own = watch.all().stream()
+        List<MembershipMonitor.ReportedChange> own = watch.all().stream()
                 .filter(t -> t.slot() == 2 && t.atMs() >= 15_000)
                 .toList();
         assertEquals("Doubt", own.get(0).kind());
@@ -170,7 +172,7 @@
     /** Guards: where one way between two is cut the others ask for them, and nobody is given up. */
     @Test
     void oneWayCutGivesNobodyUp() {
-        Watch watch = new Watch(true);
+        MembershipMonitor watch = new MembershipMonitor(true);
         VirtualFleet fleet = new VirtualFleet(quiet(9, 9, List.of()), watch, true);
         fleet.begin();
         fleet.playTo(5_000);
@@ -191,10 +193,11 @@
                         8,
                         8,
                         List.of(
-                                new Schedule.Step(true, 0, new Fault.Kill(Set.of(0, 1))),
-                                new Schedule.Step(true, 0, new Fault.Split(List.of(Set.of(2, 3, 4), Set.of(5, 6, 7)))),
-                                new Schedule.Step(true, 0, new Fault.Heal()))),
-                new Watch(false),
+                                new FaultSchedule.Step(true, 0, new Fault.Kill(Set.of(0, 1))),
+                                new FaultSchedule.Step(
+                                        true, 0, new Fault.Split(List.of(Set.of(2, 3, 4), Set.of(5, 6, 7)))),
+                                new FaultSchedule.Step(true, 0, new Fault.Heal()))),
+                new MembershipMonitor(false),
                 true);
         assertTrue(fleet.play().get(3) < SETTLE_MS);
     }
@@ -202,10 +205,10 @@
     /** Guards: who missed a change while it was cut off for a second has it soon after, though nobody tells it any more. */
     @Test
     void missedNewsAreMadeUpFor() {
-        VirtualFleet fleet = new VirtualFleet(quiet(100, 100, List.of()), new Watch(false), true);
+        VirtualFleet fleet = new VirtualFleet(quiet(100, 100, List.of()), new MembershipMonitor(false), true);
         fleet.begin();
         fleet.playTo(20_000);
-        fleet.apply(new Fault.Cut(Schedule.range(0, 100), Set.of(4), false));
+        fleet.apply(new Fault.Cut(FaultSchedule.slotRange(0, 100), Set.of(4), false));
         fleet.apply(new Fault.Quiesce(Set.of(3), true));
         fleet.playTo(21_500);
         fleet.apply(new Fault.Heal());
@@ -216,13 +219,15 @@
     /** Guards: no false verdict in ten minutes of 10% loss, nor beside doormans at a fifth of a core. */
     @Test
     void lossAndSlownessGiveNobodyUp() {
-        Watch watch = new Watch(true);
+        MembershipMonitor watch = new MembershipMonitor(true);
         VirtualFleet fleet = new VirtualFleet(quiet(14, 14, List.of()), watch, true);
         fleet.begin();
         fleet.playTo(5_000);
-        fleet.apply(new Fault.Weather(Schedule.range(0, 14), Schedule.range(0, 14), new Fault.Noise(0.1, 20, 0, 0)));
+        fleet.apply(new Fault.Weather(
+                FaultSchedule.slotRange(0, 14), FaultSchedule.slotRange(0, 14), new Fault.Noise(0.1, 20, 0, 0)));
         fleet.playTo(605_000);
-        fleet.apply(new Fault.Weather(Schedule.range(0, 14), Schedule.range(0, 14), Fault.Noise.NONE));
+        fleet.apply(
+                new Fault.Weather(FaultSchedule.slotRange(0, 14), FaultSchedule.slotRange(0, 14), Fault.Noise.NONE));
         fleet.apply(new Fault.Starve(Set.of(1, 5, 9, 13), 0.2));
         fleet.playTo(905_000);
         assertEquals(List.of(), verdicts(watch));
@@ -231,7 +236,7 @@
     /** Guards: a quiesce is seen in all views within a second, by a new incarnation. */
     @Test
     void quiesceIsSeen() {
-        Watch watch = new Watch(false);
+        MembershipMonitor watch = new MembershipMonitor(false);
         VirtualFleet fleet = new VirtualFleet(quiet(14, 14, List.of()), watch, true);
         fleet.begin();
         fleet.playTo(5_000);
@@ -251,8 +256,8 @@
     void calmTrafficDoesNotGrowWithTheFleet() {
         double[] perSecond = new double[2];
         for (int i = 0; i < 2; i++) {
-            VirtualFleet fleet =
-                    new VirtualFleet(quiet(i == 0 ? 14 : 140, i == 0 ? 14 : 140, List.of()), new Watch(false), true);
+            VirtualFleet fleet = new VirtualFleet(
+                    quiet(i == 0 ? 14 : 140, i == 0 ? 14 : 140, List.of()), new MembershipMonitor(false), true);
             fleet.begin();
             fleet.playTo(20_000);
             long before = fleet.processes().stream().mapToLong(p -> p.sentBytes).sum();
@@ -268,7 +273,7 @@
     /** Guards: a datagram that was caught on the way and comes again long after changes nothing. */
     @Test
     void datagramsOfAnEarlierLifeChangeNothing() {
-        Watch watch = new Watch(true);
+        MembershipMonitor watch = new MembershipMonitor(true);
         VirtualFleet fleet = new VirtualFleet(quiet(5, 5, List.of()), watch, true);
         List<Datagram> caught = new ArrayList<>();
         fleet.tamper(2, d -> {
