--- a/lab/src/main/java/barleyspur/lab/Lab.java
+++ b/lab/src/main/java/barleyspur/lab/Lab.java
@@ -152,7 +152,7 @@
                 if (!line.getArgList().equals(List.of("budget"))) {
                     throw new IllegalArgumentException("budget was wanted, not " + String.join(" ", line.getArgList()));
                 }
-                return BudgetCommands.check(
+                return BudgetCommands.checkModel(
                                 number(line, "steps", 14, 1),
                                 number(line, "faults", 2, 0),
                                 line.getOptionValue("replay"))
@@ -201,7 +201,7 @@
                 sizes.add(number("sizes", n, 3));
             }
             FleetMeasurement.print(sizes);
-            FleetMeasurement.printVerdicts(14, number(line, "minutes", 60, 1));
+            FleetMeasurement.printFalsePositives(14, number(line, "minutes", 60, 1));
             return OK;
         }
         if (words.equals(List.of("demo"))) {
@@ -221,8 +221,8 @@
         int seeds = number(line, "seeds", 1, 1);
         try {
             return (line.hasOption("virtual")
-                            ? FleetRunCommand.virtual(scenario, seeds, folder)
-                            : FleetRunCommand.real(scenario, jar(line), folder))
+                            ? FleetRunCommand.runSimulations(scenario, seeds, folder)
+                            : FleetRunCommand.runProcesses(scenario, jar(line), folder))
                     ? OK
                     : FAILED;
         } catch (Hcl.Invalid e) {
@@ -238,7 +238,7 @@
             for (String n : line.getOptionValue("sizes", "3,14,100").split(",")) {
                 sizes.add(number("sizes", n, 3));
             }
-            BudgetCommands.measure(sizes);
+            BudgetCommands.printMeasurements(sizes);
             return OK;
         }
         if (words.equals(List.of("scale"))) {
@@ -253,8 +253,8 @@
         int seeds = number(line, "seeds", 1, 1);
         try {
             return (line.hasOption("virtual")
-                            ? BudgetCommands.virtual(scenario, seeds, folder)
-                            : BudgetCommands.real(scenario, jar(line), folder))
+                            ? BudgetCommands.runSimulations(scenario, seeds, folder)
+                            : BudgetCommands.runProcesses(scenario, jar(line), folder))
                     ? OK
                     : FAILED;
         } catch (Hcl.Invalid e) {
--- a/lab/src/main/java/barleyspur/lab/fleet/BudgetCommands.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/BudgetCommands.java
@@ -20,46 +20,52 @@
 /** The commands {@code budget run} and {@code budget measure}. */
 public final class BudgetCommands {
 
-    static final double DRIFT = 0.01;
-    private static final double PLOT_MS = 500;
+    static final double MAX_CLOCK_DRIFT = 0.01;
+    private static final double PLOT_INTERVAL_MS = 500;
 
     private BudgetCommands() {}
 
     /** Plays a scenario with budgets on real processes; whether all promises were kept. */
-    public static boolean real(Path scenario, Path jar, Path folder) throws Hcl.Invalid, IOException {
-        FaultSchedule schedule = load(scenario);
+    public static boolean runProcesses(Path scenario, Path jar, Path folder) throws Hcl.Invalid, IOException {
+        FaultSchedule schedule = loadWithBudgets(scenario);
         System.out.printf("%s: %d doormans, logs below %s%n", schedule.name(), schedule.initialDoormans(), folder);
         try {
-            BudgetProcessRun.RunResult r = BudgetProcessRun.play(schedule, jar, folder, System.out::println);
-            r.rows().forEach(System.out::println);
-            r.boxes()
-                    .forEach((uid, t) -> System.out.printf(
+            BudgetProcessRun.RunResult result = BudgetProcessRun.run(schedule, jar, folder, System.out::println);
+            result.clientRows().forEach(System.out::println);
+            result.tallyByBox()
+                    .forEach((uid, tally) -> System.out.printf(
                             Locale.ROOT,
                             "%-6s %6d arrived, %3d at once at most, %.1f over its " + "rate at most%n",
                             uid,
-                            t.arrived(),
-                            t.mostAtOnce(),
-                            t.mostOverRate()));
+                            tally.arrived(),
+                            tally.mostAtOnce(),
+                            tally.mostOverRate()));
             System.out.printf(
                     Locale.ROOT,
                     "divided anew %.1f s after the last fault; a process began to divide %d times%n",
-                    r.anewMs() / 1e3,
-                    r.shares().dividers());
+                    result.reassignedAfterMs() / 1e3,
+                    result.budgetMonitor().coordinatorCount());
             System.out.printf(
                     Locale.ROOT,
                     "a member sent %.0f bytes a second on average, %.0f at most; %d came to the young box%n",
-                    r.traffic().stream().mapToDouble(t -> t[1]).average().orElse(0),
-                    r.traffic().stream().mapToDouble(t -> t[1]).max().orElse(0),
-                    r.young());
-            report(folder, schedule, r);
-            return FleetRunCommand.judge(r.broken());
+                    result.trafficSamples().stream()
+                            .mapToDouble(t -> t[1])
+                            .average()
+                            .orElse(0),
+                    result.trafficSamples().stream()
+                            .mapToDouble(t -> t[1])
+                            .max()
+                            .orElse(0),
+                    result.arrivalsWhileWarmingUp());
+            writeReport(folder, schedule, result);
+            return FleetRunCommand.printViolations(result.violations());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return false;
         }
     }
 
-    private static FaultSchedule load(Path scenario) throws Hcl.Invalid {
+    private static FaultSchedule loadWithBudgets(Path scenario) throws Hcl.Invalid {
         FaultSchedule schedule = ScenarioFile.load(scenario);
         if (schedule.workload() == null) {
             throw new Hcl.Invalid(
@@ -68,7 +74,8 @@
         return schedule;
     }
 
-    private static void report(Path folder, FaultSchedule schedule, BudgetProcessRun.RunResult r) throws IOException {
+    private static void writeReport(Path folder, FaultSchedule schedule, BudgetProcessRun.RunResult result)
+            throws IOException {
         XYChart chart = new XYChartBuilder()
                 .width(1_000)
                 .height(400)
@@ -78,36 +85,36 @@
                 .build();
         JSONArray held = new JSONArray();
         for (String budget : new TreeMap<>(schedule.workload().config().budgets()).keySet()) {
-            List<Double> xs = new ArrayList<>();
-            List<Double> ys = new ArrayList<>();
-            for (double t = 0; t + PLOT_MS <= r.endMs(); t += PLOT_MS) {
-                double part = r.shares().held(budget, t, t + PLOT_MS);
-                xs.add(t / 1e3);
-                ys.add(Double.isNaN(part) ? 0 : part);
+            List<Double> seconds = new ArrayList<>();
+            List<Double> fractions = new ArrayList<>();
+            for (double t = 0; t + PLOT_INTERVAL_MS <= result.endMs(); t += PLOT_INTERVAL_MS) {
+                double leasedFraction = result.budgetMonitor().leasedFraction(budget, t, t + PLOT_INTERVAL_MS);
+                seconds.add(t / 1e3);
+                fractions.add(Double.isNaN(leasedFraction) ? 0 : leasedFraction);
             }
-            if (!xs.isEmpty()) {
-                chart.addSeries(budget, xs, ys).setMarker(SeriesMarkers.NONE);
+            if (!seconds.isEmpty()) {
+                chart.addSeries(budget, seconds, fractions).setMarker(SeriesMarkers.NONE);
             }
             held.put(new JSONObject()
                     .put("budget", budget)
-                    .put("every_ms", PLOT_MS)
-                    .put("held", new JSONArray(ys)));
+                    .put("every_ms", PLOT_INTERVAL_MS)
+                    .put("held", new JSONArray(fractions)));
         }
         BitmapEncoder.saveBitmap(chart, folder.resolve("held.png").toString(), BitmapEncoder.BitmapFormat.PNG);
         JSONArray boxes = new JSONArray();
-        r.boxes()
-                .forEach((uid, t) -> boxes.put(new JSONObject()
+        result.tallyByBox()
+                .forEach((uid, tally) -> boxes.put(new JSONObject()
                         .put("box", uid)
-                        .put("arrived", t.arrived())
-                        .put("most_at_once", t.mostAtOnce())
-                        .put("most_over_rate", t.mostOverRate())));
-        StringBuilder struck = new StringBuilder();
-        r.struck()
-                .forEach(s -> struck.append(String.format(
+                        .put("arrived", tally.arrived())
+                        .put("most_at_once", tally.mostAtOnce())
+                        .put("most_over_rate", tally.mostOverRate())));
+        StringBuilder faultRows = new StringBuilder();
+        result.injectedFaults()
+                .forEach(s -> faultRows.append(String.format(
                         Locale.ROOT,
                         "<tr><td>%.1f<td>%s",
-                        s.atMs() / 1e3,
-                        FleetRunReport.escaped(s.fault().toString()))));
+                        s.timeMs() / 1e3,
+                        FleetRunReport.escapeHtml(s.fault().toString()))));
         Files.writeString(
                 folder.resolve("report.json"),
                 new JSONObject()
@@ -118,55 +125,62 @@
                                 .put("boxes", boxes)
                                 .put(
                                         "bytes_a_second_and_member",
-                                        new JSONArray(r.traffic().stream()
+                                        new JSONArray(result.trafficSamples().stream()
                                                 .map(t -> t[1])
                                                 .toList()))
-                                .put("divided_anew_ms", Double.isInfinite(r.anewMs()) ? JSONObject.NULL : r.anewMs())
-                                .put("broken", new JSONArray(r.broken()))
+                                .put(
+                                        "divided_anew_ms",
+                                        Double.isInfinite(result.reassignedAfterMs())
+                                                ? JSONObject.NULL
+                                                : result.reassignedAfterMs())
+                                .put("broken", new JSONArray(result.violations()))
                                 .toString(2)
                         + "\n");
         Files.writeString(
                 folder.resolve("report.html"),
-                "<!doctype html><meta charset=utf-8><title>" + FleetRunReport.escaped(schedule.name()) + "</title><h1>"
-                        + FleetRunReport.escaped(schedule.name()) + "</h1><p>"
-                        + (r.broken().isEmpty()
+                "<!doctype html><meta charset=utf-8><title>" + FleetRunReport.escapeHtml(schedule.name())
+                        + "</title><h1>"
+                        + FleetRunReport.escapeHtml(schedule.name()) + "</h1><p>"
+                        + (result.violations().isEmpty()
                                 ? "All promises kept."
-                                : "Broken: " + FleetRunReport.escaped(r.broken().toString()))
+                                : "Broken: "
+                                        + FleetRunReport.escapeHtml(
+                                                result.violations().toString()))
                         + "</p><img src=held.png>"
-                        + "<h2>Faults</h2><table border=1><tr><th>second<th>fault" + struck
+                        + "<h2>Faults</h2><table border=1><tr><th>second<th>fault" + faultRows
                         + "</table><h2>The scenario</h2><pre>"
-                        + FleetRunReport.escaped(ScenarioFile.write(schedule)) + "</pre>\n");
+                        + FleetRunReport.escapeHtml(ScenarioFile.write(schedule)) + "</pre>\n");
         System.out.println("report: " + folder.resolve("report.html"));
     }
 
     /** Plays a scenario in virtual time from its seed on; the first seed that breaks a promise is shrunk and written. */
-    public static boolean virtual(Path scenario, int seeds, Path folder) throws Hcl.Invalid, IOException {
-        FaultSchedule schedule = load(scenario);
-        long start = System.nanoTime();
-        double usable = 0;
+    public static boolean runSimulations(Path scenario, int seeds, Path folder) throws Hcl.Invalid, IOException {
+        FaultSchedule schedule = loadWithBudgets(scenario);
+        long startNanos = System.nanoTime();
+        double usableSum = 0;
         for (int i = 0; i < seeds; i++) {
-            FaultSchedule played = schedule.with(schedule.randomSeed() + i);
-            BudgetSimulation world = BudgetSimulation.forSchedule(played, DRIFT);
-            world.run();
-            if (!world.violations().isEmpty()) {
-                FaultSchedule small = Shrinker.shrink(played, s -> {
-                    BudgetSimulation again = BudgetSimulation.forSchedule(s, DRIFT);
-                    again.run();
-                    return !again.violations().isEmpty();
+            FaultSchedule seeded = schedule.with(schedule.randomSeed() + i);
+            BudgetSimulation simulation = BudgetSimulation.forSchedule(seeded, MAX_CLOCK_DRIFT);
+            simulation.run();
+            if (!simulation.violations().isEmpty()) {
+                FaultSchedule shrunk = Shrinker.shrink(seeded, s -> {
+                    BudgetSimulation candidate = BudgetSimulation.forSchedule(s, MAX_CLOCK_DRIFT);
+                    candidate.run();
+                    return !candidate.violations().isEmpty();
                 });
                 Files.createDirectories(folder);
-                Path file = folder.resolve("broken-" + played.randomSeed() + ".hcl");
-                Files.writeString(file, ScenarioFile.write(small));
+                Path file = folder.resolve("broken-" + seeded.randomSeed() + ".hcl");
+                Files.writeString(file, ScenarioFile.write(shrunk));
                 System.out.printf(
                         "seed %d; shrunk from %d to %d steps; again: barleyspur-lab budget run %s --virtual%n",
-                        played.randomSeed(),
-                        played.steps().size(),
-                        small.steps().size(),
+                        seeded.randomSeed(),
+                        seeded.steps().size(),
+                        shrunk.steps().size(),
                         file);
-                return FleetRunCommand.judge(world.violations());
+                return FleetRunCommand.printViolations(simulation.violations());
             }
-            usable += played.workload().config().budgets().keySet().stream()
-                    .mapToDouble(world::usableFraction)
+            usableSum += seeded.workload().config().budgets().keySet().stream()
+                    .mapToDouble(simulation::usableFraction)
                     .min()
                     .orElse(0);
         }
@@ -177,9 +191,9 @@
                 schedule.name(),
                 seeds,
                 schedule.initialDoormans(),
-                (System.nanoTime() - start) / 1e9,
-                usable / seeds);
-        return FleetRunCommand.judge(List.of());
+                (System.nanoTime() - startNanos) / 1e9,
+                usableSum / seeds);
+        return FleetRunCommand.printViolations(List.of());
     }
 
     /**
@@ -187,44 +201,45 @@
      *
      * @param replay faults as a counterexample names them, or null
      */
-    public static boolean check(int steps, int faults, String replay) {
-        boolean good = true;
+    public static boolean checkModel(int steps, int faults, String replay) {
+        boolean passed = true;
         for (Kind kind : Kind.values()) {
             BudgetModelChecker checker = new BudgetModelChecker(kind, steps);
             if (replay != null) {
-                String broken = checker.play(BudgetModelChecker.parse(replay));
-                System.out.printf("%s: %s%n", kind, broken == null ? "not over the whole" : "BROKEN " + broken);
-                good &= broken == null;
+                String violation = checker.run(BudgetModelChecker.parse(replay));
+                System.out.printf("%s: %s%n", kind, violation == null ? "not over the whole" : "BROKEN " + violation);
+                passed &= violation == null;
                 continue;
             }
-            long start = System.nanoTime();
-            BudgetModelChecker.ExplorationResult r = checker.explore(faults);
+            long startNanos = System.nanoTime();
+            BudgetModelChecker.ExplorationResult result = checker.explore(faults);
             System.out.printf(
                     Locale.ROOT,
                     "%s: %d schedules of up to %d faults in %d steps, %d steps played, %d different states "
                             + "after the last fault, %.1f s: %s%n",
                     kind,
-                    r.schedules(),
+                    result.schedules(),
                     faults,
                     steps,
-                    r.steps(),
-                    r.states(),
-                    (System.nanoTime() - start) / 1e9,
-                    r.broken() == null ? "never over the whole" : "BROKEN " + r.broken());
-            if (r.broken() != null) {
-                StringBuilder again = new StringBuilder();
-                r.counterexample()
-                        .forEach(p -> again.append(again.isEmpty() ? "" : " ").append(p));
-                System.out.println(
-                        "  again: barleyspur-lab check budget --steps " + steps + " --replay \"" + again + "\"");
+                    result.steps(),
+                    result.states(),
+                    (System.nanoTime() - startNanos) / 1e9,
+                    result.violation() == null ? "never over the whole" : "BROKEN " + result.violation());
+            if (result.violation() != null) {
+                StringBuilder replayArgument = new StringBuilder();
+                result.counterexample().forEach(p -> replayArgument
+                        .append(replayArgument.isEmpty() ? "" : " ")
+                        .append(p));
+                System.out.println("  again: barleyspur-lab check budget --steps " + steps + " --replay \""
+                        + replayArgument + "\"");
             }
-            good &= r.broken() == null;
+            passed &= result.violation() == null;
         }
-        return good;
+        return passed;
     }
 
     /** Prints what is found by size and kind of load, in virtual time. */
-    public static void measure(List<Integer> sizes) {
+    public static void printMeasurements(List<Integer> sizes) {
         BudgetMeasurement.print(sizes.stream().sorted(Comparator.naturalOrder()).toList());
     }
 }
--- a/lab/src/main/java/barleyspur/lab/fleet/BudgetMeasurement.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/BudgetMeasurement.java
@@ -12,103 +12,104 @@
 final class BudgetMeasurement {
 
     private static final double LEASE_MS = 4_000;
-    private static final double TERM_MS = 1_500;
-    private static final double WARM_MS = 15_000;
-    private static final double OVER_MS = 20_000;
+    private static final double LEADER_LEASE_MS = 1_500;
+    private static final double WARM_UP_MS = 15_000;
+    private static final double MEASURED_MS = 20_000;
 
     private BudgetMeasurement() {}
 
-    private static BudgetSimulation world(int doormans, long whole, BudgetSimulation.Demand demand) {
-        Terms terms = new Terms(
+    private static BudgetSimulation simulation(int doormans, long capacity, BudgetSimulation.Demand demand) {
+        Terms config = new Terms(
                 BudgetSimulation.voterAddresses(Math.min(3, doormans)),
                 doormans,
-                TERM_MS,
+                LEADER_LEASE_MS,
                 500,
                 50,
                 Map.of(
                         "calls",
-                        new Terms.Budget("calls", Kind.RATE, whole, Math.max(doormans, whole), 0, 1, LEASE_MS)));
+                        new Terms.Budget("calls", Kind.RATE, capacity, Math.max(doormans, capacity), 0, 1, LEASE_MS)));
         FaultSchedule schedule = new FaultSchedule("measure", doormans, doormans, List.of(0), 500, List.of(), 0, 1);
-        return new BudgetSimulation(schedule, terms, BudgetCommands.DRIFT, List.of("calls:s0"), demand);
+        return new BudgetSimulation(schedule, config, BudgetCommands.MAX_CLOCK_DRIFT, List.of("calls:s0"), demand);
     }
 
     /** What a fixed part for each would let through of what is wanted, as a part of the whole. */
-    private static double fixed(int doormans, double[] wants, double whole) {
-        double sum = 0;
-        for (double w : wants) {
-            sum += Math.min(w, whole / doormans);
+    private static double fixedPartsUse(int doormans, double[] demandPerS, double capacity) {
+        double allowedPerS = 0;
+        for (double demand : demandPerS) {
+            allowedPerS += Math.min(demand, capacity / doormans);
         }
-        return sum / whole;
+        return allowedPerS / capacity;
     }
 
     /** Prints a row for each size. */
     static void print(List<Integer> sizes) {
         System.out.println(
                 "doormans  load      in use  fixed parts  Jain  words/s a doorman  real ms/virtual s  anew s after kill");
-        for (int n : sizes) {
-            long whole = 20L * n;
+        for (int doormans : sizes) {
+            long capacity = 20L * doormans;
             Map<String, BudgetSimulation.Demand> loads = new TreeMap<>();
             loads.put("even", (b, slot, now) -> 30);
-            loads.put("skewed", (b, slot, now) -> slot < Math.max(1, n / 3) ? 90 : 2);
+            loads.put("skewed", (b, slot, now) -> slot < Math.max(1, doormans / 3) ? 90 : 2);
             loads.put("jumping", (b, slot, now) -> slot % 3 == (int) (now / 1_000) % 3 ? 90 : 2);
-            loads.forEach((name, demand) -> row(n, whole, name, demand));
+            loads.forEach((name, demand) -> printRow(doormans, capacity, name, demand));
         }
     }
 
-    private static void row(int n, long whole, String name, BudgetSimulation.Demand demand) {
-        BudgetSimulation world = world(n, whole, demand);
-        world.startInitialProcesses();
-        world.runUntil(WARM_MS);
-        long sent = world.sentMessages;
-        long arrived = world.box("calls:s0").arrivals;
-        Map<Integer, Long> bySlot = new TreeMap<>(world.box("calls:s0").arrivalsBySlot);
-        long nanos = System.nanoTime();
-        world.runUntil(WARM_MS + OVER_MS);
-        double real = (System.nanoTime() - nanos) / 1e6 / (OVER_MS / 1e3);
-        double words = (world.sentMessages - sent) / (OVER_MS / 1e3) / n;
-        double used = (world.box("calls:s0").arrivals - arrived) / (OVER_MS / 1e3) / whole;
-        double[] wants = new double[n];
+    private static void printRow(int doormans, long capacity, String name, BudgetSimulation.Demand demand) {
+        BudgetSimulation simulation = simulation(doormans, capacity, demand);
+        simulation.startInitialProcesses();
+        simulation.runUntil(WARM_UP_MS);
+        long sentBefore = simulation.sentMessages;
+        long arrivalsBefore = simulation.box("calls:s0").arrivals;
+        Map<Integer, Long> arrivalsBySlotBefore = new TreeMap<>(simulation.box("calls:s0").arrivalsBySlot);
+        long startNanos = System.nanoTime();
+        simulation.runUntil(WARM_UP_MS + MEASURED_MS);
+        double realMsPerS = (System.nanoTime() - startNanos) / 1e6 / (MEASURED_MS / 1e3);
+        double messagesPerS = (simulation.sentMessages - sentBefore) / (MEASURED_MS / 1e3) / doormans;
+        double usedFraction = (simulation.box("calls:s0").arrivals - arrivalsBefore) / (MEASURED_MS / 1e3) / capacity;
+        double[] demandPerS = new double[doormans];
         double sum = 0;
         double squares = 0;
-        int hungry = 0;
-        for (int i = 0; i < n; i++) {
-            wants[i] = demand.attemptsPerSecond("calls", i, 0);
-            double got = world.box("calls:s0").arrivalsBySlot.getOrDefault(i, 0L) - bySlot.getOrDefault(i, 0L);
+        int busyDoormans = 0;
+        for (int i = 0; i < doormans; i++) {
+            demandPerS[i] = demand.attemptsPerSecond("calls", i, 0);
+            double arrivals = simulation.box("calls:s0").arrivalsBySlot.getOrDefault(i, 0L)
+                    - arrivalsBySlotBefore.getOrDefault(i, 0L);
             // Among those that want the most, which all are to have alike.
-            if (name.equals("jumping") || wants[i] > 2) {
-                sum += got;
-                squares += got * got;
-                hungry++;
+            if (name.equals("jumping") || demandPerS[i] > 2) {
+                sum += arrivals;
+                squares += arrivals * arrivals;
+                busyDoormans++;
             }
         }
-        double wanted = 0;
-        for (double w : wants) {
-            wanted += w;
+        double totalDemandPerS = 0;
+        for (double doormanDemandPerS : demandPerS) {
+            totalDemandPerS += doormanDemandPerS;
         }
-        double could = Math.min(1, wanted / whole);
+        double usableFraction = Math.min(1, totalDemandPerS / capacity);
         // Whoever divides, which holds a share as well.
-        world.apply(new Fault.Kill(Set.of(0)));
-        double killed = world.nowMs;
-        double anew = Double.POSITIVE_INFINITY;
-        while (world.nowMs - killed < 30_000 && Double.isInfinite(anew)) {
-            world.runUntil(world.nowMs + 100);
-            anew = world.usableFraction("calls:s0") >= 0.95 && world.nowMs - killed > 1_000
-                    ? world.nowMs - killed
-                    : anew;
+        simulation.apply(new Fault.Kill(Set.of(0)));
+        double killedMs = simulation.nowMs;
+        double reassignedAfterMs = Double.POSITIVE_INFINITY;
+        while (simulation.nowMs - killedMs < 30_000 && Double.isInfinite(reassignedAfterMs)) {
+            simulation.runUntil(simulation.nowMs + 100);
+            reassignedAfterMs = simulation.usableFraction("calls:s0") >= 0.95 && simulation.nowMs - killedMs > 1_000
+                    ? simulation.nowMs - killedMs
+                    : reassignedAfterMs;
         }
         System.out.printf(
                 Locale.ROOT,
                 "%8d  %-8s  %5.3f   %5.3f        %5.3f %10.1f %15.1f %15.1f%s%n",
-                n,
+                doormans,
                 name,
-                used / could,
-                fixed(n, wants, whole) / could,
-                sum * sum / squares / hungry,
-                words,
-                real,
-                anew / 1e3,
-                world.violations().isEmpty()
+                usedFraction / usableFraction,
+                fixedPartsUse(doormans, demandPerS, capacity) / usableFraction,
+                sum * sum / squares / busyDoormans,
+                messagesPerS,
+                realMsPerS,
+                reassignedAfterMs / 1e3,
+                simulation.violations().isEmpty()
                         ? ""
-                        : "  BROKEN " + world.violations().get(0));
+                        : "  BROKEN " + simulation.violations().get(0));
     }
 }
--- a/lab/src/main/java/barleyspur/lab/fleet/BudgetModelChecker.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/BudgetModelChecker.java
@@ -45,80 +45,81 @@
     }
 
     /** A fault: in which step, what, and to whom. */
-    record PlacedFault(int step, FaultKind blow, int doorman) {
+    record PlacedFault(int step, FaultKind kind, int doorman) {
         @Override
         public String toString() {
-            return step + ":" + blow + ":" + (doorman + 1);
+            return step + ":" + kind + ":" + (doorman + 1);
         }
     }
 
     /** Faults as they are printed. */
     static List<PlacedFault> parse(String text) {
         List<PlacedFault> faults = new ArrayList<>();
-        for (String word : text.strip().split(" +")) {
-            String[] parts = word.split(":");
+        for (String item : text.strip().split(" +")) {
+            String[] parts = item.split(":");
             try {
                 faults.add(new PlacedFault(
                         Integer.parseInt(parts[0]), FaultKind.valueOf(parts[1]), Integer.parseInt(parts[2]) - 1));
             } catch (RuntimeException e) {
-                throw new IllegalArgumentException("--replay is no fault, as 27:RESTART:1: " + word, e);
+                throw new IllegalArgumentException("--replay is no fault, as 27:RESTART:1: " + item, e);
             }
         }
         return faults;
     }
 
     /** What an exploration came to. */
-    record ExplorationResult(long schedules, long steps, int states, List<PlacedFault> counterexample, String broken) {}
+    record ExplorationResult(
+            long schedules, long steps, int states, List<PlacedFault> counterexample, String violation) {}
 
     private static final int DOORMANS = 3;
     static final double STEP_MS = 50;
     private static final double TERM_MS = 600;
     private static final double LEASE_MS = 500;
     private static final double HOLD_MS = 60;
-    private static final int LATER = 6;
-    private static final int LONG = 14;
-    private static final int SHORT = 2;
+    private static final int LATE_STEPS = 6;
+    private static final int LONG_OUTAGE_STEPS = 14;
+    private static final int SHORT_OUTAGE_STEPS = 2;
     /** Steps before the first fault: all silences and waits are over and the units are held. */
-    private static final int WARM_UP = 34;
+    private static final int WARM_UP_STEPS = 34;
     /** An amount lasts so long, and is wanted for less from then on: its first units are spent in the warm-up. */
     private static final int AMOUNT_STEPS = 14;
 
-    private static final int AMOUNT_FROM = 30;
-    private static final double[] RATES = {1, 1 + Terms.DRIFT, 1 - Terms.DRIFT};
+    private static final int AMOUNT_FIRST_STEP = 30;
+    private static final double[] CLOCK_RATES = {1, 1 + Terms.DRIFT, 1 - Terms.DRIFT};
 
-    private final Terms terms;
-    private final int steps;
+    private final Terms config;
+    private final int stepsWithFaults;
 
-    BudgetModelChecker(Kind kind, int steps) {
-        this.steps = steps;
-        double lease = kind == Kind.AMOUNT ? AMOUNT_STEPS * STEP_MS : LEASE_MS;
-        terms = new Terms(
+    BudgetModelChecker(Kind kind, int stepsWithFaults) {
+        this.stepsWithFaults = stepsWithFaults;
+        double leaseMs = kind == Kind.AMOUNT ? AMOUNT_STEPS * STEP_MS : LEASE_MS;
+        config = new Terms(
                 BudgetSimulation.voterAddresses(DOORMANS),
                 DOORMANS,
                 TERM_MS,
                 HOLD_MS,
                 1,
-                Map.of("b", new Terms.Budget("b", kind, 2, DOORMANS, 0, 1, lease)));
+                Map.of("b", new Terms.Budget("b", kind, 2, DOORMANS, 0, 1, leaseMs)));
     }
 
-    private record InFlightMessage(int atStep, int from, int to, Word word) {}
+    private record InFlightMessage(int deliveryStep, int from, int to, Word message) {}
 
     /** The world, played from its beginning for each schedule. */
     private final class Model {
-        private final Budgets[] budgets = new Budgets[DOORMANS];
-        private final Share[] shares = new Share[DOORMANS];
+        private final Budgets[] agents = new Budgets[DOORMANS];
+        private final Share[] limiters = new Share[DOORMANS];
         private final long[] nonces = new long[DOORMANS];
-        private final int[] frozenTo = new int[DOORMANS];
-        private final int[] cutTo = new int[DOORMANS];
+        private final int[] frozenUntilStep = new int[DOORMANS];
+        private final int[] isolatedUntilStep = new int[DOORMANS];
         /** Units in use: who took them, when they are given back there, and whether that process lives. */
-        private final List<double[]> inUse = new ArrayList<>();
+        private final List<double[]> unitsInUse = new ArrayList<>();
 
-        private List<InFlightMessage> flying = new ArrayList<>();
-        private List<InFlightMessage> sentNow = new ArrayList<>();
+        private List<InFlightMessage> inFlight = new ArrayList<>();
+        private List<InFlightMessage> sentThisStep = new ArrayList<>();
         private int step;
-        private long lives;
-        private long spentByDead;
-        private String broken;
+        private long startedProcesses;
+        private long spentByTerminated;
+        private String violation;
 
         Model() {
             for (int i = 0; i < DOORMANS; i++) {
@@ -126,240 +127,261 @@
             }
         }
 
-        private double clock(int i) {
-            return 1_000 * (i + 1) + step * STEP_MS * RATES[i];
+        private double localTimeMs(int doorman) {
+            return 1_000 * (doorman + 1) + step * STEP_MS * CLOCK_RATES[doorman];
         }
 
-        private void start(int i) {
-            int self = i;
-            nonces[i] = ++lives;
-            frozenTo[i] = 0;
-            budgets[i] =
-                    new Budgets(terms, "d" + (i + 1), BudgetSimulation.addressOf(i), nonces[i], lives, clock(i), a -> {
-                        if (a instanceof Action.Send s) {
-                            sentNow.add(new InFlightMessage(
-                                    step + 1, self, Integer.parseInt(s.address().substring(8, 9)) - 1, s.word()));
+        private void start(int doorman) {
+            int sender = doorman;
+            nonces[doorman] = ++startedProcesses;
+            frozenUntilStep[doorman] = 0;
+            agents[doorman] = new Budgets(
+                    config,
+                    "d" + (doorman + 1),
+                    BudgetSimulation.addressOf(doorman),
+                    nonces[doorman],
+                    startedProcesses,
+                    localTimeMs(doorman),
+                    action -> {
+                        if (action instanceof Action.Send sendAction) {
+                            sentThisStep.add(new InFlightMessage(
+                                    step + 1,
+                                    sender,
+                                    Integer.parseInt(sendAction.address().substring(8, 9)) - 1,
+                                    sendAction.word()));
                         }
                     });
-            Set<String> others = new HashSet<>(terms.voters());
-            others.remove(BudgetSimulation.addressOf(i));
-            budgets[i].there(others);
+            Set<String> peers = new HashSet<>(config.voters());
+            peers.remove(BudgetSimulation.addressOf(doorman));
+            agents[doorman].there(peers);
         }
 
-        private void kill(int i) {
-            if (kind() == Kind.AMOUNT && shares[i] != null) {
-                spentByDead += shares[i].using();
+        private void kill(int doorman) {
+            if (kind() == Kind.AMOUNT && limiters[doorman] != null) {
+                spentByTerminated += limiters[doorman].using();
             }
-            inUse.forEach(u -> u[2] = u[0] == i ? 0 : u[2]);
-            budgets[i] = null;
-            shares[i] = null;
+            unitsInUse.forEach(unit -> unit[2] = unit[0] == doorman ? 0 : unit[2]);
+            agents[doorman] = null;
+            limiters[doorman] = null;
         }
 
         private Kind kind() {
-            return terms.of("b").kind();
+            return config.of("b").kind();
         }
 
-        private boolean runs(int i) {
-            return budgets[i] != null && step >= frozenTo[i];
+        private boolean isRunning(int doorman) {
+            return agents[doorman] != null && step >= frozenUntilStep[doorman];
         }
 
-        void play(List<PlacedFault> faults, int to) {
-            while (step < to && broken == null) {
+        void runTo(List<PlacedFault> faults, int lastStep) {
+            while (step < lastStep && violation == null) {
                 step++;
-                List<InFlightMessage> now = new ArrayList<>(sentNow);
-                sentNow = new ArrayList<>();
-                for (PlacedFault f : faults) {
-                    if (f.step == step) {
-                        strike(f, now);
+                List<InFlightMessage> arriving = new ArrayList<>(sentThisStep);
+                sentThisStep = new ArrayList<>();
+                for (PlacedFault item : faults) {
+                    if (item.step == step) {
+                        inject(item, arriving);
                     }
                 }
-                flying.addAll(now);
-                List<InFlightMessage> later = new ArrayList<>();
-                for (InFlightMessage f : flying) {
-                    boolean cut = step < cutTo[f.from] || step < cutTo[f.to];
-                    if (f.atStep > step || step < frozenTo[f.to] && budgets[f.to] != null) {
-                        later.add(f);
-                    } else if (!cut && budgets[f.to] != null) {
-                        budgets[f.to].receive(
-                                clock(f.to),
-                                BudgetSimulation.addressOf(f.from),
-                                "d" + (f.from + 1),
-                                nonces[f.from],
-                                f.word);
+                inFlight.addAll(arriving);
+                List<InFlightMessage> delayed = new ArrayList<>();
+                for (InFlightMessage item : inFlight) {
+                    boolean isolated = step < isolatedUntilStep[item.from] || step < isolatedUntilStep[item.to];
+                    if (item.deliveryStep > step || step < frozenUntilStep[item.to] && agents[item.to] != null) {
+                        delayed.add(item);
+                    } else if (!isolated && agents[item.to] != null) {
+                        agents[item.to].receive(
+                                localTimeMs(item.to),
+                                BudgetSimulation.addressOf(item.from),
+                                "d" + (item.from + 1),
+                                nonces[item.from],
+                                item.message);
                     }
                 }
-                flying = later;
+                inFlight = delayed;
                 for (int i = 0; i < DOORMANS; i++) {
-                    if (runs(i)) {
-                        budgets[i].tick(clock(i));
-                        if (kind() != Kind.AMOUNT || step >= AMOUNT_FROM && step < AMOUNT_FROM + AMOUNT_STEPS - 1) {
-                            use(i);
+                    if (isRunning(i)) {
+                        agents[i].tick(localTimeMs(i));
+                        if (kind() != Kind.AMOUNT
+                                || step >= AMOUNT_FIRST_STEP && step < AMOUNT_FIRST_STEP + AMOUNT_STEPS - 1) {
+                            acquireAndRelease(i);
                         }
                     }
-                    check();
+                    checkCapacity();
                 }
             }
         }
 
-        private void use(int i) {
+        private void acquireAndRelease(int doorman) {
             // A share that was forgotten for want of use is a new one.
-            shares[i] = budgets[i].share(clock(i), "b");
-            inUse.removeIf(u -> {
-                boolean done = u[0] == i && u[2] == 1 && clock(i) - u[1] >= HOLD_MS * 0.8;
-                if (done) {
-                    shares[i].release(u[1], clock(i));
+            limiters[doorman] = agents[doorman].share(localTimeMs(doorman), "b");
+            unitsInUse.removeIf(unit -> {
+                boolean released =
+                        unit[0] == doorman && unit[2] == 1 && localTimeMs(doorman) - unit[1] >= HOLD_MS * 0.8;
+                if (released) {
+                    limiters[doorman].release(unit[1], localTimeMs(doorman));
                 }
-                return done;
+                return released;
             });
-            while (shares[i].take(clock(i))) {
+            while (limiters[doorman].take(localTimeMs(doorman))) {
                 if (kind() == Kind.PLACES) {
-                    inUse.add(new double[] {i, clock(i), 1, step});
+                    unitsInUse.add(new double[] {doorman, localTimeMs(doorman), 1, step});
                 }
             }
-            budgets[i].wantsMore(clock(i), shares[i]);
+            agents[doorman].wantsMore(localTimeMs(doorman), limiters[doorman]);
         }
 
-        private void strike(PlacedFault f, List<InFlightMessage> now) {
-            int i = f.doorman;
-            switch (f.blow) {
-                case LOSE -> now.removeIf(m -> m.from == i);
+        private void inject(PlacedFault fault, List<InFlightMessage> arriving) {
+            int doorman = fault.doorman;
+            switch (fault.kind) {
+                case LOSE -> arriving.removeIf(message -> message.from == doorman);
                 case LATE, TWICE -> {
-                    for (InFlightMessage m : List.copyOf(now)) {
-                        if (m.from == i) {
-                            flying.add(new InFlightMessage(step + LATER, m.from, m.to, m.word));
-                            if (f.blow == FaultKind.LATE) {
-                                now.remove(m);
+                    for (InFlightMessage message : List.copyOf(arriving)) {
+                        if (message.from == doorman) {
+                            inFlight.add(
+                                    new InFlightMessage(step + LATE_STEPS, message.from, message.to, message.message));
+                            if (fault.kind == FaultKind.LATE) {
+                                arriving.remove(message);
                             }
                         }
                     }
                 }
                 case RESTART, KILL -> {
-                    if (budgets[i] != null) {
-                        kill(i);
+                    if (agents[doorman] != null) {
+                        kill(doorman);
                     }
-                    if (f.blow == FaultKind.RESTART) {
-                        start(i);
+                    if (fault.kind == FaultKind.RESTART) {
+                        start(doorman);
                     }
                 }
                 case LEAVE -> {
-                    if (runs(i)) {
-                        budgets[i].leave(clock(i));
-                        kill(i);
-                        start(i);
+                    if (isRunning(doorman)) {
+                        agents[doorman].leave(localTimeMs(doorman));
+                        kill(doorman);
+                        start(doorman);
                     }
                 }
-                case FREEZE, FREEZE_LONG -> frozenTo[i] = step + (f.blow == FaultKind.FREEZE ? SHORT : LONG);
-                default -> cutTo[i] = step + LONG;
+                case FREEZE, FREEZE_LONG ->
+                    frozenUntilStep[doorman] =
+                            step + (fault.kind == FaultKind.FREEZE ? SHORT_OUTAGE_STEPS : LONG_OUTAGE_STEPS);
+                default -> isolatedUntilStep[doorman] = step + LONG_OUTAGE_STEPS;
             }
         }
 
         /** What all might use at this moment, and what is in use by who is no longer there. */
-        private void check() {
-            long sum = spentByDead;
+        private void checkCapacity() {
+            long usable = spentByTerminated;
             for (int i = 0; i < DOORMANS; i++) {
-                long using = 0;
-                for (double[] u : inUse) {
-                    using += u[0] == i && u[2] == 1 && (step - u[3]) * STEP_MS < HOLD_MS ? 1 : 0;
+                long inUse = 0;
+                for (double[] unit : unitsInUse) {
+                    inUse += unit[0] == i && unit[2] == 1 && (step - unit[3]) * STEP_MS < HOLD_MS ? 1 : 0;
                 }
-                if (shares[i] != null) {
-                    sum += Math.max(shares[i].allowed(clock(i)), kind() == Kind.AMOUNT ? shares[i].using() : using);
+                if (limiters[i] != null) {
+                    usable += Math.max(
+                            limiters[i].allowed(localTimeMs(i)), kind() == Kind.AMOUNT ? limiters[i].using() : inUse);
                 }
             }
-            for (double[] u : inUse) {
-                sum += u[2] == 0 && (step - u[3]) * STEP_MS < HOLD_MS ? 1 : 0;
+            for (double[] unit : unitsInUse) {
+                usable += unit[2] == 0 && (step - unit[3]) * STEP_MS < HOLD_MS ? 1 : 0;
             }
-            if (sum > terms.of("b").whole() && broken == null) {
-                broken = "in step " + step + " " + sum + " of " + terms.of("b").whole() + " could be used";
+            if (usable > config.of("b").whole() && violation == null) {
+                violation = "in step " + step + " " + usable + " of "
+                        + config.of("b").whole() + " could be used";
             }
         }
 
         /** What the world is, relative to its time: equal ones count once. */
-        long state() {
+        long stateHash() {
             StringBuilder text = new StringBuilder();
             for (int i = 0; i < DOORMANS; i++) {
-                if (budgets[i] == null) {
+                if (agents[i] == null) {
                     text.append("-;");
                     continue;
                 }
-                Ledger l = budgets[i].ledger(clock(i));
-                text.append(step - frozenTo[i] < 0 ? frozenTo[i] - step : 0)
+                Ledger snapshot = agents[i].ledger(localTimeMs(i));
+                text.append(step - frozenUntilStep[i] < 0 ? frozenUntilStep[i] - step : 0)
                         .append(',')
-                        .append(cutTo[i] - step < 0 ? 0 : cutTo[i] - step)
-                        .append(l.divides())
-                        .append(Math.round(l.termLeftMs()))
-                        .append(l.divider())
-                        .append(l.silent())
-                        .append(l.own())
-                        .append(l.rows())
-                        .append(Math.round(budgets[i].dueMs() - clock(i)))
+                        .append(isolatedUntilStep[i] - step < 0 ? 0 : isolatedUntilStep[i] - step)
+                        .append(snapshot.divides())
+                        .append(Math.round(snapshot.termLeftMs()))
+                        .append(snapshot.divider())
+                        .append(snapshot.silent())
+                        .append(snapshot.own())
+                        .append(snapshot.rows())
+                        .append(Math.round(agents[i].dueMs() - localTimeMs(i)))
                         .append(';');
             }
-            flying.forEach(f ->
-                    text.append(f.atStep - step).append(f.from).append(f.to).append(f.word.getClass()));
-            sentNow.forEach(f -> text.append(f.from).append(f.to).append(f.word.getClass()));
+            inFlight.forEach(inFlightMessage -> text.append(inFlightMessage.deliveryStep - step)
+                    .append(inFlightMessage.from)
+                    .append(inFlightMessage.to)
+                    .append(inFlightMessage.message.getClass()));
+            sentThisStep.forEach(inFlightMessage -> text.append(inFlightMessage.from)
+                    .append(inFlightMessage.to)
+                    .append(inFlightMessage.message.getClass()));
             return LongHashFunction.xx3().hashChars(text);
         }
     }
 
     /** Plays one schedule; null, or what it breaks. */
-    String play(List<PlacedFault> faults) {
-        Model world = new Model();
-        world.play(faults, WARM_UP + steps);
-        return world.broken;
+    String run(List<PlacedFault> faults) {
+        Model model = new Model();
+        model.runTo(faults, WARM_UP_STEPS + stepsWithFaults);
+        return model.violation;
     }
 
     /** Whether both units are held when the warm-up is over: else nothing would be shown. */
     boolean isWarm() {
-        Model world = new Model();
-        world.play(List.of(), WARM_UP);
-        long sum = 0;
+        Model model = new Model();
+        model.runTo(List.of(), WARM_UP_STEPS);
+        long usable = 0;
         for (int i = 0; i < DOORMANS; i++) {
-            Share share = world.shares[i];
-            sum += share == null
+            Share limiter = model.limiters[i];
+            usable += limiter == null
                     ? 0
-                    : Math.max(share.allowed(world.clock(i)), kind() == Kind.AMOUNT ? share.using() : 0);
+                    : Math.max(limiter.allowed(model.localTimeMs(i)), kind() == Kind.AMOUNT ? limiter.using() : 0);
         }
-        return sum == terms.of("b").whole();
+        return usable == config.of("b").whole();
     }
 
     private Kind kind() {
-        return terms.of("b").kind();
+        return config.of("b").kind();
     }
 
     /** All ways to place up to so many faults; ends with the first that breaks the promise. */
-    ExplorationResult explore(int most) {
+    ExplorationResult explore(int maxFaults) {
         long[] counts = new long[2];
         Set<Long> states = new HashSet<>();
-        for (int count = 0; count <= most; count++) {
-            List<PlacedFault> found = explore(new ArrayList<>(), count, WARM_UP + 1, counts, states);
-            if (found != null) {
-                return new ExplorationResult(counts[0], counts[1], states.size(), found, play(found));
+        for (int count = 0; count <= maxFaults; count++) {
+            List<PlacedFault> counterexample = explore(new ArrayList<>(), count, WARM_UP_STEPS + 1, counts, states);
+            if (counterexample != null) {
+                return new ExplorationResult(counts[0], counts[1], states.size(), counterexample, run(counterexample));
             }
         }
         return new ExplorationResult(counts[0], counts[1], states.size(), null, null);
     }
 
-    private List<PlacedFault> explore(List<PlacedFault> faults, int left, int from, long[] counts, Set<Long> states) {
-        if (left == 0) {
-            Model world = new Model();
-            int last = faults.isEmpty() ? 0 : faults.get(faults.size() - 1).step;
-            world.play(faults, last);
+    private List<PlacedFault> explore(
+            List<PlacedFault> faults, int faultsLeft, int firstStep, long[] counts, Set<Long> states) {
+        if (faultsLeft == 0) {
+            Model model = new Model();
+            int lastFaultStep = faults.isEmpty() ? 0 : faults.get(faults.size() - 1).step;
+            model.runTo(faults, lastFaultStep);
             counts[0]++;
             // From the same world, with no faults to come, the same follows: it is played once.
-            if (world.broken == null && states.add(world.state())) {
-                world.play(faults, WARM_UP + steps);
+            if (model.violation == null && states.add(model.stateHash())) {
+                model.runTo(faults, WARM_UP_STEPS + stepsWithFaults);
             }
-            counts[1] += world.step;
-            return world.broken == null ? null : List.copyOf(faults);
+            counts[1] += model.step;
+            return model.violation == null ? null : List.copyOf(faults);
         }
-        for (int step = from; step <= WARM_UP + steps; step++) {
-            for (FaultKind blow : FaultKind.values()) {
+        for (int step = firstStep; step <= WARM_UP_STEPS + stepsWithFaults; step++) {
+            for (FaultKind kind : FaultKind.values()) {
                 for (int i = 0; i < DOORMANS; i++) {
-                    faults.add(new PlacedFault(step, blow, i));
-                    List<PlacedFault> found = explore(faults, left - 1, step + 1, counts, states);
+                    faults.add(new PlacedFault(step, kind, i));
+                    List<PlacedFault> counterexample = explore(faults, faultsLeft - 1, step + 1, counts, states);
                     faults.remove(faults.size() - 1);
-                    if (found != null) {
-                        return found;
+                    if (counterexample != null) {
+                        return counterexample;
                     }
                 }
             }
--- a/lab/src/main/java/barleyspur/lab/fleet/BudgetMonitor.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/BudgetMonitor.java
@@ -21,21 +21,21 @@
     /** Two readings of a clock lie between what is told of a moment and what was meant. */
     private static final double TOLERANCE_MS = 1;
 
-    private final Terms terms;
-    private final List<Told> told = new ArrayList<>();
+    private final Terms config;
+    private final List<Told> leases = new ArrayList<>();
     /** Wholes that were lowered or raised, with the time from which less has to hold. */
-    private final Map<String, TreeMap<Double, Long>> wholes = new HashMap<>();
+    private final Map<String, TreeMap<Double, Long>> capacityChanges = new HashMap<>();
 
-    private int dividers;
+    private int coordinatorChanges;
 
-    BudgetMonitor(Terms terms) {
-        this.terms = terms;
+    BudgetMonitor(Terms config) {
+        this.config = config;
     }
 
-    synchronized void told(int process, int slot, String event, Map<String, String> keys, double startMs) {
+    synchronized void onLogEvent(int process, int slot, String event, Map<String, String> keys, double startMs) {
         double atMs = Double.parseDouble(keys.get("mono")) - startMs;
         if (event.equals("share")) {
-            told.add(new Told(
+            leases.add(new Told(
                     atMs,
                     process,
                     slot,
@@ -43,79 +43,85 @@
                     Long.parseLong(keys.get("amount")),
                     Double.parseDouble(keys.get("until")) - startMs));
         } else if (event.endsWith("divides")) {
-            dividers++;
+            coordinatorChanges++;
         }
     }
 
     /** From that time on no more than this is to be held. */
-    synchronized void whole(String budget, double fromMs, long whole) {
-        wholes.computeIfAbsent(budget, k -> new TreeMap<>()).put(fromMs, whole);
+    synchronized void changeCapacity(String budget, double fromMs, long capacity) {
+        capacityChanges.computeIfAbsent(budget, k -> new TreeMap<>()).put(fromMs, capacity);
     }
 
     /** How often a process began to divide. */
-    int dividers() {
-        return dividers;
+    int coordinatorCount() {
+        return coordinatorChanges;
     }
 
-    synchronized List<Told> all() {
-        return List.copyOf(told);
+    synchronized List<Told> allLeases() {
+        return List.copyOf(leases);
     }
 
-    private long whole(String subject, double atMs) {
-        Terms.Budget b = terms.of(subject);
+    private long capacityAt(String subject, double atMs) {
+        Terms.Budget budget = config.of(subject);
         Map.Entry<Double, Long> entry =
-                wholes.getOrDefault(b.name(), new TreeMap<>()).floorEntry(atMs);
-        return entry == null ? b.whole() : entry.getValue();
+                capacityChanges.getOrDefault(budget.name(), new TreeMap<>()).floorEntry(atMs);
+        return entry == null ? budget.whole() : entry.getValue();
     }
 
     /** Instants over the whole: none, or they are told. */
-    synchronized List<String> broken() {
-        List<String> broken = new ArrayList<>();
-        Map<String, Map<Integer, Told>> held = new HashMap<>();
-        List<Told> inOrder = new ArrayList<>(told);
-        inOrder.sort((a, b) -> Double.compare(a.atMs, b.atMs));
-        for (Told t : inOrder) {
-            Map<Integer, Told> of = held.computeIfAbsent(t.budget, k -> new TreeMap<>());
-            of.put(t.process, t);
-            of.values().removeIf(o -> o.untilMs <= t.atMs + TOLERANCE_MS);
-            long sum = of.values().stream().mapToLong(Told::amount).sum();
-            if (sum > whole(t.budget, t.atMs) && broken.size() < 20) {
-                broken.add(String.format(
+    synchronized List<String> violations() {
+        List<String> violations = new ArrayList<>();
+        Map<String, Map<Integer, Told>> leasesByBudget = new HashMap<>();
+        List<Told> ordered = new ArrayList<>(leases);
+        ordered.sort((a, b) -> Double.compare(a.atMs, b.atMs));
+        for (Told lease : ordered) {
+            Map<Integer, Told> current = leasesByBudget.computeIfAbsent(lease.budget, k -> new TreeMap<>());
+            current.put(lease.process, lease);
+            current.values().removeIf(o -> o.untilMs <= lease.atMs + TOLERANCE_MS);
+            long sum = current.values().stream().mapToLong(Told::amount).sum();
+            if (sum > capacityAt(lease.budget, lease.atMs) && violations.size() < 20) {
+                violations.add(String.format(
                         "never over the whole: at %.1f ms %s: %d of %d are held: %s",
-                        t.atMs, t.budget, sum, whole(t.budget, t.atMs), of.values()));
+                        lease.atMs, lease.budget, sum, capacityAt(lease.budget, lease.atMs), current.values()));
             }
         }
-        return broken;
+        return violations;
     }
 
     /**
      * How much of the whole was held on average between two times, over the subjects of a budget that anybody was granted
      * something of in that time or within a lease before: routing may turn to other nodes. NaN where there was none.
      */
-    synchronized double held(String budget, double fromMs, double toMs) {
-        Map<String, Double> area = new HashMap<>();
-        Map<String, Told> last = new HashMap<>();
-        Set<String> asked = new HashSet<>();
-        for (Told t : told) {
-            if (terms.of(t.budget).name().equals(budget)) {
-                if (t.atMs >= fromMs - terms.of(budget).leaseMs() && t.atMs < toMs) {
-                    asked.add(t.budget);
+    synchronized double leasedFraction(String budget, double fromMs, double toMs) {
+        Map<String, Double> leasedBySubject = new HashMap<>();
+        Map<String, Told> lastLeases = new HashMap<>();
+        Set<String> active = new HashSet<>();
+        for (Told lease : leases) {
+            if (config.of(lease.budget).name().equals(budget)) {
+                if (lease.atMs >= fromMs - config.of(budget).leaseMs() && lease.atMs < toMs) {
+                    active.add(lease.budget);
                 }
-                Told before = last.put(t.budget + "/" + t.process, t);
-                area.merge(t.budget, before == null ? 0 : area(before, t.atMs, fromMs, toMs), Double::sum);
+                Told previous = lastLeases.put(lease.budget + "/" + lease.process, lease);
+                leasedBySubject.merge(
+                        lease.budget,
+                        previous == null ? 0 : leasedAmountMs(previous, lease.atMs, fromMs, toMs),
+                        Double::sum);
             }
         }
-        last.values().forEach(t -> area.merge(t.budget, area(t, t.untilMs, fromMs, toMs), Double::sum));
-        area.keySet().retainAll(asked);
-        return area.values().stream()
-                .mapToDouble(a -> a / (toMs - fromMs) / terms.of(budget).whole())
+        lastLeases
+                .values()
+                .forEach(lease -> leasedBySubject.merge(
+                        lease.budget, leasedAmountMs(lease, lease.untilMs, fromMs, toMs), Double::sum));
+        leasedBySubject.keySet().retainAll(active);
+        return leasedBySubject.values().stream()
+                .mapToDouble(a -> a / (toMs - fromMs) / config.of(budget).whole())
                 .average()
                 .orElse(Double.NaN);
     }
 
-    private static double area(Told t, double nextMs, double fromMs, double toMs) {
-        double from = Math.max(fromMs, t.atMs);
-        double to = Math.min(toMs, Math.min(nextMs, t.untilMs));
-        return to > from ? (to - from) * t.amount : 0;
+    private static double leasedAmountMs(Told lease, double replacedMs, double fromMs, double toMs) {
+        double from = Math.max(fromMs, lease.atMs);
+        double to = Math.min(toMs, Math.min(replacedMs, lease.untilMs));
+        return to > from ? (to - from) * lease.amount : 0;
     }
 }
--- a/lab/src/main/java/barleyspur/lab/fleet/BudgetSimulation.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/BudgetSimulation.java
@@ -159,19 +159,19 @@
                     }
                 });
                 if (concurrent > checkedCapacity(budget)) {
-                    violations("at the box", subject + " has " + concurrent + " at once");
+                    addViolation("at the box", subject + " has " + concurrent + " at once");
                 }
             } else if (budget.kind() == Kind.RATE) {
                 bucketLevel = Math.max(0, bucketLevel - checkedCapacity(budget) * (nowMs - bucketUpdatedMs) / 1e3) + 1;
                 bucketUpdatedMs = nowMs;
                 maxBucketLevel = Math.max(maxBucketLevel, bucketLevel);
                 if (bucketLevel > budget.burst() + 1e-6) {
-                    violations(
+                    addViolation(
                             "at the box",
                             subject + " got " + bucketLevel + " over its rate, the burst is " + budget.burst());
                 }
             } else if (arrivals > checkedCapacity(budget)) {
-                violations("at the box", subject + " got " + arrivals);
+                addViolation("at the box", subject + " got " + arrivals);
             }
         }
     }
@@ -204,7 +204,7 @@
     /** A schedule's own budgets and load: each has one subject, and demand of its nodes' part of the requests. */
     static BudgetSimulation forSchedule(FaultSchedule schedule, double maxClockDrift) {
         FaultSchedule.Workload workload = schedule.workload();
-        Terms config = workload.terms(voterAddresses(workload.voterCount()));
+        Terms config = workload.configWithVoters(voterAddresses(workload.voterCount()));
         double longestLeaseMs = config.budgets().values().stream()
                 .mapToDouble(Terms.Budget::leaseMs)
                 .max()
@@ -219,7 +219,7 @@
                 (budget, slot, now) -> config.of(budget).kind() == Kind.AMOUNT
                                 && (now < amountsFromMs || now > amountsFromMs + longestLeaseMs * 0.9)
                         ? 0
-                        : workload.perS(slot, schedule.initialDoormans(), now) / 3);
+                        : workload.requestsPerSecondAt(slot, schedule.initialDoormans(), now) / 3);
     }
 
     static String addressOf(int slot) {
@@ -251,7 +251,7 @@
         return boxBySubject.get(subject);
     }
 
-    private void violations(String promise, String detail) {
+    private void addViolation(String promise, String detail) {
         if (foundViolations.size() < MAX_VIOLATIONS) {
             foundViolations.add(String.format("%s: at %.1f ms: %s", promise, nowMs, detail));
         }
@@ -317,7 +317,7 @@
                 usable += Math.max(0, box.arrivals - usedByRunning);
             }
             if (usable > checkedCapacity(box.budget)) {
-                violations(
+                addViolation(
                         "never over the whole",
                         subject + ": " + usable + " of " + checkedCapacity(box.budget) + " could be used:"
                                 + describeLimiters(subject));
@@ -482,12 +482,12 @@
 
     void apply(Fault fault) {
         traceListener.accept("fault", fault);
-        if (fault instanceof Fault.Kill f) {
-            forEachProcess(f.slots(), this::terminate);
-        } else if (fault instanceof Fault.Freeze f) {
-            forEachProcess(f.slots(), process -> process.frozen = true);
-        } else if (fault instanceof Fault.Thaw f) {
-            forEachProcess(f.slots(), process -> {
+        if (fault instanceof Fault.Kill kill) {
+            forEachProcess(kill.slots(), this::terminate);
+        } else if (fault instanceof Fault.Freeze freeze) {
+            forEachProcess(freeze.slots(), process -> process.frozen = true);
+        } else if (fault instanceof Fault.Thaw thaw) {
+            forEachProcess(thaw.slots(), process -> {
                 if (process.frozen) {
                     process.frozen = false;
                     // Requests that waited go first: not one may go out on an old share.
@@ -505,8 +505,8 @@
                     scheduleTick(process);
                 }
             });
-        } else if (fault instanceof Fault.Term f) {
-            forEachProcess(f.slots(), process -> {
+        } else if (fault instanceof Fault.Term term) {
+            forEachProcess(term.slots(), process -> {
                 if (process.isRunning() && !process.leaving) {
                     // It serves on for a while after the signal, then gives back and is gone when all is answered.
                     process.agent.resign(process.localTimeMs());
@@ -524,8 +524,8 @@
                     terminate(process);
                 }
             });
-        } else if (fault instanceof Fault.Start f) {
-            f.slots().forEach(this::startProcess);
+        } else if (fault instanceof Fault.Start start) {
+            start.slots().forEach(this::startProcess);
         } else {
             linkFaults.apply(fault);
         }
--- a/lab/src/main/java/barleyspur/lab/fleet/DatagramRelays.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/DatagramRelays.java
@@ -102,9 +102,9 @@
         loop.submit(() -> linkFaults.apply(fault)).syncUninterruptibly();
     }
 
-    List<Set<Integer>> components(Set<Integer> upSlots)
+    List<Set<Integer>> connectedComponents(Set<Integer> upSlots)
             throws InterruptedException, java.util.concurrent.ExecutionException {
-        return loop.submit(() -> linkFaults.components(upSlots)).get();
+        return loop.submit(() -> linkFaults.connectedComponents(upSlots)).get();
     }
 
     /** Bytes that all members have sent up to now. */
--- a/lab/src/main/java/barleyspur/lab/fleet/FaultSchedule.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/FaultSchedule.java
@@ -77,7 +77,7 @@
             double hitServiceMs,
             double firstCacheStartMs) {
 
-        Terms terms(List<String> addresses) {
+        Terms configWithVoters(List<String> addresses) {
             return new Terms(
                     addresses.subList(0, voterCount),
                     config.largest(),
@@ -88,7 +88,7 @@
         }
 
         /** Requests a second at one of so many doormans at a moment. */
-        double perS(int slot, int doormanCount, double nowMs) {
+        double requestsPerSecondAt(int slot, int doormanCount, double nowMs) {
             if (hotspotIntervalMs == 0 || doormanCount < 2) {
                 return requestsPerS / doormanCount;
             }
--- a/lab/src/main/java/barleyspur/lab/fleet/FleetDemo.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/FleetDemo.java
@@ -24,7 +24,7 @@
     private static final int PARENTS = 2;
     private static final int PORT = 7001;
     private static final double REQUESTS_PER_S = 150;
-    private static final long ROW_MS = 5_000;
+    private static final long PRINT_INTERVAL_MS = 5_000;
 
     private FleetDemo() {}
 
@@ -39,32 +39,32 @@
                 new FaultSchedule.Step(8_000, new Fault.Start(Set.of(2, 3), "", 0, 2)),
                 new FaultSchedule.Step(8_000, new Fault.Heal()));
         FaultSchedule schedule = new FaultSchedule("demo", DOORMANS, DOORMANS, List.of(0, 1), 500, steps, 30_000, 1);
-        MembershipMonitor watch = new MembershipMonitor(true);
+        MembershipMonitor monitor = new MembershipMonitor(true);
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        String network = "127." + (20 + ProcessHandle.current().pid() % 200) + ".250.";
-        InetSocketAddress channel = new InetSocketAddress(network + "100", PORT);
+        String networkPrefix = "127." + (20 + ProcessHandle.current().pid() % 200) + ".250.";
+        InetSocketAddress channel = new InetSocketAddress(networkPrefix + "100", PORT);
         StandBoxes boxes = new StandBoxes(group, "record");
         NodeList nodes = new NodeList();
         for (int i = 0; i < CACHES + PARENTS + 1; i++) {
             StandBoxes.Kind kind = i < CACHES
                     ? StandBoxes.Kind.CACHE
                     : i < CACHES + PARENTS ? StandBoxes.Kind.PARENT : StandBoxes.Kind.ORIGIN;
-            InetSocketAddress at = new InetSocketAddress(network + (i + 1), PORT);
-            boxes.listen(at, kind);
-            nodes.add(NodeList.node("s-" + i, at, kind, i % 2, 4, 0));
+            InetSocketAddress address = new InetSocketAddress(networkPrefix + (i + 1), PORT);
+            boxes.listen(address, kind);
+            nodes.add(NodeList.node("s-" + i, address, kind, i % 2, 4, 0));
         }
         StandChannel.listen(group, channel, 1);
-        try (RealFleet fleet = new RealFleet(schedule, watch, jar, folder, System.out::println)) {
-            fleet.configure(json -> {
+        try (RealFleet fleet = new RealFleet(schedule, monitor, jar, folder, System.out::println)) {
+            fleet.setConfigurationTransform(json -> {
                 json.put("channel", channel.getHostString() + ":" + PORT).put("known", nodes.known());
                 json.getJSONObject("settings")
                         .getJSONObject("familyInfo")
                         .put("zoneBalancers", new JSONArray().put(DOORMANS));
                 return json;
             });
-            List<InetSocketAddress> fronts = new ArrayList<>();
+            List<InetSocketAddress> clientAddresses = new ArrayList<>();
             for (int i = 0; i < DOORMANS; i++) {
-                fronts.add(fleet.front(i));
+                clientAddresses.add(fleet.clientAddress(i));
             }
             StandClients clients = new StandClients(
                     group,
@@ -72,19 +72,20 @@
                             new StandClients.Class("parts", 0.55, 600, 6_000),
                             new StandClients.Class("files", 0.41, 300, 2_500),
                             new StandClients.Class("record", 0.04, 700, 3_000)),
-                    fronts,
+                    clientAddresses,
                     1);
             clients.start(REQUESTS_PER_S);
-            fleet.every(ROW_MS, () -> {
-                System.out.println("             views: " + fleet.sizes());
+            fleet.setPeriodicTask(PRINT_INTERVAL_MS, () -> {
+                System.out.println("             views: " + fleet.viewSizes());
                 clients.rows().forEach(r -> System.out.println("             " + r));
             });
-            fleet.play();
+            fleet.run();
             System.out.println("requests that must not run twice and did: " + boxes.runsTwice()
                     + "; attempts at boxes: " + boxes.attempts());
         } finally {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
         }
-        return FleetRunCommand.judge(watch.broken()) && boxes.runsTwice().startsWith("0 ");
+        return FleetRunCommand.printViolations(monitor.violations())
+                && boxes.runsTwice().startsWith("0 ");
     }
 }
--- a/lab/src/main/java/barleyspur/lab/fleet/FleetMeasurement.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/FleetMeasurement.java
@@ -7,120 +7,128 @@
 /** {@code fleet measure}: what the view costs and how soon it knows, by the size of the fleet, in virtual time. */
 public final class FleetMeasurement {
 
-    private static final double CALM_MS = 20_000;
-    private static final int MOST_FOR_LOSS = 100;
+    private static final double STEADY_STATE_MS = 20_000;
+    private static final int MAX_MEMBERS_FOR_LOSS = 100;
     /** News of a start that are surely told within one calm time. */
-    private static final int NEWS_IN_CALM = 250;
+    private static final int JOINS_PER_STEADY_STATE = 250;
 
     private FleetMeasurement() {}
 
-    private static VirtualFleet start(int members, MembershipMonitor watch) {
+    private static VirtualFleet startFleet(int members, MembershipMonitor monitor) {
         FaultSchedule schedule =
                 new FaultSchedule("measure", members, members, List.of(0, 1), 500, List.of(), 60_000, 1);
-        VirtualFleet fleet = new VirtualFleet(schedule, watch, members <= FleetRunCommand.MOST_ENCODED);
-        fleet.begin();
+        VirtualFleet fleet = new VirtualFleet(schedule, monitor, members <= FleetRunCommand.MAX_ENCODED_SLOTS);
+        fleet.startInitialProcesses();
         return fleet;
     }
 
-    private static double untilSettled(VirtualFleet fleet, double mostMs) {
-        double from = fleet.nowMs;
-        while (fleet.settled() != null) {
-            if (fleet.nowMs - from > mostMs) {
+    private static double secondsUntilSettled(VirtualFleet fleet, double timeoutMs) {
+        double fromMs = fleet.nowMs;
+        while (fleet.unsettledReason() != null) {
+            if (fleet.nowMs - fromMs > timeoutMs) {
                 return Double.POSITIVE_INFINITY;
             }
-            fleet.playTo(fleet.nowMs + 50);
+            fleet.runUntil(fleet.nowMs + 50);
         }
-        return (fleet.nowMs - from) / 1e3;
+        return (fleet.nowMs - fromMs) / 1e3;
     }
 
-    private static long sent(VirtualFleet fleet) {
-        return fleet.processes().stream().mapToLong(p -> p.sentBytes).sum();
+    private static long sentBytes(VirtualFleet fleet) {
+        return fleet.allProcesses().stream().mapToLong(p -> p.sentBytes).sum();
     }
 
     /** Prints a row of figures for each size. */
     public static void print(List<Integer> sizes) {
         System.out.println(
                 "members  join s  calm B/s  known s  settled s  split s  heal s  heal KB  real ms/virtual s");
-        for (int n : sizes) {
-            MembershipMonitor watch = new MembershipMonitor(true);
-            VirtualFleet fleet = start(n, watch);
-            double join = untilSettled(fleet, 120_000);
+        for (int members : sizes) {
+            MembershipMonitor monitor = new MembershipMonitor(true);
+            VirtualFleet fleet = startFleet(members, monitor);
+            double joinS = secondsUntilSettled(fleet, 120_000);
             // News of so many joins are told for a while: bounded by the round, not by how many there are.
-            fleet.playTo(fleet.nowMs + CALM_MS * Math.max(1, n / NEWS_IN_CALM));
-            long before = sent(fleet);
-            long nanos = System.nanoTime();
-            double from = fleet.nowMs;
-            fleet.playTo(from + CALM_MS);
-            double real = (System.nanoTime() - nanos) / 1e6 / (CALM_MS / 1e3);
-            double calm = (sent(fleet) - before) / (CALM_MS / 1e3) / n;
-            double killed = fleet.nowMs;
-            watch.all().clear();
-            fleet.apply(new Fault.Kill(Set.of(n - 1)));
-            double settled = untilSettled(fleet, 120_000);
-            double known = watch.all().stream()
+            fleet.runUntil(fleet.nowMs + STEADY_STATE_MS * Math.max(1, members / JOINS_PER_STEADY_STATE));
+            long sentBefore = sentBytes(fleet);
+            long startNanos = System.nanoTime();
+            double fromMs = fleet.nowMs;
+            fleet.runUntil(fromMs + STEADY_STATE_MS);
+            double realMsPerS = (System.nanoTime() - startNanos) / 1e6 / (STEADY_STATE_MS / 1e3);
+            double steadyBytesPerS = (sentBytes(fleet) - sentBefore) / (STEADY_STATE_MS / 1e3) / members;
+            double killedMs = fleet.nowMs;
+            monitor.allChanges().clear();
+            fleet.apply(new Fault.Kill(Set.of(members - 1)));
+            double settledS = secondsUntilSettled(fleet, 120_000);
+            double detectionMs = monitor.allChanges().stream()
                             .filter(t -> t.kind().equals("Lost"))
-                            .mapToDouble(MembershipMonitor.ReportedChange::atMs)
+                            .mapToDouble(MembershipMonitor.ReportedChange::timeMs)
                             .min()
                             .orElse(Double.NaN)
-                    - killed;
-            fleet.apply(new Fault.Split(List.of(FaultSchedule.slotRange(0, n / 2), FaultSchedule.slotRange(n / 2, n))));
-            double split = untilSettled(fleet, 240_000);
-            before = sent(fleet);
+                    - killedMs;
+            fleet.apply(new Fault.Split(
+                    List.of(FaultSchedule.slotRange(0, members / 2), FaultSchedule.slotRange(members / 2, members))));
+            double splitS = secondsUntilSettled(fleet, 240_000);
+            sentBefore = sentBytes(fleet);
             fleet.apply(new Fault.Heal());
-            double heal = untilSettled(fleet, 120_000);
+            double healS = secondsUntilSettled(fleet, 120_000);
             System.out.printf(
                     Locale.ROOT,
                     "%7d  %6.2f  %8.0f  %7.2f  %9.2f  %7.2f  %6.2f  %7.1f  %8.1f%n",
-                    n,
-                    join,
-                    calm,
-                    known / 1e3,
-                    settled,
-                    split,
-                    heal,
-                    (sent(fleet) - before) / 1e3 / n,
-                    real);
+                    members,
+                    joinS,
+                    steadyBytesPerS,
+                    detectionMs / 1e3,
+                    settledS,
+                    splitS,
+                    healS,
+                    (sentBytes(fleet) - sentBefore) / 1e3 / members,
+                    realMsPerS);
         }
     }
 
     /** Prints false verdicts by member and hour under loss, slowness and a one-way cut. */
-    public static void printVerdicts(int members, int minutes) {
-        int n = Math.min(MOST_FOR_LOSS, members);
+    public static void printFalsePositives(int members, int minutes) {
+        int fleetSize = Math.min(MAX_MEMBERS_FOR_LOSS, members);
         System.out.println(
                 "members  minutes  what                              false verdicts  a member and hour  suspicions");
         for (double loss : new double[] {0, 0.1, 0.3}) {
-            row(
-                    n,
+            printRow(
+                    fleetSize,
                     minutes,
                     String.format(Locale.ROOT, "%.0f%% loss", 100 * loss),
                     new Fault.Weather(
-                            FaultSchedule.slotRange(0, n),
-                            FaultSchedule.slotRange(0, n),
+                            FaultSchedule.slotRange(0, fleetSize),
+                            FaultSchedule.slotRange(0, fleetSize),
                             new Fault.Noise(loss, 20, 0, 0)));
         }
-        row(n, minutes, "a third at a fifth of a core", new Fault.Starve(FaultSchedule.slotRange(0, n / 3), 0.2));
-        row(n, minutes, "one at a tenth of a core", new Fault.Starve(Set.of(1), 0.1));
-        row(n, minutes, "one link cut one way", new Fault.Cut(Set.of(0), Set.of(1), false));
+        printRow(
+                fleetSize,
+                minutes,
+                "a third at a fifth of a core",
+                new Fault.Starve(FaultSchedule.slotRange(0, fleetSize / 3), 0.2));
+        printRow(fleetSize, minutes, "one at a tenth of a core", new Fault.Starve(Set.of(1), 0.1));
+        printRow(fleetSize, minutes, "one link cut one way", new Fault.Cut(Set.of(0), Set.of(1), false));
     }
 
-    private static void row(int n, int minutes, String what, Fault fault) {
-        MembershipMonitor watch = new MembershipMonitor(true);
-        VirtualFleet fleet = start(n, watch);
-        fleet.playTo(10_000);
-        watch.all().clear();
+    private static void printRow(int members, int minutes, String description, Fault fault) {
+        MembershipMonitor monitor = new MembershipMonitor(true);
+        VirtualFleet fleet = startFleet(members, monitor);
+        fleet.runUntil(10_000);
+        monitor.allChanges().clear();
         fleet.apply(fault);
-        fleet.playTo(10_000 + minutes * 60_000.0);
-        long wrong = watch.all().stream().filter(t -> t.kind().equals("Lost")).count();
-        long suspicions =
-                watch.all().stream().filter(t -> t.standing().equals("SUSPECT")).count();
+        fleet.runUntil(10_000 + minutes * 60_000.0);
+        long falsePositives = monitor.allChanges().stream()
+                .filter(t -> t.kind().equals("Lost"))
+                .count();
+        long suspicions = monitor.allChanges().stream()
+                .filter(t -> t.state().equals("SUSPECT"))
+                .count();
         System.out.printf(
                 Locale.ROOT,
                 "%7d  %7d  %-32s  %14d  %17.4f  %10d%n",
-                n,
+                members,
                 minutes,
-                what,
-                wrong,
-                wrong / (double) n / (minutes / 60.0),
+                description,
+                falsePositives,
+                falsePositives / (double) members / (minutes / 60.0),
                 suspicions);
     }
 }
--- a/lab/src/main/java/barleyspur/lab/fleet/FleetRunCommand.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/FleetRunCommand.java
@@ -12,7 +12,7 @@
 public final class FleetRunCommand {
 
     /** In larger fleets datagrams are handed over as objects and sized by their bound. */
-    static final int MOST_ENCODED = 200;
+    static final int MAX_ENCODED_SLOTS = 200;
 
     private FleetRunCommand() {}
 
@@ -22,68 +22,70 @@
      * @return whether all promises were kept
      * @throws Hcl.Invalid where the scenario can't be used
      */
-    public static boolean real(Path scenario, Path jar, Path folder) throws Hcl.Invalid, IOException {
+    public static boolean runProcesses(Path scenario, Path jar, Path folder) throws Hcl.Invalid, IOException {
         FaultSchedule schedule = ScenarioFile.load(scenario);
-        MembershipMonitor watch = new MembershipMonitor(true);
+        MembershipMonitor monitor = new MembershipMonitor(true);
         System.out.printf("%s: %d doormans, logs below %s%n", schedule.name(), schedule.initialDoormans(), folder);
-        try (RealFleet fleet = new RealFleet(schedule, watch, jar, folder, System.out::println)) {
-            List<Double> times = fleet.play();
-            List<double[]> traffic = fleet.traffic();
+        try (RealFleet fleet = new RealFleet(schedule, monitor, jar, folder, System.out::println)) {
+            List<Double> settleTimesMs = fleet.run();
+            List<double[]> trafficSamples = fleet.trafficSamples();
             System.out.printf(
                     Locale.ROOT,
                     "%s; a member sent %.0f bytes a second in the last second, %.0f at most%n",
-                    fleet.costs(),
-                    traffic.isEmpty() ? 0 : traffic.get(traffic.size() - 1)[1],
-                    traffic.stream().mapToDouble(t -> t[1]).max().orElse(0));
-            FleetRunReport.write(folder, schedule, watch, times, traffic);
+                    fleet.resourceUsage(),
+                    trafficSamples.isEmpty() ? 0 : trafficSamples.get(trafficSamples.size() - 1)[1],
+                    trafficSamples.stream().mapToDouble(t -> t[1]).max().orElse(0));
+            FleetRunReport.write(folder, schedule, monitor, settleTimesMs, trafficSamples);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        return judge(watch.broken());
+        return printViolations(monitor.violations());
     }
 
-    static boolean judge(List<String> broken) {
-        broken.forEach(b -> System.out.println("BROKEN " + b));
-        System.out.println(broken.isEmpty() ? "all promises kept" : broken.size() + " times a promise was broken");
-        return broken.isEmpty();
+    static boolean printViolations(List<String> violations) {
+        violations.forEach(b -> System.out.println("BROKEN " + b));
+        System.out.println(
+                violations.isEmpty() ? "all promises kept" : violations.size() + " times a promise was broken");
+        return violations.isEmpty();
     }
 
     /**
      * Plays a scenario in virtual time from {@code seeds} seeds on; the first seed that breaks a promise is shrunk and
      * written beside as a scenario of its own.
      */
-    public static boolean virtual(Path scenario, int seeds, Path folder) throws Hcl.Invalid, IOException {
+    public static boolean runSimulations(Path scenario, int seeds, Path folder) throws Hcl.Invalid, IOException {
         FaultSchedule schedule = ScenarioFile.load(scenario);
-        List<Double> times = new ArrayList<>();
-        long start = System.nanoTime();
-        double bytes = 0;
+        List<Double> settleTimesMs = new ArrayList<>();
+        long startNanos = System.nanoTime();
+        double bytesPerSSum = 0;
         for (int i = 0; i < seeds; i++) {
-            FaultSchedule played = schedule.with(schedule.randomSeed() + i);
-            MembershipMonitor watch = new MembershipMonitor(seeds == 1);
-            VirtualFleet fleet = new VirtualFleet(played, watch, played.slotCount() <= MOST_ENCODED);
-            List<Double> settled = fleet.play();
-            times.addAll(settled);
-            bytes += fleet.processes().stream().mapToLong(p -> p.sentBytes).sum()
-                    / (fleet.nowMs / 1e3)
-                    / played.initialDoormans();
-            if (!watch.broken().isEmpty()) {
-                FaultSchedule small = Shrinker.shrink(played);
+            FaultSchedule seeded = schedule.with(schedule.randomSeed() + i);
+            MembershipMonitor monitor = new MembershipMonitor(seeds == 1);
+            VirtualFleet fleet = new VirtualFleet(seeded, monitor, seeded.slotCount() <= MAX_ENCODED_SLOTS);
+            List<Double> settled = fleet.run();
+            settleTimesMs.addAll(settled);
+            bytesPerSSum +=
+                    fleet.allProcesses().stream().mapToLong(p -> p.sentBytes).sum()
+                            / (fleet.nowMs / 1e3)
+                            / seeded.initialDoormans();
+            if (!monitor.violations().isEmpty()) {
+                FaultSchedule shrunk = Shrinker.shrink(seeded);
                 Files.createDirectories(folder);
-                Path file = folder.resolve("broken-" + played.randomSeed() + ".hcl");
-                Files.writeString(file, ScenarioFile.write(small));
+                Path file = folder.resolve("broken-" + seeded.randomSeed() + ".hcl");
+                Files.writeString(file, ScenarioFile.write(shrunk));
                 System.out.printf(
                         "seed %d; shrunk from %d to %d steps; again: barleyspur-lab fleet run %s --virtual%n",
-                        played.randomSeed(),
-                        played.steps().size(),
-                        small.steps().size(),
+                        seeded.randomSeed(),
+                        seeded.steps().size(),
+                        shrunk.steps().size(),
                         file);
-                return judge(watch.broken());
+                return printViolations(monitor.violations());
             }
             if (seeds == 1) {
-                FleetRunReport.write(folder, played, watch, settled, List.of());
+                FleetRunReport.write(folder, seeded, monitor, settled, List.of());
             }
         }
-        times.sort(null);
+        settleTimesMs.sort(null);
         System.out.printf(
                 Locale.ROOT,
                 "%s: %d seeds of %d doormans in %.1f s; settled after %.2f s (median), %.2f s "
@@ -91,11 +93,11 @@
                 schedule.name(),
                 seeds,
                 schedule.initialDoormans(),
-                (System.nanoTime() - start) / 1e9,
-                times.get(times.size() / 2) / 1e3,
-                times.get(times.size() * 99 / 100) / 1e3,
-                times.get(times.size() - 1) / 1e3,
-                bytes / seeds);
-        return judge(List.of());
+                (System.nanoTime() - startNanos) / 1e9,
+                settleTimesMs.get(settleTimesMs.size() / 2) / 1e3,
+                settleTimesMs.get(settleTimesMs.size() * 99 / 100) / 1e3,
+                settleTimesMs.get(settleTimesMs.size() - 1) / 1e3,
+                bytesPerSSum / seeds);
+        return printViolations(List.of());
     }
 }
--- a/lab/src/main/java/barleyspur/lab/fleet/FleetRunReport.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/FleetRunReport.java
@@ -24,11 +24,15 @@
     private FleetRunReport() {}
 
     static void write(
-            Path folder, FaultSchedule schedule, MembershipMonitor watch, List<Double> times, List<double[]> traffic)
+            Path folder,
+            FaultSchedule schedule,
+            MembershipMonitor monitor,
+            List<Double> settleTimesMs,
+            List<double[]> trafficSamples)
             throws IOException {
         Files.createDirectories(folder);
-        plot(folder.resolve("views.png"), schedule, watch);
-        if (!traffic.isEmpty()) {
+        plotViewSizes(folder.resolve("views.png"), schedule, monitor);
+        if (!trafficSamples.isEmpty()) {
             XYChart chart = new XYChartBuilder()
                     .width(1_000)
                     .height(300)
@@ -39,70 +43,75 @@
             chart.getStyler().setLegendVisible(false);
             chart.addSeries(
                             "bytes",
-                            traffic.stream().mapToDouble(t -> t[0]).toArray(),
-                            traffic.stream().mapToDouble(t -> t[1]).toArray())
+                            trafficSamples.stream().mapToDouble(t -> t[0]).toArray(),
+                            trafficSamples.stream().mapToDouble(t -> t[1]).toArray())
                     .setMarker(SeriesMarkers.NONE);
             BitmapEncoder.saveBitmap(chart, folder.resolve("traffic.png").toString(), BitmapEncoder.BitmapFormat.PNG);
         }
         JSONArray settled = new JSONArray();
         StringBuilder rows = new StringBuilder();
-        int at = 0;
-        String what = "the start";
+        int index = 0;
+        String faults = "the start";
         for (FaultSchedule.Step step : schedule.steps()) {
             if (step.awaitSettled()) {
-                at = row(rows, settled, what, times, at);
-                what = "";
+                index = appendRow(rows, settled, faults, settleTimesMs, index);
+                faults = "";
             }
-            what += (what.isEmpty() ? "" : ", ") + step.fault();
+            faults += (faults.isEmpty() ? "" : ", ") + step.fault();
         }
-        row(rows, settled, what, times, at);
+        appendRow(rows, settled, faults, settleTimesMs, index);
         JSONObject json = new JSONObject()
                 .put("scenario", schedule.name())
                 .put("doormans", schedule.initialDoormans())
                 .put("seed", schedule.randomSeed())
                 .put("period_ms", schedule.protocolPeriodMs())
                 .put("settled", settled)
-                .put("broken", new JSONArray(watch.broken()))
-                .put("changes", watch.all().size());
+                .put("broken", new JSONArray(monitor.violations()))
+                .put("changes", monitor.allChanges().size());
         Files.writeString(folder.resolve("report.json"), json.toString(2) + "\n");
-        StringBuilder broken = new StringBuilder();
-        watch.broken().forEach(b -> broken.append("<li>").append(escaped(b)).append("</li>"));
+        StringBuilder violationItems = new StringBuilder();
+        monitor.violations()
+                .forEach(
+                        b -> violationItems.append("<li>").append(escapeHtml(b)).append("</li>"));
         Files.writeString(
                 folder.resolve("report.html"),
                 "<!doctype html><meta charset=utf-8><title>"
-                        + escaped(schedule.name()) + "</title><h1>" + escaped(schedule.name()) + "</h1><p>"
+                        + escapeHtml(schedule.name()) + "</title><h1>" + escapeHtml(schedule.name()) + "</h1><p>"
                         + schedule.initialDoormans()
                         + " doormans, period " + schedule.protocolPeriodMs() + " ms, seed " + schedule.randomSeed()
                         + "</p><p>"
-                        + (watch.broken().isEmpty() ? "All promises kept." : "Broken promises:<ul>" + broken + "</ul>")
+                        + (monitor.violations().isEmpty()
+                                ? "All promises kept."
+                                : "Broken promises:<ul>" + violationItems + "</ul>")
                         + "</p><h2>Members in each view</h2><img src=views.png>"
-                        + (traffic.isEmpty() ? "" : "<h2>Traffic</h2><img src=traffic.png>")
+                        + (trafficSamples.isEmpty() ? "" : "<h2>Traffic</h2><img src=traffic.png>")
                         + "<h2>Time to settle</h2><table border=1>"
                         + "<tr><th>after<th>seconds" + rows + "</table><h2>The scenario</h2><pre>"
-                        + escaped(ScenarioFile.write(schedule)) + "</pre>\n");
+                        + escapeHtml(ScenarioFile.write(schedule)) + "</pre>\n");
         System.out.println("report: " + folder.resolve("report.html"));
     }
 
-    private static int row(StringBuilder rows, JSONArray settled, String what, List<Double> times, int at) {
-        if (at >= times.size()) {
-            return at;
+    private static int appendRow(
+            StringBuilder rows, JSONArray settled, String faults, List<Double> settleTimesMs, int index) {
+        if (index >= settleTimesMs.size()) {
+            return index;
         }
-        double seconds = times.get(at) / 1e3;
+        double seconds = settleTimesMs.get(index) / 1e3;
         rows.append("<tr><td>")
-                .append(escaped(what))
+                .append(escapeHtml(faults))
                 .append("<td>")
                 .append(Double.isInfinite(seconds) ? "never" : String.format(Locale.ROOT, "%.2f", seconds));
         settled.put(new JSONObject()
-                .put("after", what)
+                .put("after", faults)
                 .put("seconds", Double.isInfinite(seconds) ? JSONObject.NULL : seconds));
-        return at + 1;
+        return index + 1;
     }
 
-    static String escaped(String text) {
+    static String escapeHtml(String text) {
         return text.replace("&", "&amp;").replace("<", "&lt;").replace(">", "&gt;");
     }
 
-    private static void plot(Path file, FaultSchedule schedule, MembershipMonitor watch) throws IOException {
+    private static void plotViewSizes(Path file, FaultSchedule schedule, MembershipMonitor monitor) throws IOException {
         XYChart chart = new XYChartBuilder()
                 .width(1_000)
                 .height(500)
@@ -111,24 +120,28 @@
                 .yAxisTitle("members in a view")
                 .build();
         chart.getStyler().setLegendVisible(schedule.slotCount() <= 20);
-        Map<Integer, List<Double>> xs = new HashMap<>();
-        Map<Integer, List<Double>> ys = new HashMap<>();
+        Map<Integer, List<Double>> secondsByProcess = new HashMap<>();
+        Map<Integer, List<Double>> sizesByProcess = new HashMap<>();
         Map<Integer, Set<String>> views = new HashMap<>();
-        for (MembershipMonitor.ReportedChange t : watch.all()) {
-            Set<String> view = views.computeIfAbsent(t.process(), p -> new HashSet<>());
-            if (t.kind().equals("Lost")) {
-                view.remove(t.member());
-            } else if (t.member() != null) {
-                view.add(t.member());
+        for (MembershipMonitor.ReportedChange change : monitor.allChanges()) {
+            Set<String> view = views.computeIfAbsent(change.process(), p -> new HashSet<>());
+            if (change.kind().equals("Lost")) {
+                view.remove(change.member());
+            } else if (change.member() != null) {
+                view.add(change.member());
             }
-            xs.computeIfAbsent(t.process(), p -> new ArrayList<>()).add(t.atMs() / 1e3);
-            ys.computeIfAbsent(t.process(), p -> new ArrayList<>()).add(view.size() + 1.0);
+            secondsByProcess
+                    .computeIfAbsent(change.process(), p -> new ArrayList<>())
+                    .add(change.timeMs() / 1e3);
+            sizesByProcess
+                    .computeIfAbsent(change.process(), p -> new ArrayList<>())
+                    .add(view.size() + 1.0);
         }
-        xs.forEach((process, x) -> {
-            XYSeries series = chart.addSeries("process " + process, x, ys.get(process));
+        secondsByProcess.forEach((process, seconds) -> {
+            XYSeries series = chart.addSeries("process " + process, seconds, sizesByProcess.get(process));
             series.setXYSeriesRenderStyle(XYSeries.XYSeriesRenderStyle.Step).setMarker(SeriesMarkers.NONE);
         });
-        if (!xs.isEmpty()) {
+        if (!secondsByProcess.isEmpty()) {
             BitmapEncoder.saveBitmap(chart, file.toString(), BitmapEncoder.BitmapFormat.PNG);
         }
     }
--- a/lab/src/main/java/barleyspur/lab/fleet/LinkFaults.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/LinkFaults.java
@@ -63,7 +63,7 @@
     }
 
     /** Connected components of the slots in {@code up}, by ways that are open in both directions. */
-    List<Set<Integer>> components(Set<Integer> upSlots) {
+    List<Set<Integer>> connectedComponents(Set<Integer> upSlots) {
         List<Set<Integer>> components = new ArrayList<>();
         Set<Integer> unvisited = new java.util.TreeSet<>(upSlots);
         while (!unvisited.isEmpty()) {
--- a/lab/src/main/java/barleyspur/lab/fleet/MembershipMonitor.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/MembershipMonitor.java
@@ -14,20 +14,20 @@
 
     /** One change as a process told it. */
     record ReportedChange(
-            double atMs,
+            double timeMs,
             int process,
             int slot,
             String kind,
             long version,
             String member,
-            long life,
+            long generation,
             long nonce,
             long incarnation,
-            String standing,
-            String why) {}
+            String state,
+            String reason) {}
 
     private record Key(long life, long nonce, long incarnation) {
-        boolean under(Key other) {
+        boolean isOlderThan(Key other) {
             return life != other.life
                     ? life < other.life
                     : nonce != other.nonce ? nonce < other.nonce : incarnation < other.incarnation;
@@ -36,54 +36,54 @@
 
     private static final class ProcessHistory {
         long version;
-        final Map<String, Key> keys = new HashMap<>();
+        final Map<String, Key> keyByMember = new HashMap<>();
     }
 
-    private final Map<Integer, ProcessHistory> byProcess = new TreeMap<>();
-    private final List<ReportedChange> told = new ArrayList<>();
-    private final List<String> broken = new ArrayList<>();
-    private final boolean keeps;
+    private final Map<Integer, ProcessHistory> historyByProcess = new TreeMap<>();
+    private final List<ReportedChange> changes = new ArrayList<>();
+    private final List<String> foundViolations = new ArrayList<>();
+    private final boolean keepChanges;
 
-    /** @param keeps whether all that is told is kept, for a report */
-    MembershipMonitor(boolean keeps) {
-        this.keeps = keeps;
+    /** @param keepChanges whether all that is told is kept, for a report */
+    MembershipMonitor(boolean keepChanges) {
+        this.keepChanges = keepChanges;
     }
 
-    void told(ReportedChange t) {
-        ProcessHistory seen = byProcess.computeIfAbsent(t.process, p -> new ProcessHistory());
-        if (t.version != seen.version + 1) {
-            broken("changes in order, once", t, "version " + t.version + " after " + seen.version);
+    void onChange(ReportedChange change) {
+        ProcessHistory history = historyByProcess.computeIfAbsent(change.process, p -> new ProcessHistory());
+        if (change.version != history.version + 1) {
+            addViolation("changes in order, once", change, "version " + change.version + " after " + history.version);
         }
-        seen.version = t.version;
-        if (t.member != null) {
-            Key key = new Key(t.life, t.nonce, t.incarnation);
-            Key before = seen.keys.put(t.member, key);
-            if (before != null && key.under(before)) {
-                broken("nothing comes back from the dead", t, key + " after " + before);
+        history.version = change.version;
+        if (change.member != null) {
+            Key key = new Key(change.generation, change.nonce, change.incarnation);
+            Key previous = history.keyByMember.put(change.member, key);
+            if (previous != null && key.isOlderThan(previous)) {
+                addViolation("nothing comes back from the dead", change, key + " after " + previous);
             }
         }
-        if (keeps) {
-            told.add(t);
+        if (keepChanges) {
+            changes.add(change);
         }
     }
 
-    private void broken(String promise, ReportedChange t, String detail) {
-        if (broken.size() < 20) {
-            broken.add(String.format(
+    private void addViolation(String promise, ReportedChange change, String detail) {
+        if (foundViolations.size() < 20) {
+            foundViolations.add(String.format(
                     "%s: at %.0f ms process %d in slot %d: %s of %s: %s",
-                    promise, t.atMs, t.process, t.slot, t.kind, t.member, detail));
+                    promise, change.timeMs, change.process, change.slot, change.kind, change.member, detail));
         }
     }
 
-    void broken(String text) {
-        broken.add(text);
+    void addViolation(String text) {
+        foundViolations.add(text);
     }
 
-    List<String> broken() {
-        return broken;
+    List<String> violations() {
+        return foundViolations;
     }
 
-    List<ReportedChange> all() {
-        return told;
+    List<ReportedChange> allChanges() {
+        return changes;
     }
 }
--- a/lab/src/main/java/barleyspur/lab/fleet/RealFleet.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/RealFleet.java
@@ -38,24 +38,24 @@
  */
 final class RealFleet implements AutoCloseable {
 
-    private static final int CLIENTS = 7001;
-    private static final int FLEET = 7101;
-    private static final int SECOND = 7201;
-    private static final int RELAY = 7301;
-    private static final int CHANNEL = 7401;
-    private static final int HOSTS = 250;
+    private static final int CLIENT_PORT = 7001;
+    private static final int FLEET_PORT = 7101;
+    private static final int ADMIN_PORT = 7201;
+    private static final int RELAY_PORT = 7301;
+    private static final int CHANNEL_PORT = 7401;
+    private static final int HOSTS_PER_SUBNET = 250;
     private static final double NANOS_PER_MS = 1e6;
-    private static final long LOOK_MS = 100;
-    private static final int LOOKED_AT = 10;
-    private static final Duration PATIENCE = Duration.ofSeconds(2);
-    private static final double READY_MS = 60_000;
-    private static final double SAMPLE_MS = 1_000;
+    private static final long POLL_INTERVAL_MS = 100;
+    private static final int DOORMANS_PER_POLL_INTERVAL = 10;
+    private static final Duration HTTP_TIMEOUT = Duration.ofSeconds(2);
+    private static final double STARTUP_TIMEOUT_MS = 60_000;
+    private static final double TRAFFIC_SAMPLE_MS = 1_000;
     /** How a process says that it serves. */
-    private static final String SERVES_LOGGER = " node - ";
+    private static final String SERVING_LOG_PREFIX = " node - ";
 
-    private static final String SERVES_EVENT = " serves";
+    private static final String SERVING_LOG_SUFFIX = " serves";
     /** So that two fleets of this process have addresses of their own. */
-    private static final AtomicInteger FLEETS = new AtomicInteger();
+    private static final AtomicInteger CREATED_FLEETS = new AtomicInteger();
 
     /** A process that was started. */
     private static final class DoormanProcess {
@@ -63,21 +63,21 @@
         final int slot;
         final String name;
         final Process process;
-        final Path log;
-        final Path settings;
-        final double clockMs;
+        final Path logFile;
+        final Path settingsFile;
+        final double clockOffsetMs;
         final int format;
         boolean frozen;
         boolean leaving;
         /** It has said that it serves. A JVM that still starts is ended by SIGHUP, so reloads wait for this. */
-        boolean serves;
+        boolean serving;
 
         boolean reloadPending;
-        long read;
-        String rest = "";
-        Process starver;
+        long logBytesRead;
+        String partialLine = "";
+        Process throttleProcess;
         /** The processor time it had taken when the fleet first settled: 0 where it was started later. */
-        double calmCpu;
+        double cpuSecondsWhenSettled;
 
         double cpuSeconds() {
             return process.info().totalCpuDuration().orElse(Duration.ZERO).toMillis() / 1e3;
@@ -88,81 +88,83 @@
                 int slot,
                 String name,
                 Process process,
-                Path log,
-                Path settings,
-                double clockMs,
+                Path logFile,
+                Path settingsFile,
+                double clockOffsetMs,
                 int format) {
-            this.settings = settings;
-            this.clockMs = clockMs;
+            this.settingsFile = settingsFile;
+            this.clockOffsetMs = clockOffsetMs;
             this.format = format;
             this.number = number;
             this.slot = slot;
             this.name = name;
             this.process = process;
-            this.log = log;
+            this.logFile = logFile;
         }
     }
 
     private final FaultSchedule schedule;
-    private final MembershipMonitor watch;
+    private final MembershipMonitor monitor;
     private final Path jar;
     private final Path folder;
     private final Consumer<String> progress;
-    private final String network;
+    private final String networkPrefix;
     private final DatagramRelays relays;
-    private final InetSocketAddress channel;
-    private final HttpClient client =
-            HttpClient.newBuilder().connectTimeout(PATIENCE).build();
-    private final DoormanProcess[] running;
-    private final List<DoormanProcess> all = new ArrayList<>();
+    private final InetSocketAddress channelAddress;
+    private final HttpClient httpClient =
+            HttpClient.newBuilder().connectTimeout(HTTP_TIMEOUT).build();
+    private final DoormanProcess[] doormanBySlot;
+    private final List<DoormanProcess> allDoormans = new ArrayList<>();
     private final long startNanos = System.nanoTime();
-    private UnaryOperator<JSONObject> configure = json -> json;
+    private UnaryOperator<JSONObject> configurationTransform = json -> json;
     /** Seconds from the start, and bytes a second that a member sent since the sample before. */
-    private final List<double[]> traffic = new ArrayList<>();
+    private final List<double[]> trafficSamples = new ArrayList<>();
     /** A fault and when it was. */
-    record InjectedFault(double atMs, Fault fault) {}
+    record InjectedFault(double timeMs, Fault fault) {}
 
-    private final List<InjectedFault> struck = new ArrayList<>();
-    private double sampledMs;
-    private long sampledBytes;
-    private double calmFromMs;
+    private final List<InjectedFault> injected = new ArrayList<>();
+    private double lastSampleMs;
+    private long lastSampleBytes;
+    private double firstSettledMs;
     /** What stands in each process's own settings beside its fleet. */
-    private String more = "";
+    private String budgetSettings = "";
 
-    private BudgetMonitor budgets;
-    private Runnable every;
-    private double everyMs;
-    private double everyDoneMs;
-    private final Thread hook = new Thread(this::end, "end children");
+    private BudgetMonitor budgetMonitor;
+    private Runnable periodicTask;
+    private double taskPeriodMs;
+    private double lastTaskRunMs;
+    private final Thread shutdownHook = new Thread(this::killAll, "end children");
 
-    RealFleet(FaultSchedule schedule, MembershipMonitor watch, Path jar, Path folder, Consumer<String> progress)
+    RealFleet(FaultSchedule schedule, MembershipMonitor monitor, Path jar, Path folder, Consumer<String> progress)
             throws IOException, InterruptedException {
         this.schedule = schedule;
-        this.watch = watch;
+        this.monitor = monitor;
         this.jar = jar.toAbsolutePath();
         this.folder = folder.toAbsolutePath();
         this.progress = progress;
-        this.network = "127." + (20 + (ProcessHandle.current().pid() + FLEETS.getAndIncrement()) % 200) + ".";
-        this.running = new DoormanProcess[schedule.slotCount()];
+        this.networkPrefix =
+                "127." + (20 + (ProcessHandle.current().pid() + CREATED_FLEETS.getAndIncrement()) % 200) + ".";
+        this.doormanBySlot = new DoormanProcess[schedule.slotCount()];
         Files.createDirectories(folder);
-        Path key = folder.resolve("fleet.key");
-        Files.writeString(key, "Lab0key1That2Nobody3Else4Should5Have6In7Use8\n");
-        Files.setPosixFilePermissions(key, PosixFilePermissions.fromString("rw-------"));
-        List<InetSocketAddress> fronts = new ArrayList<>();
-        List<InetSocketAddress> behind = new ArrayList<>();
+        Path keyFile = folder.resolve("fleet.key");
+        Files.writeString(keyFile, "Lab0key1That2Nobody3Else4Should5Have6In7Use8\n");
+        Files.setPosixFilePermissions(keyFile, PosixFilePermissions.fromString("rw-------"));
+        List<InetSocketAddress> relayAddresses = new ArrayList<>();
+        List<InetSocketAddress> doormanAddresses = new ArrayList<>();
         for (int slot = 0; slot < schedule.slotCount(); slot++) {
-            fronts.add(new InetSocketAddress(host(slot), RELAY));
-            behind.add(new InetSocketAddress(host(slot), FLEET));
+            relayAddresses.add(new InetSocketAddress(hostAddress(slot), RELAY_PORT));
+            doormanAddresses.add(new InetSocketAddress(hostAddress(slot), FLEET_PORT));
         }
         // Also when this process is ended by a signal, its children are.
-        Runtime.getRuntime().addShutdownHook(hook);
-        relays = new DatagramRelays(new LinkFaults(schedule.slotCount(), schedule.randomSeed() + 1), fronts, behind);
-        channel = new InetSocketAddress(network + "251.1", CHANNEL);
-        StandChannel.listen(relays.eventLoopGroup(), channel, 0);
+        Runtime.getRuntime().addShutdownHook(shutdownHook);
+        relays = new DatagramRelays(
+                new LinkFaults(schedule.slotCount(), schedule.randomSeed() + 1), relayAddresses, doormanAddresses);
+        channelAddress = new InetSocketAddress(networkPrefix + "251.1", CHANNEL_PORT);
+        StandChannel.listen(relays.eventLoopGroup(), channelAddress, 0);
     }
 
-    private String host(int slot) {
-        return network + slot / HOSTS + "." + (slot % HOSTS + 1);
+    private String hostAddress(int slot) {
+        return networkPrefix + slot / HOSTS_PER_SUBNET + "." + (slot % HOSTS_PER_SUBNET + 1);
     }
 
     double nowMs() {
@@ -170,114 +172,114 @@
     }
 
     /** Changes what each process is configured with. */
-    void configure(UnaryOperator<JSONObject> how) {
-        configure = how;
+    void setConfigurationTransform(UnaryOperator<JSONObject> transform) {
+        configurationTransform = transform;
     }
 
     /** Divides budgets as well; whoever starts has these blocks in its settings. */
-    void budgets(String blocks, BudgetMonitor watcher) {
-        more = blocks;
-        budgets = watcher;
+    void enableBudgets(String settingsBlocks, BudgetMonitor monitor) {
+        budgetSettings = settingsBlocks;
+        budgetMonitor = monitor;
     }
 
     /** Addresses by which others know the doormans, by slot. */
-    List<String> advertised() {
+    List<String> advertisedAddresses() {
         List<String> addresses = new ArrayList<>();
         for (int slot = 0; slot < schedule.slotCount(); slot++) {
-            addresses.add(host(slot) + ":" + RELAY);
+            addresses.add(hostAddress(slot) + ":" + RELAY_PORT);
         }
         return addresses;
     }
 
     /** Where clients find the doorman of a slot. */
-    InetSocketAddress front(int slot) {
-        return new InetSocketAddress(host(slot), CLIENTS);
+    InetSocketAddress clientAddress(int slot) {
+        return new InetSocketAddress(hostAddress(slot), CLIENT_PORT);
     }
 
     /** Does this by and by while the schedule is played. */
-    void every(long ms, Runnable what) {
-        everyMs = ms;
-        every = what;
+    void setPeriodicTask(long periodMs, Runnable task) {
+        taskPeriodMs = periodMs;
+        periodicTask = task;
     }
 
     /** How many members each doorman's view has, by slot; - where none answers. */
-    List<String> sizes() {
+    List<String> viewSizes() {
         List<String> sizes = new ArrayList<>();
-        Map<DoormanProcess, JSONObject> views = views();
-        for (DoormanProcess d : running) {
-            JSONObject view = d == null ? null : views.get(d);
+        Map<DoormanProcess, JSONObject> views = fetchViews();
+        for (DoormanProcess doorman : doormanBySlot) {
+            JSONObject view = doorman == null ? null : views.get(doorman);
             sizes.add(view == null ? "-" : String.valueOf(view.getLong("size")));
         }
         return sizes;
     }
 
     /** Plays the whole schedule; the times in ms that it took to settle where it says so, and at the end. */
-    List<Double> play() throws IOException, InterruptedException {
-        List<Double> times = new ArrayList<>();
+    List<Double> run() throws IOException, InterruptedException {
+        List<Double> settleTimesMs = new ArrayList<>();
         for (int i = 0; i < schedule.initialDoormans(); i++) {
-            start(i, "", 0, 2);
+            startDoorman(i, "", 0, 2);
         }
         for (FaultSchedule.Step step : schedule.steps()) {
             if (step.awaitSettled()) {
-                times.add(settle());
+                settleTimesMs.add(awaitSettled());
             }
-            if (calmFromMs == 0) {
-                calmFromMs = nowMs();
-                for (DoormanProcess d : all) {
-                    d.calmCpu = d.cpuSeconds();
+            if (firstSettledMs == 0) {
+                firstSettledMs = nowMs();
+                for (DoormanProcess doorman : allDoormans) {
+                    doorman.cpuSecondsWhenSettled = doorman.cpuSeconds();
                 }
             }
             pause(step.delayMs());
             progress.accept(String.format("%7.1f s  %s", nowMs() / 1e3, step.fault()));
             apply(step.fault());
         }
-        times.add(settle());
-        return times;
+        settleTimesMs.add(awaitSettled());
+        return settleTimesMs;
     }
 
     /** Lets that time pass. */
-    void pause(double ms) throws IOException, InterruptedException {
-        double until = nowMs() + ms;
-        for (double left = ms; left > 0; left = until - nowMs()) {
-            Thread.sleep(Math.max(1, Math.min(LOOK_MS, (long) left)));
-            read();
+    void pause(double durationMs) throws IOException, InterruptedException {
+        double untilMs = nowMs() + durationMs;
+        for (double leftMs = durationMs; leftMs > 0; leftMs = untilMs - nowMs()) {
+            Thread.sleep(Math.max(1, Math.min(POLL_INTERVAL_MS, (long) leftMs)));
+            poll();
         }
     }
 
     /** Waits until every component has settled on itself; the time in ms that took, or infinity. */
-    private double settle() throws IOException, InterruptedException {
-        double from = nowMs();
-        double bound = schedule.settleTimeoutMs() + (from < READY_MS / 2 ? READY_MS : 0);
+    private double awaitSettled() throws IOException, InterruptedException {
+        double fromMs = nowMs();
+        double timeoutMs = schedule.settleTimeoutMs() + (fromMs < STARTUP_TIMEOUT_MS / 2 ? STARTUP_TIMEOUT_MS : 0);
         while (true) {
-            String why = settled();
-            read();
-            double took = nowMs() - from;
-            if (why == null) {
-                progress.accept(String.format("%7.1f s  settled after %.1f s", nowMs() / 1e3, took / 1e3));
-                return took;
+            String reason = unsettledReason();
+            poll();
+            double elapsedMs = nowMs() - fromMs;
+            if (reason == null) {
+                progress.accept(String.format("%7.1f s  settled after %.1f s", nowMs() / 1e3, elapsedMs / 1e3));
+                return elapsedMs;
             }
-            if (took > bound) {
-                watch.broken("settles: " + why + " " + Math.round(took) + " ms after the last step");
+            if (elapsedMs > timeoutMs) {
+                monitor.addViolation("settles: " + reason + " " + Math.round(elapsedMs) + " ms after the last step");
                 return Double.POSITIVE_INFINITY;
             }
             // Looking must not keep the doormans from answering one another.
-            Thread.sleep(LOOK_MS + LOOK_MS * schedule.slotCount() / LOOKED_AT);
+            Thread.sleep(POLL_INTERVAL_MS + POLL_INTERVAL_MS * schedule.slotCount() / DOORMANS_PER_POLL_INTERVAL);
         }
     }
 
-    private void start(int slot, String as, double clockMs, int format) throws IOException {
-        if (running[slot] != null && running[slot].process.isAlive()) {
+    private void startDoorman(int slot, String givenName, double clockOffsetMs, int format) throws IOException {
+        if (doormanBySlot[slot] != null && doormanBySlot[slot].process.isAlive()) {
             return;
         }
-        String name = as.isEmpty() ? "d" + (slot + 1) : as;
-        int number = all.size();
-        Path own = folder.resolve("p" + number + "-" + name);
-        Files.createDirectories(own);
-        Path config = own.resolve("config.json");
-        Files.writeString(config, configuration(slot, name, number).toString(2));
-        Path settings = own.resolve("settings.hcl");
-        Files.writeString(settings, settings(slot, clockMs, format));
-        Path log = own.resolve("log");
+        String name = givenName.isEmpty() ? "d" + (slot + 1) : givenName;
+        int number = allDoormans.size();
+        Path directory = folder.resolve("p" + number + "-" + name);
+        Files.createDirectories(directory);
+        Path configFile = directory.resolve("config.json");
+        Files.writeString(configFile, configuration(slot, name, number).toString(2));
+        Path settingsFile = directory.resolve("settings.hcl");
+        Files.writeString(settingsFile, settingsText(slot, clockOffsetMs, format));
+        Path logFile = directory.resolve("log");
         ProcessBuilder builder = new ProcessBuilder(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-XX:+UseSerialGC",
@@ -296,95 +298,101 @@
                 jar.toString(),
                 "serve",
                 "--settings",
-                settings.toString());
-        builder.environment().put("RELAY_CONFIG", config.toString());
-        builder.environment().put("TMPDIR", own.toString());
-        builder.redirectErrorStream(true).redirectOutput(log.toFile());
+                settingsFile.toString());
+        builder.environment().put("RELAY_CONFIG", configFile.toString());
+        builder.environment().put("TMPDIR", directory.toString());
+        builder.redirectErrorStream(true).redirectOutput(logFile.toFile());
         synchronized (this) {
-            DoormanProcess d = new DoormanProcess(number, slot, name, builder.start(), log, settings, clockMs, format);
-            all.add(d);
-            running[slot] = d;
+            DoormanProcess doorman = new DoormanProcess(
+                    number, slot, name, builder.start(), logFile, settingsFile, clockOffsetMs, format);
+            allDoormans.add(doorman);
+            doormanBySlot[slot] = doorman;
         }
     }
 
     private JSONObject configuration(int slot, String name, int number) {
         JSONObject json = new JSONObject(
                         new JSONTokener(RealFleet.class.getResourceAsStream("/barleyspur/rehearsal.json")))
-                .put("channel", channel.getHostString() + ":" + CHANNEL);
-        return configure
+                .put("channel", channelAddress.getHostString() + ":" + CHANNEL_PORT);
+        return configurationTransform
                 .apply(json)
                 .put("name", name)
-                .put("listen", host(slot) + ":" + CLIENTS)
-                .put("mgmt", host(slot) + ":" + SECOND)
+                .put("listen", hostAddress(slot) + ":" + CLIENT_PORT)
+                .put("mgmt", hostAddress(slot) + ":" + ADMIN_PORT)
                 .put("seed", Long.toHexString(schedule.randomSeed() * 1_000 + number));
     }
 
-    private String settings(int slot, double clockMs, int format) {
+    private String settingsText(int slot, double clockOffsetMs, int format) {
         StringBuilder seeds = new StringBuilder();
-        for (int s : schedule.seedSlots()) {
-            if (s != slot) {
+        for (int seedSlot : schedule.seedSlots()) {
+            if (seedSlot != slot) {
                 seeds.append(seeds.isEmpty() ? "" : ", ")
                         .append('"')
-                        .append(host(s))
+                        .append(hostAddress(seedSlot))
                         .append(':')
-                        .append(RELAY)
+                        .append(RELAY_PORT)
                         .append('"');
             }
         }
-        return "fleet \"lab\" {\n  listen = \"" + host(slot) + ":" + FLEET + "\"\n  advertise = \"" + host(slot) + ":"
-                + RELAY + "\"\n  seeds = [" + seeds + "]\n  key_file = \"" + folder.resolve("fleet.key")
+        return "fleet \"lab\" {\n  listen = \"" + hostAddress(slot) + ":" + FLEET_PORT + "\"\n  advertise = \""
+                + hostAddress(slot) + ":"
+                + RELAY_PORT + "\"\n  seeds = [" + seeds + "]\n  key_file = \"" + folder.resolve("fleet.key")
                 + "\"\n  period = \"" + Math.round(schedule.protocolPeriodMs()) + "ms\"\n  clock_offset = \""
-                + Math.round(clockMs) + "ms\"\n  format = " + format + "\n}\n" + more;
+                + Math.round(clockOffsetMs) + "ms\"\n  format = " + format + "\n}\n" + budgetSettings;
     }
 
     private void apply(Fault fault) throws IOException {
-        struck.add(new InjectedFault(nowMs(), fault));
-        if (fault instanceof Fault.Kill f) {
-            for (DoormanProcess d : each(f.slots())) {
-                d.process.destroyForcibly();
-                gone(d);
+        injected.add(new InjectedFault(nowMs(), fault));
+        if (fault instanceof Fault.Kill kill) {
+            for (DoormanProcess doorman : runningDoormans(kill.slots())) {
+                doorman.process.destroyForcibly();
+                removeFromSlot(doorman);
             }
-        } else if (fault instanceof Fault.Freeze f) {
-            for (DoormanProcess d : each(f.slots())) {
-                d.frozen = true;
-                ProcessSignal.send(d.process, "STOP");
+        } else if (fault instanceof Fault.Freeze freeze) {
+            for (DoormanProcess doorman : runningDoormans(freeze.slots())) {
+                doorman.frozen = true;
+                ProcessSignal.send(doorman.process, "STOP");
             }
-        } else if (fault instanceof Fault.Thaw f) {
-            for (DoormanProcess d : each(f.slots())) {
-                ProcessSignal.send(d.process, "CONT");
-                d.frozen = false;
+        } else if (fault instanceof Fault.Thaw thaw) {
+            for (DoormanProcess doorman : runningDoormans(thaw.slots())) {
+                ProcessSignal.send(doorman.process, "CONT");
+                doorman.frozen = false;
             }
-        } else if (fault instanceof Fault.Term f) {
-            for (DoormanProcess d : each(f.slots())) {
-                d.leaving = true;
-                d.process.destroy();
+        } else if (fault instanceof Fault.Term term) {
+            for (DoormanProcess doorman : runningDoormans(term.slots())) {
+                doorman.leaving = true;
+                doorman.process.destroy();
             }
-        } else if (fault instanceof Fault.Quiesce f) {
-            for (DoormanProcess d : each(f.slots())) {
-                client.sendAsync(
-                                HttpRequest.newBuilder(URI.create("http://" + host(d.slot) + ":" + SECOND + "/admin/"
-                                                + (f.on() ? "quiesce" : "resume")))
-                                        .timeout(PATIENCE)
+        } else if (fault instanceof Fault.Quiesce quiesce) {
+            for (DoormanProcess doorman : runningDoormans(quiesce.slots())) {
+                httpClient
+                        .sendAsync(
+                                HttpRequest.newBuilder(URI.create("http://" + hostAddress(doorman.slot) + ":"
+                                                + ADMIN_PORT + "/admin/" + (quiesce.on() ? "quiesce" : "resume")))
+                                        .timeout(HTTP_TIMEOUT)
                                         .PUT(HttpRequest.BodyPublishers.noBody())
                                         .build(),
                                 HttpResponse.BodyHandlers.discarding())
                         .join();
             }
-        } else if (fault instanceof Fault.Start f) {
-            for (int slot : f.slots()) {
-                start(slot, f.name(), f.clockMs(), f.format());
+        } else if (fault instanceof Fault.Start start) {
+            for (int slot : start.slots()) {
+                startDoorman(slot, start.name(), start.clockMs(), start.format());
             }
-        } else if (fault instanceof Fault.Whole f) {
-            more = more.replaceAll("(budget \"" + f.budget() + "\" \\{[^}]*whole = )[0-9]+", "$1" + f.whole());
-            for (DoormanProcess d : all) {
-                if (d.process.isAlive()) {
-                    Files.writeString(d.settings, settings(d.slot, d.clockMs, d.format));
-                    reloadOnceItServes(d);
+        } else if (fault instanceof Fault.Whole capacityChange) {
+            budgetSettings = budgetSettings.replaceAll(
+                    "(budget \"" + capacityChange.budget() + "\" \\{[^}]*whole = )[0-9]+",
+                    "$1" + capacityChange.whole());
+            for (DoormanProcess doorman : allDoormans) {
+                if (doorman.process.isAlive()) {
+                    Files.writeString(
+                            doorman.settingsFile, settingsText(doorman.slot, doorman.clockOffsetMs, doorman.format));
+                    reloadWhenServing(doorman);
                 }
             }
-        } else if (fault instanceof Fault.Starve f) {
-            for (DoormanProcess d : each(f.slots())) {
-                starve(d, f.share());
+        } else if (fault instanceof Fault.Starve starvation) {
+            for (DoormanProcess doorman : runningDoormans(starvation.slots())) {
+                throttleCpu(doorman, starvation.share());
             }
         } else {
             relays.apply(fault);
@@ -392,115 +400,118 @@
     }
 
     /** By turns stopped and continued, a tenth of a second each round. */
-    private void starve(DoormanProcess d, double share) throws IOException {
-        if (d.starver != null) {
-            d.starver.destroyForcibly();
-            d.starver = null;
+    private void throttleCpu(DoormanProcess doorman, double share) throws IOException {
+        if (doorman.throttleProcess != null) {
+            doorman.throttleProcess.destroyForcibly();
+            doorman.throttleProcess = null;
         }
         if (share < 1) {
-            d.starver = new ProcessBuilder(
+            doorman.throttleProcess = new ProcessBuilder(
                             "sh",
                             "-c",
                             String.format(
                                     java.util.Locale.ROOT,
                                     "while kill -STOP %1$d 2>/dev/null; do sleep %2$.3f; kill -CONT %1$d 2>/dev/null; sleep %3$.3f; done",
-                                    d.process.pid(),
+                                    doorman.process.pid(),
                                     0.1 * (1 - share),
                                     0.1 * share))
                     .start();
         } else {
-            ProcessSignal.send(d.process, "CONT");
+            ProcessSignal.send(doorman.process, "CONT");
         }
     }
 
-    private static void reloadOnceItServes(DoormanProcess d) throws IOException {
-        if (d.serves) {
-            ProcessSignal.send(d.process, "HUP");
+    private static void reloadWhenServing(DoormanProcess doorman) throws IOException {
+        if (doorman.serving) {
+            ProcessSignal.send(doorman.process, "HUP");
         }
-        d.reloadPending = !d.serves;
+        doorman.reloadPending = !doorman.serving;
     }
 
-    private void gone(DoormanProcess d) {
-        if (running[d.slot] == d) {
-            running[d.slot] = null;
+    private void removeFromSlot(DoormanProcess doorman) {
+        if (doormanBySlot[doorman.slot] == doorman) {
+            doormanBySlot[doorman.slot] = null;
         }
     }
 
-    private List<DoormanProcess> each(Set<Integer> slots) {
-        List<DoormanProcess> each = new ArrayList<>();
+    private List<DoormanProcess> runningDoormans(Set<Integer> slots) {
+        List<DoormanProcess> found = new ArrayList<>();
         for (int slot : slots) {
-            if (running[slot] != null && running[slot].process.isAlive()) {
-                each.add(running[slot]);
+            if (doormanBySlot[slot] != null && doormanBySlot[slot].process.isAlive()) {
+                found.add(doormanBySlot[slot]);
             }
         }
-        return each;
+        return found;
     }
 
     // ---- what they tell --------------------------------------------------------------------------------
 
-    private void read() throws IOException {
-        if (nowMs() - sampledMs >= SAMPLE_MS) {
+    private void poll() throws IOException {
+        if (nowMs() - lastSampleMs >= TRAFFIC_SAMPLE_MS) {
             long sent = relays.sentBytes();
-            double seconds = (nowMs() - sampledMs) / 1e3;
-            traffic.add(new double[] {nowMs() / 1e3, (sent - sampledBytes) / seconds / schedule.initialDoormans()});
-            sampledMs = nowMs();
-            sampledBytes = sent;
-        }
-        if (every != null && nowMs() - everyDoneMs >= everyMs) {
-            everyDoneMs = nowMs();
-            every.run();
-        }
-        for (DoormanProcess d : all) {
-            try (RandomAccessFile file = new RandomAccessFile(d.log.toFile(), "r")) {
-                if (file.length() > d.read) {
-                    byte[] fresh = new byte[(int) (file.length() - d.read)];
-                    file.seek(d.read);
-                    file.readFully(fresh);
-                    d.read += fresh.length;
-                    String text = d.rest + new String(fresh, StandardCharsets.UTF_8);
+            double seconds = (nowMs() - lastSampleMs) / 1e3;
+            trafficSamples.add(
+                    new double[] {nowMs() / 1e3, (sent - lastSampleBytes) / seconds / schedule.initialDoormans()});
+            lastSampleMs = nowMs();
+            lastSampleBytes = sent;
+        }
+        if (periodicTask != null && nowMs() - lastTaskRunMs >= taskPeriodMs) {
+            lastTaskRunMs = nowMs();
+            periodicTask.run();
+        }
+        for (DoormanProcess doorman : allDoormans) {
+            try (RandomAccessFile file = new RandomAccessFile(doorman.logFile.toFile(), "r")) {
+                if (file.length() > doorman.logBytesRead) {
+                    byte[] newBytes = new byte[(int) (file.length() - doorman.logBytesRead)];
+                    file.seek(doorman.logBytesRead);
+                    file.readFully(newBytes);
+                    doorman.logBytesRead += newBytes.length;
+                    String text = doorman.partialLine + new String(newBytes, StandardCharsets.UTF_8);
                     int end = text.lastIndexOf('\n') + 1;
-                    d.rest = text.substring(end);
-                    text.substring(0, end).lines().forEach(line -> told(d, line));
+                    doorman.partialLine = text.substring(end);
+                    text.substring(0, end).lines().forEach(line -> parseLogLine(doorman, line));
                 }
             }
-            if (d.reloadPending) {
-                reloadOnceItServes(d);
+            if (doorman.reloadPending) {
+                reloadWhenServing(doorman);
             }
-            if (!d.process.isAlive() && running[d.slot] == d) {
-                if (!d.leaving) {
-                    watch.broken("process " + d.number + " (" + d.name + ") ended by itself with "
-                            + d.process.exitValue() + ": see " + d.log);
+            if (!doorman.process.isAlive() && doormanBySlot[doorman.slot] == doorman) {
+                if (!doorman.leaving) {
+                    monitor.addViolation("process " + doorman.number + " (" + doorman.name + ") ended by itself with "
+                            + doorman.process.exitValue() + ": see " + doorman.logFile);
                 }
-                gone(d);
+                removeFromSlot(doorman);
             }
         }
     }
 
     /** Reads a line of the logger {@code fleet}: keys with values, then the event's text. */
-    private void told(DoormanProcess d, String line) {
-        if (line.contains(SERVES_LOGGER) && line.endsWith(SERVES_EVENT)) {
-            d.serves = true;
+    private void parseLogLine(DoormanProcess doorman, String line) {
+        if (line.contains(SERVING_LOG_PREFIX) && line.endsWith(SERVING_LOG_SUFFIX)) {
+            doorman.serving = true;
             return;
         }
-        int ofBudgets = line.indexOf(" budget - mono=");
-        int at = line.indexOf(" fleet - mono=");
-        if (at < 0 && ofBudgets < 0) {
+        int budgetPrefix = line.indexOf(" budget - mono=");
+        int fleetPrefix = line.indexOf(" fleet - mono=");
+        if (fleetPrefix < 0 && budgetPrefix < 0) {
             return;
         }
         Map<String, String> keys = new HashMap<>();
         StringBuilder event = new StringBuilder();
-        for (String word : line.substring(line.indexOf(" - mono=", Math.max(at, ofBudgets)) + " - ".length())
+        for (String token : line.substring(
+                        line.indexOf(" - mono=", Math.max(fleetPrefix, budgetPrefix)) + " - ".length())
                 .split(" ")) {
-            int equals = word.indexOf('=');
+            int equals = token.indexOf('=');
             if (equals > 0) {
-                keys.put(word.substring(0, equals), word.substring(equals + 1));
+                keys.put(token.substring(0, equals), token.substring(equals + 1));
             } else {
-                event.append(event.isEmpty() ? "" : " ").append(word);
+                event.append(event.isEmpty() ? "" : " ").append(token);
             }
         }
-        if (at < 0) {
-            if (budgets != null) {
-                budgets.told(d.number, d.slot, event.toString(), keys, startNanos / NANOS_PER_MS);
+        if (fleetPrefix < 0) {
+            if (budgetMonitor != null) {
+                budgetMonitor.onLogEvent(
+                        doorman.number, doorman.slot, event.toString(), keys, startNanos / NANOS_PER_MS);
             }
             return;
         }
@@ -512,10 +523,10 @@
                     case "name given up", "name taken back" -> "Name";
                     default -> "Doubt";
                 };
-        watch.told(new MembershipMonitor.ReportedChange(
+        monitor.onChange(new MembershipMonitor.ReportedChange(
                 Double.parseDouble(keys.get("mono")) - startNanos / NANOS_PER_MS,
-                d.number,
-                d.slot,
+                doorman.number,
+                doorman.slot,
                 kind,
                 Long.parseLong(keys.get("version")),
                 keys.get("member"),
@@ -530,27 +541,28 @@
         return Long.parseLong(keys.getOrDefault(key, "0"));
     }
 
-    private Map<DoormanProcess, JSONObject> views() {
-        Map<DoormanProcess, CompletableFuture<JSONObject>> asked = new HashMap<>();
-        for (DoormanProcess d : running) {
-            if (d != null && !d.frozen && !d.leaving) {
-                asked.put(
-                        d,
-                        client.sendAsync(
-                                        HttpRequest.newBuilder(URI.create(
-                                                        "http://" + host(d.slot) + ":" + SECOND + "/admin/fleet"))
-                                                .timeout(PATIENCE)
+    private Map<DoormanProcess, JSONObject> fetchViews() {
+        Map<DoormanProcess, CompletableFuture<JSONObject>> responses = new HashMap<>();
+        for (DoormanProcess doorman : doormanBySlot) {
+            if (doorman != null && !doorman.frozen && !doorman.leaving) {
+                responses.put(
+                        doorman,
+                        httpClient
+                                .sendAsync(
+                                        HttpRequest.newBuilder(URI.create("http://" + hostAddress(doorman.slot) + ":"
+                                                        + ADMIN_PORT + "/admin/fleet"))
+                                                .timeout(HTTP_TIMEOUT)
                                                 .build(),
                                         HttpResponse.BodyHandlers.ofString())
                                 .thenApply(answer -> new JSONObject(answer.body())));
             }
         }
         Map<DoormanProcess, JSONObject> views = new HashMap<>();
-        asked.forEach((d, view) -> {
+        responses.forEach((doorman, view) -> {
             try {
-                views.put(d, view.get(PATIENCE.toMillis(), TimeUnit.MILLISECONDS));
+                views.put(doorman, view.get(HTTP_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS));
             } catch (ExecutionException | java.util.concurrent.TimeoutException | JSONException e) {
-                views.put(d, null);
+                views.put(doorman, null);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -559,25 +571,25 @@
     }
 
     /** Null where every component has settled on itself; else what is still missing. */
-    private String settled() throws InterruptedException {
-        Map<DoormanProcess, JSONObject> views = views();
-        Set<Integer> up = new TreeSet<>();
-        for (DoormanProcess d : running) {
-            if (d != null && d.leaving) {
-                return d.name + " is leaving";
+    private String unsettledReason() throws InterruptedException {
+        Map<DoormanProcess, JSONObject> views = fetchViews();
+        Set<Integer> upSlots = new TreeSet<>();
+        for (DoormanProcess doorman : doormanBySlot) {
+            if (doorman != null && doorman.leaving) {
+                return doorman.name + " is leaving";
             }
-            if (d != null && !d.frozen) {
-                up.add(d.slot);
-                if (views.get(d) == null) {
-                    return d.name + " doesn't answer";
+            if (doorman != null && !doorman.frozen) {
+                upSlots.add(doorman.slot);
+                if (views.get(doorman) == null) {
+                    return doorman.name + " doesn't answer";
                 }
             }
         }
         try {
-            for (Set<Integer> component : relays.components(up)) {
-                String why = settled(component, views);
-                if (why != null) {
-                    return why;
+            for (Set<Integer> component : relays.connectedComponents(upSlots)) {
+                String reason = unsettledReason(component, views);
+                if (reason != null) {
+                    return reason;
                 }
             }
         } catch (ExecutionException e) {
@@ -586,58 +598,58 @@
         return null;
     }
 
-    private String settled(Set<Integer> component, Map<DoormanProcess, JSONObject> views) {
-        TreeMap<String, JSONObject> holders = new TreeMap<>();
+    private String unsettledReason(Set<Integer> component, Map<DoormanProcess, JSONObject> views) {
+        TreeMap<String, JSONObject> viewByName = new TreeMap<>();
         for (int slot : component) {
-            JSONObject view = views.get(running[slot]);
+            JSONObject view = views.get(doormanBySlot[slot]);
             if (!view.getBoolean("name_given_up")) {
-                holders.put(running[slot].name, view);
+                viewByName.put(doormanBySlot[slot].name, view);
             }
         }
         Set<String> names = new TreeSet<>();
-        component.forEach(slot -> names.add(running[slot].name));
+        component.forEach(slot -> names.add(doormanBySlot[slot].name));
         String digest = null;
-        for (Map.Entry<String, JSONObject> e : holders.entrySet()) {
-            JSONObject view = e.getValue();
-            Set<String> seen = new TreeSet<>();
-            for (Object o : view.getJSONArray("members")) {
-                JSONObject m = (JSONObject) o;
-                if (m.getBoolean("listed")) {
-                    seen.add(m.getString("name"));
+        for (Map.Entry<String, JSONObject> entry : viewByName.entrySet()) {
+            JSONObject view = entry.getValue();
+            Set<String> listedNames = new TreeSet<>();
+            for (Object item : view.getJSONArray("members")) {
+                JSONObject member = (JSONObject) item;
+                if (member.getBoolean("listed")) {
+                    listedNames.add(member.getString("name"));
                 }
             }
             if (view.getBoolean("in_doubt")) {
-                return e.getKey() + " is in doubt";
+                return entry.getKey() + " is in doubt";
             }
             digest = digest == null ? view.getString("digest") : digest;
-            if (!seen.equals(names) || !digest.equals(view.getString("digest"))) {
-                return e.getKey() + " sees " + seen + " of " + names + ", digest " + view.getString("digest")
+            if (!listedNames.equals(names) || !digest.equals(view.getString("digest"))) {
+                return entry.getKey() + " sees " + listedNames + " of " + names + ", digest " + view.getString("digest")
                         + " against " + digest;
             }
         }
-        return holders.keySet().equals(names)
+        return viewByName.keySet().equals(names)
                 ? null
-                : "of " + names + " only " + holders.keySet() + " hold their names";
+                : "of " + names + " only " + viewByName.keySet() + " hold their names";
     }
 
-    List<InjectedFault> struck() {
-        return List.copyOf(struck);
+    List<InjectedFault> injectedFaults() {
+        return List.copyOf(injected);
     }
 
-    List<double[]> traffic() {
-        return traffic;
+    List<double[]> trafficSamples() {
+        return trafficSamples;
     }
 
     /** What the processes that run take: percent of a core since the first settling, and MB of memory, each. */
-    String costs() throws IOException {
+    String resourceUsage() throws IOException {
         int count = 0;
         double kilobytes = 0;
-        double cpu = 0;
-        for (DoormanProcess d : running) {
-            if (d != null && d.process.isAlive()) {
+        double cpuSeconds = 0;
+        for (DoormanProcess doorman : doormanBySlot) {
+            if (doorman != null && doorman.process.isAlive()) {
                 count++;
-                cpu += d.cpuSeconds() - d.calmCpu;
-                for (String line : Files.readAllLines(Path.of("/proc/" + d.process.pid() + "/status"))) {
+                cpuSeconds += doorman.cpuSeconds() - doorman.cpuSecondsWhenSettled;
+                for (String line : Files.readAllLines(Path.of("/proc/" + doorman.process.pid() + "/status"))) {
                     if (line.startsWith("VmRSS:")) {
                         kilobytes += Double.parseDouble(line.replaceAll("[^0-9]", ""));
                     }
@@ -648,30 +660,30 @@
                 java.util.Locale.ROOT,
                 "%d processes, each %.2f%% of a core over %.0f s and %.1f MB",
                 count,
-                100 * cpu / ((nowMs() - calmFromMs) / 1e3) / Math.max(1, count),
-                (nowMs() - calmFromMs) / 1e3,
+                100 * cpuSeconds / ((nowMs() - firstSettledMs) / 1e3) / Math.max(1, count),
+                (nowMs() - firstSettledMs) / 1e3,
                 kilobytes / 1024 / Math.max(1, count));
     }
 
-    private synchronized void end() {
-        for (DoormanProcess d : all) {
-            d.leaving = true;
-            if (d.starver != null) {
-                d.starver.destroyForcibly();
+    private synchronized void killAll() {
+        for (DoormanProcess doorman : allDoormans) {
+            doorman.leaving = true;
+            if (doorman.throttleProcess != null) {
+                doorman.throttleProcess.destroyForcibly();
             }
-            d.process.destroyForcibly();
+            doorman.process.destroyForcibly();
         }
     }
 
     @Override
     public void close() throws IOException {
         try {
-            Runtime.getRuntime().removeShutdownHook(hook);
-            end();
-            for (DoormanProcess d : all) {
-                d.process.waitFor(10, TimeUnit.SECONDS);
+            Runtime.getRuntime().removeShutdownHook(shutdownHook);
+            killAll();
+            for (DoormanProcess doorman : allDoormans) {
+                doorman.process.waitFor(10, TimeUnit.SECONDS);
             }
-            read();
+            poll();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (UncheckedIOException e) {
--- a/lab/src/main/java/barleyspur/lab/fleet/ScenarioFile.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/ScenarioFile.java
@@ -21,16 +21,16 @@
 /** A schedule of faults as a file: read, checked, and written for a replay. {@code docs/FLEET.md} has the language. */
 final class ScenarioFile {
 
-    private static final Pattern WHEN = Pattern.compile("(settled)?(?: *\\+ *)?([0-9.]+(?:ms|s))?");
-    private static final Pattern RANGE = Pattern.compile("d([0-9]+)(?:\\.\\.d([0-9]+))?");
-    private static final int MOST = 20_000;
-    private static final double MOST_MS = 3_600_000;
-    private static final List<String> FAULTS = List.of("cut", "mend", "split", "weather", "starve");
+    private static final Pattern STEP_TIME = Pattern.compile("(settled)?(?: *\\+ *)?([0-9.]+(?:ms|s))?");
+    private static final Pattern SLOT_RANGE = Pattern.compile("d([0-9]+)(?:\\.\\.d([0-9]+))?");
+    private static final int MAX_DOORMANS = 20_000;
+    private static final double MAX_DURATION_MS = 3_600_000;
+    private static final List<String> FAULT_BLOCKS = List.of("cut", "mend", "split", "weather", "starve");
 
-    private final int slots;
+    private final int slotCount;
 
-    private ScenarioFile(int slots) {
-        this.slots = slots;
+    private ScenarioFile(int slotCount) {
+        this.slotCount = slotCount;
     }
 
     static FaultSchedule load(Path file) throws Hcl.Invalid {
@@ -53,161 +53,175 @@
                     "wants one block scenario \"NAME\" { ... }, not "
                             + root.blocks().size());
         }
-        Hcl.Block b = root.blocks().get(0);
-        String name = b.label();
-        int doormans = (int) b.number("doormans", 3, 1, MOST);
-        int slots = (int) b.number("slots", doormans, doormans, MOST);
-        ScenarioFile reader = new ScenarioFile(slots);
-        double period = time(b, "period", 500, 100, 10_000);
-        double settle = time(b, "settle", 20_000, 100, MOST_MS);
-        long seed = (long) b.number("seed", 1, 0, 1e15);
-        Hcl.Value seeds = b.value("seeds");
-        List<Integer> at = seeds == null ? List.of(0, Math.min(1, slots - 1)) : List.copyOf(reader.slots(seeds));
-        b.close(List.of("step", "random", "load", "budget"));
-        FaultSchedule.Workload use = use(b, slots);
+        Hcl.Block scenario = root.blocks().get(0);
+        String name = scenario.label();
+        int doormans = (int) scenario.number("doormans", 3, 1, MAX_DOORMANS);
+        int slotCount = (int) scenario.number("slots", doormans, doormans, MAX_DOORMANS);
+        ScenarioFile reader = new ScenarioFile(slotCount);
+        double periodMs = parseDuration(scenario, "period", 500, 100, 10_000);
+        double settleTimeoutMs = parseDuration(scenario, "settle", 20_000, 100, MAX_DURATION_MS);
+        long randomSeed = (long) scenario.number("seed", 1, 0, 1e15);
+        Hcl.Value seeds = scenario.value("seeds");
+        List<Integer> seedSlots =
+                seeds == null ? List.of(0, Math.min(1, slotCount - 1)) : List.copyOf(reader.slots(seeds));
+        scenario.close(List.of("step", "random", "load", "budget"));
+        FaultSchedule.Workload workload = parseWorkload(scenario, slotCount);
         List<FaultSchedule.Step> steps = new ArrayList<>();
-        for (Hcl.Block step : b.blocks()) {
+        for (Hcl.Block step : scenario.blocks()) {
             if (step.type().equals("random")) {
-                if (!b.blocks("step").isEmpty() || b.blocks("random").size() > 1) {
+                if (!scenario.blocks("step").isEmpty()
+                        || scenario.blocks("random").size() > 1) {
                     throw step.invalid("stands beside other steps");
                 }
                 int faults = (int) step.number("faults", 10, 1, 1_000);
                 step.close(List.of());
-                return FaultSchedule.random(doormans, faults, period, settle, seed)
-                        .with(use);
+                return FaultSchedule.random(doormans, faults, periodMs, settleTimeoutMs, randomSeed)
+                        .with(workload);
             } else if (step.type().equals("step")) {
-                steps.add(reader.step(step));
+                steps.add(reader.parseStep(step));
             }
         }
-        return new FaultSchedule(name, slots, doormans, at, period, List.copyOf(steps), settle, seed, 0, use);
+        return new FaultSchedule(
+                name,
+                slotCount,
+                doormans,
+                seedSlots,
+                periodMs,
+                List.copyOf(steps),
+                settleTimeoutMs,
+                randomSeed,
+                0,
+                workload);
     }
 
-    private static FaultSchedule.Workload use(Hcl.Block b, int slots) throws Hcl.Invalid {
-        if (b.blocks("load").size() != 1) {
-            if (b.blocks("load").isEmpty() && b.blocks("budget").isEmpty()) {
+    private static FaultSchedule.Workload parseWorkload(Hcl.Block scenario, int slotCount) throws Hcl.Invalid {
+        if (scenario.blocks("load").size() != 1) {
+            if (scenario.blocks("load").isEmpty() && scenario.blocks("budget").isEmpty()) {
                 return null;
             }
-            throw b.invalid("wants one block load { ... } beside its budgets, not "
-                    + b.blocks("load").size());
+            throw scenario.invalid("wants one block load { ... } beside its budgets, not "
+                    + scenario.blocks("load").size());
         }
-        Hcl.Block load = b.blocks("load").get(0);
-        int voters = (int) load.number("voters", Math.min(3, slots), 1, slots);
-        int largest = (int) load.number("largest", slots, voters, MOST);
-        double term = time(load, "term", 2_000, 500, 30_000);
-        double hold = time(load, "hold", 500, 10, 30_000);
-        double slack = time(load, "slack", 50, 1, 1_000);
+        Hcl.Block load = scenario.blocks("load").get(0);
+        int voterCount = (int) load.number("voters", Math.min(3, slotCount), 1, slotCount);
+        int maxDoormans = (int) load.number("largest", slotCount, voterCount, MAX_DOORMANS);
+        double leaderLeaseMs = parseDuration(load, "term", 2_000, 500, 30_000);
+        double maxHoldMs = parseDuration(load, "hold", 500, 10, 30_000);
+        double sendSlackMs = parseDuration(load, "slack", 50, 1, 1_000);
         Map<String, Terms.Budget> budgets = new TreeMap<>();
-        Map<String, String> at = new TreeMap<>();
-        for (Hcl.Block each : b.blocks("budget")) {
-            Terms.Budget budget = BudgetSettings.budget(each, largest, hold + slack);
-            Hcl.Value model = each.value("at");
-            at.put(budget.name(), model == null ? "cache" : model.text());
+        Map<String, String> modelByBudget = new TreeMap<>();
+        for (Hcl.Block block : scenario.blocks("budget")) {
+            Terms.Budget budget = BudgetSettings.budget(block, maxDoormans, maxHoldMs + sendSlackMs);
+            Hcl.Value model = block.value("at");
+            modelByBudget.put(budget.name(), model == null ? "cache" : model.text());
             budgets.put(budget.name(), budget);
-            each.close(List.of());
+            block.close(List.of());
         }
-        FaultSchedule.Workload use = new FaultSchedule.Workload(
-                new Terms(List.of(), largest, term, hold, slack, budgets),
-                voters,
-                at,
+        FaultSchedule.Workload workload = new FaultSchedule.Workload(
+                new Terms(List.of(), maxDoormans, leaderLeaseMs, maxHoldMs, sendSlackMs, budgets),
+                voterCount,
+                modelByBudget,
                 (int) load.number("caches", 3, 1, 200),
                 load.number("per_s", 300, 1, 100_000),
-                time(load, "jump", 0, 0, MOST_MS),
-                time(load, "hit", 20, 1, 5_000),
-                time(load, "cold", 0, 0, MOST_MS));
+                parseDuration(load, "jump", 0, 0, MAX_DURATION_MS),
+                parseDuration(load, "hit", 20, 1, 5_000),
+                parseDuration(load, "cold", 0, 0, MAX_DURATION_MS));
         load.close(List.of());
-        return use;
+        return workload;
     }
 
-    private FaultSchedule.Step step(Hcl.Block b) throws Hcl.Invalid {
-        Matcher when = WHEN.matcher(b.label());
-        if (!when.matches() || b.label().isBlank()) {
-            throw b.invalid(
-                    "has a time that is none: \"" + b.label() + "\"; as in \"2s\", \"settled\", \"settled + 500ms\"");
+    private FaultSchedule.Step parseStep(Hcl.Block block) throws Hcl.Invalid {
+        Matcher matcher = STEP_TIME.matcher(block.label());
+        if (!matcher.matches() || block.label().isBlank()) {
+            throw block.invalid("has a time that is none: \"" + block.label()
+                    + "\"; as in \"2s\", \"settled\", \"settled + 500ms\"");
         }
-        double after = when.group(2) == null ? 0 : Hcl.millis(when.group(2));
-        Fault fault = fault(b);
-        b.close(FAULTS);
-        return new FaultSchedule.Step(when.group(1) != null, after, fault);
+        double delayMs = matcher.group(2) == null ? 0 : Hcl.millis(matcher.group(2));
+        Fault fault = parseFault(block);
+        block.close(FAULT_BLOCKS);
+        return new FaultSchedule.Step(matcher.group(1) != null, delayMs, fault);
     }
 
-    private Fault fault(Hcl.Block b) throws Hcl.Invalid {
+    private Fault parseFault(Hcl.Block step) throws Hcl.Invalid {
         List<Fault> found = new ArrayList<>();
-        add(found, b.value("kill"), Fault.Kill::new);
-        add(found, b.value("freeze"), Fault.Freeze::new);
-        add(found, b.value("thaw"), Fault.Thaw::new);
-        add(found, b.value("term"), Fault.Term::new);
-        add(found, b.value("quiesce"), s -> new Fault.Quiesce(s, true));
-        add(found, b.value("resume"), s -> new Fault.Quiesce(s, false));
-        Hcl.Value as = b.value("as");
-        Hcl.Value clock = b.value("clock");
+        addIfPresent(found, step.value("kill"), Fault.Kill::new);
+        addIfPresent(found, step.value("freeze"), Fault.Freeze::new);
+        addIfPresent(found, step.value("thaw"), Fault.Thaw::new);
+        addIfPresent(found, step.value("term"), Fault.Term::new);
+        addIfPresent(found, step.value("quiesce"), targets -> new Fault.Quiesce(targets, true));
+        addIfPresent(found, step.value("resume"), targets -> new Fault.Quiesce(targets, false));
+        Hcl.Value name = step.value("as");
+        Hcl.Value clock = step.value("clock");
         double offset = clock == null ? 0 : Hcl.millis(clock.text());
         if (Double.isNaN(offset)) {
             throw clock.invalid("is no time: " + clock.value());
         }
-        int format = (int) b.number("format", 2, 1, 2);
-        add(
+        int format = (int) step.number("format", 2, 1, 2);
+        addIfPresent(
                 found,
-                b.value("start"),
-                s -> new Fault.Start(s, as == null ? "" : String.valueOf(as.value()), offset, format));
-        Hcl.Value of = b.value("of");
-        if (of != null) {
-            found.add(new Fault.Whole(of.text(), (long) b.number("whole", 0, 1, 1e9)));
+                step.value("start"),
+                targets -> new Fault.Start(targets, name == null ? "" : String.valueOf(name.value()), offset, format));
+        Hcl.Value budget = step.value("of");
+        if (budget != null) {
+            found.add(new Fault.Whole(budget.text(), (long) step.number("whole", 0, 1, 1e9)));
         }
-        Hcl.Value heal = b.value("heal");
+        Hcl.Value heal = step.value("heal");
         if (heal != null && heal.flag()) {
             found.add(new Fault.Heal());
         }
-        for (Hcl.Block f : b.blocks()) {
-            switch (f.type()) {
+        for (Hcl.Block block : step.blocks()) {
+            switch (block.type()) {
                 case "cut", "mend" ->
                     found.add(new Fault.Cut(
-                            slots(f, "from"), slots(f, "to"), f.type().equals("mend")));
-                case "split" -> found.add(split(f));
+                            slots(block, "from"),
+                            slots(block, "to"),
+                            block.type().equals("mend")));
+                case "split" -> found.add(parseSplit(block));
                 case "weather" ->
                     found.add(new Fault.Weather(
-                            slots(f, "from"),
-                            slots(f, "to"),
+                            slots(block, "from"),
+                            slots(block, "to"),
                             new Fault.Noise(
-                                    f.number("loss", 0, 0, 1),
-                                    time(f, "delay", 0, 0, 10_000),
-                                    f.number("twice", 0, 0, 1),
-                                    f.number("garbage", 0, 0, 1))));
-                case "starve" -> found.add(new Fault.Starve(slots(f, "who"), f.number("share", 0.1, 0.01, 1)));
+                                    block.number("loss", 0, 0, 1),
+                                    parseDuration(block, "delay", 0, 0, 10_000),
+                                    block.number("twice", 0, 0, 1),
+                                    block.number("garbage", 0, 0, 1))));
+                case "starve" -> found.add(new Fault.Starve(slots(block, "who"), block.number("share", 0.1, 0.01, 1)));
                 default -> {}
             }
-            f.close(List.of());
+            block.close(List.of());
         }
         if (found.size() != 1) {
-            throw b.invalid("wants one fault, not " + found.size());
+            throw step.invalid("wants one fault, not " + found.size());
         }
         return found.get(0);
     }
 
     private interface FaultFactory {
-        Fault of(Set<Integer> slots);
+        Fault create(Set<Integer> slots);
     }
 
-    private void add(List<Fault> found, Hcl.Value value, FaultFactory maker) throws Hcl.Invalid {
+    private void addIfPresent(List<Fault> found, Hcl.Value value, FaultFactory factory) throws Hcl.Invalid {
         if (value != null) {
-            found.add(maker.of(slots(value)));
+            found.add(factory.create(slots(value)));
         }
     }
 
-    private Fault split(Hcl.Block b) throws Hcl.Invalid {
-        Hcl.Value groups = b.value("groups");
+    private Fault parseSplit(Hcl.Block block) throws Hcl.Invalid {
+        Hcl.Value groups = block.value("groups");
         if (groups == null) {
-            throw b.invalid("has no key groups, as in [\"d1..d3\", \"d4..d7\"]");
+            throw block.invalid("has no key groups, as in [\"d1..d3\", \"d4..d7\"]");
         }
-        List<Set<Integer>> sets = new ArrayList<>();
+        List<Set<Integer>> partitions = new ArrayList<>();
         for (String group : groups.texts()) {
-            sets.add(slots(groups, List.of(group.split(" +"))));
+            partitions.add(slots(groups, List.of(group.split(" +"))));
         }
-        return new Fault.Split(List.copyOf(sets));
+        return new Fault.Split(List.copyOf(partitions));
     }
 
-    private Set<Integer> slots(Hcl.Block b, String key) throws Hcl.Invalid {
-        Hcl.Value value = b.value(key);
-        return value == null ? FaultSchedule.slotRange(0, slots) : slots(value);
+    private Set<Integer> slots(Hcl.Block block, String key) throws Hcl.Invalid {
+        Hcl.Value value = block.value(key);
+        return value == null ? FaultSchedule.slotRange(0, slotCount) : slots(value);
     }
 
     private Set<Integer> slots(Hcl.Value value) throws Hcl.Invalid {
@@ -217,14 +231,14 @@
     private Set<Integer> slots(Hcl.Value value, List<String> names) throws Hcl.Invalid {
         Set<Integer> set = new TreeSet<>();
         for (String name : names) {
-            Matcher m = RANGE.matcher(name);
+            Matcher matcher = SLOT_RANGE.matcher(name);
             if (name.equals("all")) {
-                set.addAll(FaultSchedule.slotRange(0, slots));
-            } else if (m.matches()) {
-                int from = Integer.parseInt(m.group(1));
-                int to = m.group(2) == null ? from : Integer.parseInt(m.group(2));
-                if (from < 1 || to > slots || from > to) {
-                    throw value.invalid("names " + name + ", but there are d1 to d" + slots);
+                set.addAll(FaultSchedule.slotRange(0, slotCount));
+            } else if (matcher.matches()) {
+                int from = Integer.parseInt(matcher.group(1));
+                int to = matcher.group(2) == null ? from : Integer.parseInt(matcher.group(2));
+                if (from < 1 || to > slotCount || from > to) {
+                    throw value.invalid("names " + name + ", but there are d1 to d" + slotCount);
                 }
                 set.addAll(FaultSchedule.slotRange(from - 1, to));
             } else {
@@ -234,12 +248,12 @@
         return set;
     }
 
-    private static double time(Hcl.Block b, String key, double otherwise, double least, double most)
+    private static double parseDuration(Hcl.Block block, String key, double defaultMs, double minMs, double maxMs)
             throws Hcl.Invalid {
-        Hcl.Value v = b.value(key);
-        double ms = v == null ? otherwise : Hcl.millis(v.text());
-        if (!(ms >= least && ms <= most)) {
-            throw v.invalid("is no time from " + least + " to " + most + " ms: " + v.value());
+        Hcl.Value value = block.value(key);
+        double ms = value == null ? defaultMs : Hcl.millis(value.text());
+        if (!(ms >= minMs && ms <= maxMs)) {
+            throw value.invalid("is no time from " + minMs + " to " + maxMs + " ms: " + value.value());
         }
         return ms;
     }
@@ -247,56 +261,63 @@
     // ---- writing ---------------------------------------------------------------------------------------
 
     /** The schedule as a file that reads as the same. */
-    static String write(FaultSchedule s) {
-        StringBuilder out = new StringBuilder("scenario \"" + s.name() + "\" {\n  doormans = " + s.initialDoormans()
-                + "\n  slots = " + s.slotCount() + "\n  seeds = " + names(Set.copyOf(s.seedSlots())) + "\n  period = "
-                + ms(s.protocolPeriodMs()) + "\n  settle = " + ms(s.settleTimeoutMs()) + "\n  seed = " + s.randomSeed()
-                + "\n"
-                + use(s.workload()));
-        for (FaultSchedule.Step step : s.steps()) {
+    static String write(FaultSchedule schedule) {
+        StringBuilder out =
+                new StringBuilder("scenario \"" + schedule.name() + "\" {\n  doormans = " + schedule.initialDoormans()
+                        + "\n  slots = " + schedule.slotCount() + "\n  seeds = "
+                        + slotList(Set.copyOf(schedule.seedSlots())) + "\n  period = "
+                        + duration(schedule.protocolPeriodMs()) + "\n  settle = " + duration(schedule.settleTimeoutMs())
+                        + "\n  seed = " + schedule.randomSeed()
+                        + "\n"
+                        + loadBlock(schedule.workload()));
+        for (FaultSchedule.Step step : schedule.steps()) {
             out.append("  step \"")
                     .append(step.awaitSettled() ? "settled + " : "")
-                    .append(ms(step.delayMs()).replace("\"", ""))
+                    .append(duration(step.delayMs()).replace("\"", ""))
                     .append("\" {\n")
-                    .append(fault(step.fault()))
+                    .append(faultText(step.fault()))
                     .append("  }\n");
         }
         return out.append("}\n").toString();
     }
 
-    private static String use(FaultSchedule.Workload u) {
-        if (u == null) {
+    private static String loadBlock(FaultSchedule.Workload workload) {
+        if (workload == null) {
             return "";
         }
-        Terms t = u.config();
-        StringBuilder out =
-                new StringBuilder("  load {\n    caches = " + u.cacheCount() + "\n    per_s = " + u.requestsPerS()
-                        + "\n    jump = " + ms(u.hotspotIntervalMs()) + "\n    hit = " + ms(u.hitServiceMs())
-                        + "\n    cold = " + ms(u.firstCacheStartMs())
-                        + "\n    voters = " + u.voterCount() + "\n    largest = " + t.largest() + "\n    term = "
-                        + ms(t.termMs())
-                        + "\n    hold = " + ms(t.holdMs()) + "\n    slack = " + ms(t.slackMs()) + "\n  }\n");
-        t.budgets().values().stream()
+        Terms config = workload.config();
+        StringBuilder out = new StringBuilder("  load {\n    caches = " + workload.cacheCount() + "\n    per_s = "
+                + workload.requestsPerS()
+                + "\n    jump = " + duration(workload.hotspotIntervalMs()) + "\n    hit = "
+                + duration(workload.hitServiceMs())
+                + "\n    cold = " + duration(workload.firstCacheStartMs())
+                + "\n    voters = " + workload.voterCount() + "\n    largest = " + config.largest() + "\n    term = "
+                + duration(config.termMs())
+                + "\n    hold = " + duration(config.holdMs()) + "\n    slack = " + duration(config.slackMs())
+                + "\n  }\n");
+        config.budgets().values().stream()
                 .sorted(Comparator.comparing(Terms.Budget::name))
-                .forEach(b -> out.append(budget(b, u.modelByBudget().get(b.name()), "  ")));
+                .forEach(budget ->
+                        out.append(budgetBlock(budget, workload.modelByBudget().get(budget.name()), "  ")));
         return out.toString();
     }
 
     /** A budget's block, as scenarios and our own settings have it. */
-    static String budget(Terms.Budget b, String at, String indent) {
-        return indent + "budget \"" + b.name() + "\" {\n" + indent + "  kind = \""
-                + b.kind().name().toLowerCase(Locale.ROOT)
-                + "\"\n" + indent + "  whole = " + b.whole() + "\n"
-                + (b.kind() == Kind.RATE ? indent + "  burst = " + b.burst() + "\n" : "") + indent + "  floor = "
-                + b.floor() + "\n" + indent + "  lease = " + ms(b.leaseMs()) + "\n" + indent
-                + "  at = \"" + at + "\"\n" + indent + "}\n";
+    static String budgetBlock(Terms.Budget budget, String model, String indent) {
+        return indent + "budget \"" + budget.name() + "\" {\n" + indent + "  kind = \""
+                + budget.kind().name().toLowerCase(Locale.ROOT)
+                + "\"\n" + indent + "  whole = " + budget.whole() + "\n"
+                + (budget.kind() == Kind.RATE ? indent + "  burst = " + budget.burst() + "\n" : "") + indent
+                + "  floor = "
+                + budget.floor() + "\n" + indent + "  lease = " + duration(budget.leaseMs()) + "\n" + indent
+                + "  at = \"" + model + "\"\n" + indent + "}\n";
     }
 
-    private static String ms(double ms) {
+    private static String duration(double ms) {
         return String.format(Locale.ROOT, "\"%.3fms\"", ms);
     }
 
-    private static String names(Set<Integer> slots) {
+    private static String slotList(Set<Integer> slots) {
         StringBuilder out = new StringBuilder("[");
         for (int slot : new TreeSet<>(slots)) {
             out.append(out.length() > 1 ? ", " : "")
@@ -307,47 +328,50 @@
         return out.append(']').toString();
     }
 
-    private static String fault(Fault fault) {
-        if (fault instanceof Fault.Kill f) {
-            return "    kill = " + names(f.slots()) + "\n";
-        } else if (fault instanceof Fault.Freeze f) {
-            return "    freeze = " + names(f.slots()) + "\n";
-        } else if (fault instanceof Fault.Thaw f) {
-            return "    thaw = " + names(f.slots()) + "\n";
-        } else if (fault instanceof Fault.Term f) {
-            return "    term = " + names(f.slots()) + "\n";
-        } else if (fault instanceof Fault.Quiesce f) {
-            return "    " + (f.on() ? "quiesce" : "resume") + " = " + names(f.slots()) + "\n";
-        } else if (fault instanceof Fault.Start f) {
-            return "    start = " + names(f.slots()) + "\n"
-                    + (f.name().isEmpty() ? "" : "    as = \"" + f.name() + "\"\n") + "    clock = " + ms(f.clockMs())
-                    + "\n    format = " + f.format() + "\n";
-        } else if (fault instanceof Fault.Cut f) {
-            return "    " + (f.mended() ? "mend" : "cut") + " {\n      from = " + names(f.from()) + "\n      to = "
-                    + names(f.to()) + "\n    }\n";
-        } else if (fault instanceof Fault.Split f) {
+    private static String faultText(Fault fault) {
+        if (fault instanceof Fault.Kill kill) {
+            return "    kill = " + slotList(kill.slots()) + "\n";
+        } else if (fault instanceof Fault.Freeze freeze) {
+            return "    freeze = " + slotList(freeze.slots()) + "\n";
+        } else if (fault instanceof Fault.Thaw thaw) {
+            return "    thaw = " + slotList(thaw.slots()) + "\n";
+        } else if (fault instanceof Fault.Term term) {
+            return "    term = " + slotList(term.slots()) + "\n";
+        } else if (fault instanceof Fault.Quiesce quiesce) {
+            return "    " + (quiesce.on() ? "quiesce" : "resume") + " = " + slotList(quiesce.slots()) + "\n";
+        } else if (fault instanceof Fault.Start start) {
+            return "    start = " + slotList(start.slots()) + "\n"
+                    + (start.name().isEmpty() ? "" : "    as = \"" + start.name() + "\"\n") + "    clock = "
+                    + duration(start.clockMs())
+                    + "\n    format = " + start.format() + "\n";
+        } else if (fault instanceof Fault.Cut cut) {
+            return "    " + (cut.mended() ? "mend" : "cut") + " {\n      from = " + slotList(cut.from())
+                    + "\n      to = " + slotList(cut.to()) + "\n    }\n";
+        } else if (fault instanceof Fault.Split split) {
             StringBuilder groups = new StringBuilder();
-            for (Set<Integer> group : f.groups()) {
+            for (Set<Integer> group : split.groups()) {
                 groups.append(groups.isEmpty() ? "" : ", ")
                         .append('"')
-                        .append(names(group).replaceAll("[\\[\\]\",]", ""))
+                        .append(slotList(group).replaceAll("[\\[\\]\",]", ""))
                         .append('"');
             }
             return "    split {\n      groups = [" + groups + "]\n    }\n";
-        } else if (fault instanceof Fault.Weather f) {
-            return "    weather {\n      from = " + names(f.from()) + "\n      to = " + names(f.to()) + "\n"
+        } else if (fault instanceof Fault.Weather noise) {
+            return "    weather {\n      from = " + slotList(noise.from()) + "\n      to = " + slotList(noise.to())
+                    + "\n"
                     + String.format(
                             Locale.ROOT,
                             "      loss = %.4f%n      delay = \"%.3fms\"%n      twice = %.4f%n"
                                     + "      garbage = %.4f%n    }%n",
-                            f.noise().loss(),
-                            f.noise().delayMs(),
-                            f.noise().twice(),
-                            f.noise().garbage());
-        } else if (fault instanceof Fault.Whole f) {
-            return "    of = \"" + f.budget() + "\"\n    whole = " + f.whole() + "\n";
-        } else if (fault instanceof Fault.Starve f) {
-            return "    starve {\n      who = " + names(f.slots()) + "\n      share = " + f.share() + "\n    }\n";
+                            noise.noise().loss(),
+                            noise.noise().delayMs(),
+                            noise.noise().twice(),
+                            noise.noise().garbage());
+        } else if (fault instanceof Fault.Whole capacityChange) {
+            return "    of = \"" + capacityChange.budget() + "\"\n    whole = " + capacityChange.whole() + "\n";
+        } else if (fault instanceof Fault.Starve starvation) {
+            return "    starve {\n      who = " + slotList(starvation.slots()) + "\n      share = " + starvation.share()
+                    + "\n    }\n";
         }
         return "    heal = true\n";
     }
--- a/lab/src/main/java/barleyspur/lab/fleet/Shrinker.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/Shrinker.java
@@ -10,30 +10,30 @@
     private Shrinker() {}
 
     /** What a schedule breaks when it is played in virtual time. */
-    static List<String> broken(FaultSchedule schedule) {
-        MembershipMonitor watch = new MembershipMonitor(false);
-        new VirtualFleet(schedule, watch, schedule.slotCount() <= FleetRunCommand.MOST_ENCODED).play();
-        return watch.broken();
+    static List<String> violations(FaultSchedule schedule) {
+        MembershipMonitor monitor = new MembershipMonitor(false);
+        new VirtualFleet(schedule, monitor, schedule.slotCount() <= FleetRunCommand.MAX_ENCODED_SLOTS).run();
+        return monitor.violations();
     }
 
     /** The same of a random schedule that its seed tells. */
     static List<String> broken(int doormans, int faults, long seed) {
-        return broken(FaultSchedule.random(doormans, faults, 500, 30_000, seed));
+        return violations(FaultSchedule.random(doormans, faults, 500, 30_000, seed));
     }
 
     static FaultSchedule shrink(FaultSchedule schedule) {
-        return shrink(schedule, s -> !broken(s).isEmpty());
+        return shrink(schedule, candidate -> !violations(candidate).isEmpty());
     }
 
-    /** @param breaks whether a schedule still breaks a promise */
-    static FaultSchedule shrink(FaultSchedule schedule, Predicate<FaultSchedule> breaks) {
+    /** @param violates whether a schedule still breaks a promise */
+    static FaultSchedule shrink(FaultSchedule schedule, Predicate<FaultSchedule> violates) {
         List<FaultSchedule.Step> steps = new ArrayList<>(schedule.steps());
-        for (int size = Math.max(1, steps.size() / 2); size >= 1; size /= 2) {
-            for (int from = 0; from + size <= steps.size(); ) {
-                List<FaultSchedule.Step> fewer = new ArrayList<>(steps);
-                fewer.subList(from, from + size).clear();
-                if (breaks.test(schedule.with(fewer))) {
-                    steps = fewer;
+        for (int chunkSize = Math.max(1, steps.size() / 2); chunkSize >= 1; chunkSize /= 2) {
+            for (int from = 0; from + chunkSize <= steps.size(); ) {
+                List<FaultSchedule.Step> candidate = new ArrayList<>(steps);
+                candidate.subList(from, from + chunkSize).clear();
+                if (violates.test(schedule.with(candidate))) {
+                    steps = candidate;
                 } else {
                     from++;
                 }
