--- a/lab/src/main/java/barleyspur/lab/fleet/VirtualFleet.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/VirtualFleet.java
@@ -25,17 +25,17 @@
 /** Plays a schedule in virtual time: the membership that serves, without sockets, threads or a clock. */
 final class VirtualFleet {
 
-    private static final double LEAST_LATENCY_MS = 0.1;
-    private static final double MORE_LATENCY_MS = 0.6;
-    private static final double STARVED_CYCLE_MS = 100;
-    private static final int SOCKET_BUFFER = 2_000;
-    private static final double WALL_MS = 1.8e12;
-    private static final double FAREWELL_MS = 300;
+    private static final double MIN_LATENCY_MS = 0.1;
+    private static final double LATENCY_JITTER_MS = 0.6;
+    private static final double STALL_CYCLE_MS = 100;
+    private static final int MAX_UNREAD_DATAGRAMS = 2_000;
+    private static final double INITIAL_WALL_CLOCK_MS = 1.8e12;
+    private static final double LEAVE_DURATION_MS = 300;
     /** Events at one moment beyond which somebody is caught in a circle. */
-    private static final int MOST_AT_ONCE = 100_000;
+    private static final int MAX_EVENTS_AT_ONE_TIME = 100_000;
 
-    private static final double START_STORM_MS = 100;
-    private static final double SETTLE_LOOK_MS = 50;
+    private static final double START_SPREAD_MS = 100;
+    private static final double SETTLE_CHECK_INTERVAL_MS = 50;
 
     /** A process. */
     final class SimulatedProcess {
@@ -47,402 +47,412 @@
         final ArrayDeque<Datagram> unread = new ArrayDeque<>();
         boolean frozen;
         boolean stalled;
-        boolean gone;
+        boolean terminated;
         boolean leaving;
-        double tickAtMs = Double.POSITIVE_INFINITY;
-        double endsMs = Double.POSITIVE_INFINITY;
+        double nextTickMs = Double.POSITIVE_INFINITY;
+        double exitMs = Double.POSITIVE_INFINITY;
         long sentBytes;
-        long sent;
+        long sentDatagrams;
 
-        SimulatedProcess(int number, int slot, String name, double clockMs, int format) {
+        SimulatedProcess(int number, int slot, String name, double clockOffsetMs, int format) {
             this.number = number;
             this.slot = slot;
             this.name = name;
             this.startedMs = nowMs;
             List<String> seeds = new ArrayList<>();
-            for (int s : schedule.seedSlots()) {
-                if (s != slot) {
-                    seeds.add(address(s));
+            for (int seedSlot : schedule.seedSlots()) {
+                if (seedSlot != slot) {
+                    seeds.add(addressOf(seedSlot));
                 }
             }
             membership = new Membership(
                     name,
-                    (long) (WALL_MS + nowMs + clockMs),
-                    new About(address(slot), "z" + slot % 3, "serving", "v", 1, format, null),
+                    (long) (INITIAL_WALL_CLOCK_MS + nowMs + clockOffsetMs),
+                    new About(addressOf(slot), "z" + slot % 3, "serving", "v", 1, format, null),
                     new Times(schedule.protocolPeriodMs(), 600_000),
                     seeds,
                     random.nextLong(),
-                    this::carryOut);
+                    this::execute);
         }
 
-        private void carryOut(Action action) {
-            if (action instanceof Action.Send s) {
-                send(this, s);
-            } else if (action instanceof Action.Tell t) {
-                tell(this, t.change());
+        private void execute(Action action) {
+            if (action instanceof Action.Send sendAction) {
+                send(this, sendAction);
+            } else if (action instanceof Action.Tell changeAction) {
+                reportChange(this, changeAction.change());
             }
         }
 
-        boolean runs() {
-            return !gone && !frozen && !stalled;
+        boolean isRunning() {
+            return !terminated && !frozen && !stalled;
         }
     }
 
-    private record ScheduledEvent(double atMs, long order, Runnable what) {}
+    private record ScheduledEvent(double timeMs, long sequence, Runnable action) {}
 
     private final FaultSchedule schedule;
     private final SplittableRandom random;
-    private final MembershipMonitor watch;
-    private final LinkFaults links;
-    private final boolean encodes;
+    private final MembershipMonitor monitor;
+    private final LinkFaults linkFaults;
+    private final boolean encodeDatagrams;
     private final Codec codec =
             new Codec("lab", "a key that no fleet should have in use".getBytes(StandardCharsets.UTF_8));
     private final PriorityQueue<ScheduledEvent> events = new PriorityQueue<>(
-            (a, b) -> a.atMs != b.atMs ? Double.compare(a.atMs, b.atMs) : Long.compare(a.order, b.order));
-    private final SimulatedProcess[] running;
-    private final List<SimulatedProcess> processes = new ArrayList<>();
-    private long order;
-    private int atOnce;
+            (a, b) -> a.timeMs != b.timeMs ? Double.compare(a.timeMs, b.timeMs) : Long.compare(a.sequence, b.sequence));
+    private final SimulatedProcess[] processBySlot;
+    private final List<SimulatedProcess> allProcesses = new ArrayList<>();
+    private long nextSequence;
+    private int eventsAtThisTime;
     double nowMs;
     /** Changes the membership's datagrams on their way out, for wrong versions and liars; else null. */
-    private UnaryOperator<Datagram> tampering;
+    private UnaryOperator<Datagram> datagramTamperer;
 
     private int tamperedSlot = -1;
-    private Consumer<SimulatedProcess> onStart = p -> {};
+    private Consumer<SimulatedProcess> startListener = process -> {};
 
-    VirtualFleet(FaultSchedule schedule, MembershipMonitor watch, boolean encodes) {
+    VirtualFleet(FaultSchedule schedule, MembershipMonitor monitor, boolean encodeDatagrams) {
         this.schedule = schedule;
-        this.watch = watch;
-        this.encodes = encodes;
+        this.monitor = monitor;
+        this.encodeDatagrams = encodeDatagrams;
         this.random = new SplittableRandom(schedule.randomSeed());
-        this.links = new LinkFaults(schedule.slotCount(), schedule.randomSeed() + 1);
-        this.running = new SimulatedProcess[schedule.slotCount()];
+        this.linkFaults = new LinkFaults(schedule.slotCount(), schedule.randomSeed() + 1);
+        this.processBySlot = new SimulatedProcess[schedule.slotCount()];
     }
 
-    static String address(int slot) {
+    static String addressOf(int slot) {
         return "127." + (slot >> 16) + "." + (slot >> 8 & 255) + "." + (slot & 255) + ":7301";
     }
 
-    private static int slot(String address) {
+    private static int slotOf(String address) {
         String[] parts = address.substring(0, address.indexOf(':')).split("\\.");
         return Integer.parseInt(parts[1]) << 16 | Integer.parseInt(parts[2]) << 8 | Integer.parseInt(parts[3]);
     }
 
     /** What the process in a slot sends is changed so; a null result is not sent. */
-    void tamper(int slot, UnaryOperator<Datagram> how) {
+    void tamperWithSent(int slot, UnaryOperator<Datagram> tamperer) {
         tamperedSlot = slot;
-        tampering = how;
+        datagramTamperer = tamperer;
     }
 
-    void onStart(Consumer<SimulatedProcess> hook) {
-        onStart = hook;
+    void setStartListener(Consumer<SimulatedProcess> listener) {
+        startListener = listener;
     }
 
-    private void at(double atMs, Runnable what) {
-        events.add(new ScheduledEvent(atMs, order++, what));
+    private void scheduleAt(double timeMs, Runnable action) {
+        events.add(new ScheduledEvent(timeMs, nextSequence++, action));
     }
 
     /** Starts what the schedule starts. */
-    void begin() {
+    void startInitialProcesses() {
         for (int i = 0; i < schedule.initialDoormans(); i++) {
             int slot = i;
-            at(random.nextDouble() * START_STORM_MS, () -> start(slot, "", 0, 2));
+            scheduleAt(random.nextDouble() * START_SPREAD_MS, () -> startProcess(slot, "", 0, 2));
         }
-        playTo(START_STORM_MS);
+        runUntil(START_SPREAD_MS);
     }
 
     /** Plays until then. */
-    void playTo(double untilMs) {
-        while (!events.isEmpty() && events.peek().atMs <= untilMs) {
-            ScheduledEvent e = events.poll();
-            atOnce = e.atMs > nowMs ? 0 : atOnce + 1;
-            nowMs = Math.max(nowMs, e.atMs);
-            if (atOnce > MOST_AT_ONCE) {
+    void runUntil(double untilMs) {
+        while (!events.isEmpty() && events.peek().timeMs <= untilMs) {
+            ScheduledEvent event = events.poll();
+            eventsAtThisTime = event.timeMs > nowMs ? 0 : eventsAtThisTime + 1;
+            nowMs = Math.max(nowMs, event.timeMs);
+            if (eventsAtThisTime > MAX_EVENTS_AT_ONE_TIME) {
                 throw new AssertionError("a doorman asks to be woken at " + nowMs + " ms again and again");
             }
-            e.what.run();
+            event.action.run();
         }
         nowMs = Math.max(nowMs, untilMs);
     }
 
     /** Plays the whole schedule; the times in ms that it took to settle where it says so, and at the end. */
-    List<Double> play() {
-        List<Double> times = new ArrayList<>();
-        begin();
+    List<Double> run() {
+        List<Double> settleTimesMs = new ArrayList<>();
+        startInitialProcesses();
         for (FaultSchedule.Step step : schedule.steps()) {
             if (step.awaitSettled()) {
-                times.add(settle());
+                settleTimesMs.add(runUntilSettled());
             }
-            playTo(nowMs + step.delayMs());
+            runUntil(nowMs + step.delayMs());
             apply(step.fault());
         }
-        times.add(settle());
-        return times;
+        settleTimesMs.add(runUntilSettled());
+        return settleTimesMs;
     }
 
     /** Plays until every component has settled on itself, and gives the time that took, or infinity. */
-    private double settle() {
-        double from = nowMs;
-        for (String why = settled(); why != null; why = settled()) {
-            if (nowMs >= from + schedule.settleTimeoutMs()) {
-                watch.broken("settles: " + why + " " + Math.round(nowMs - from) + " ms after the last step");
+    private double runUntilSettled() {
+        double fromMs = nowMs;
+        for (String reason = unsettledReason(); reason != null; reason = unsettledReason()) {
+            if (nowMs >= fromMs + schedule.settleTimeoutMs()) {
+                monitor.addViolation(
+                        "settles: " + reason + " " + Math.round(nowMs - fromMs) + " ms after the last step");
                 return Double.POSITIVE_INFINITY;
             }
-            playTo(nowMs + SETTLE_LOOK_MS);
+            runUntil(nowMs + SETTLE_CHECK_INTERVAL_MS);
         }
-        return nowMs - from;
+        return nowMs - fromMs;
     }
 
-    private void start(int slot, String name, double clockMs, int format) {
-        if (running[slot] != null) {
+    private void startProcess(int slot, String name, double clockOffsetMs, int format) {
+        if (processBySlot[slot] != null) {
             return;
         }
-        SimulatedProcess p =
-                new SimulatedProcess(processes.size(), slot, name.isEmpty() ? "d" + (slot + 1) : name, clockMs, format);
-        processes.add(p);
-        running[slot] = p;
-        onStart.accept(p);
-        p.membership.start(nowMs);
-        tick(p);
+        SimulatedProcess process = new SimulatedProcess(
+                allProcesses.size(), slot, name.isEmpty() ? "d" + (slot + 1) : name, clockOffsetMs, format);
+        allProcesses.add(process);
+        processBySlot[slot] = process;
+        startListener.accept(process);
+        process.membership.start(nowMs);
+        tick(process);
     }
 
-    private void tick(SimulatedProcess p) {
-        p.tickAtMs = Double.POSITIVE_INFINITY;
-        if (!p.runs()) {
+    private void tick(SimulatedProcess process) {
+        process.nextTickMs = Double.POSITIVE_INFINITY;
+        if (!process.isRunning()) {
             return;
         }
-        if (nowMs >= p.endsMs) {
-            gone(p);
+        if (nowMs >= process.exitMs) {
+            terminate(process);
             return;
         }
-        p.membership.tick(nowMs);
-        arm(p);
+        process.membership.tick(nowMs);
+        scheduleTick(process);
     }
 
-    private void arm(SimulatedProcess p) {
-        double due = Math.max(nowMs, Math.min(p.membership.dueMs(), p.endsMs));
-        if (due < p.tickAtMs) {
-            p.tickAtMs = due;
-            at(due, () -> {
-                if (p.tickAtMs == due) {
-                    tick(p);
+    private void scheduleTick(SimulatedProcess process) {
+        double dueMs = Math.max(nowMs, Math.min(process.membership.dueMs(), process.exitMs));
+        if (dueMs < process.nextTickMs) {
+            process.nextTickMs = dueMs;
+            scheduleAt(dueMs, () -> {
+                if (process.nextTickMs == dueMs) {
+                    tick(process);
                 }
             });
         }
     }
 
-    private void gone(SimulatedProcess p) {
-        p.gone = true;
-        if (running[p.slot] == p) {
-            running[p.slot] = null;
+    private void terminate(SimulatedProcess process) {
+        process.terminated = true;
+        if (processBySlot[process.slot] == process) {
+            processBySlot[process.slot] = null;
         }
     }
 
-    private void send(SimulatedProcess from, Action.Send send) {
-        Datagram d = send.datagram();
+    private void send(SimulatedProcess from, Action.Send action) {
+        Datagram datagram = action.datagram();
         if (from.slot == tamperedSlot) {
-            d = tampering.apply(d);
-            if (d == null) {
+            datagram = datagramTamperer.apply(datagram);
+            if (datagram == null) {
                 return;
             }
         }
-        int to = slot(send.address());
-        byte[] bytes = encodes ? codec.encode(d) : null;
-        from.sent++;
-        from.sentBytes += encodes ? bytes.length : Sizes.of(d);
-        if (to >= running.length) {
+        int to = slotOf(action.address());
+        byte[] bytes = encodeDatagrams ? codec.encode(datagram) : null;
+        from.sentDatagrams++;
+        from.sentBytes += encodeDatagrams ? bytes.length : Sizes.of(datagram);
+        if (to >= processBySlot.length) {
             return;
         }
-        for (double delay : links.deliveryDelaysMs(from.slot, to)) {
-            Datagram arrives = d;
-            if (encodes) {
+        for (double delayMs : linkFaults.deliveryDelaysMs(from.slot, to)) {
+            Datagram delivered = datagram;
+            if (encodeDatagrams) {
                 try {
-                    arrives = codec.decode(links.maybeCorrupt(from.slot, to, bytes));
+                    delivered = codec.decode(linkFaults.maybeCorrupt(from.slot, to, bytes));
                 } catch (Codec.Refused e) {
                     continue;
                 }
             }
-            Datagram whole = arrives;
-            at(nowMs + LEAST_LATENCY_MS + random.nextDouble() * MORE_LATENCY_MS + delay, () -> arrive(to, whole));
+            Datagram finalDatagram = delivered;
+            scheduleAt(
+                    nowMs + MIN_LATENCY_MS + random.nextDouble() * LATENCY_JITTER_MS + delayMs,
+                    () -> deliver(to, finalDatagram));
         }
     }
 
-    private void arrive(int slot, Datagram d) {
-        SimulatedProcess p = running[slot];
-        if (p == null) {
+    private void deliver(int slot, Datagram datagram) {
+        SimulatedProcess process = processBySlot[slot];
+        if (process == null) {
             return;
         }
-        if (!p.runs()) {
-            if (p.unread.size() < SOCKET_BUFFER) {
-                p.unread.add(d);
+        if (!process.isRunning()) {
+            if (process.unread.size() < MAX_UNREAD_DATAGRAMS) {
+                process.unread.add(datagram);
             }
             return;
         }
-        p.membership.receive(nowMs, d);
-        arm(p);
+        process.membership.receive(nowMs, datagram);
+        scheduleTick(process);
     }
 
-    private void tell(SimulatedProcess p, Change change) {
-        Saying s = change instanceof Change.OfMember c ? c.member() : null;
-        String why = change instanceof Change.OfMember c ? c.why().name() : "";
-        watch.told(new MembershipMonitor.ReportedChange(
+    private void reportChange(SimulatedProcess process, Change change) {
+        Saying record = change instanceof Change.OfMember memberChange ? memberChange.member() : null;
+        String reason = change instanceof Change.OfMember memberChange
+                ? memberChange.why().name()
+                : "";
+        monitor.onChange(new MembershipMonitor.ReportedChange(
                 nowMs,
-                p.number,
-                p.slot,
+                process.number,
+                process.slot,
                 change.getClass().getSimpleName(),
                 change.version(),
-                s == null ? null : s.name(),
-                s == null ? 0 : s.life(),
-                s == null ? 0 : s.nonce(),
-                s == null ? 0 : s.incarnation(),
-                s == null ? "" : s.standing().name(),
-                why));
+                record == null ? null : record.name(),
+                record == null ? 0 : record.life(),
+                record == null ? 0 : record.nonce(),
+                record == null ? 0 : record.incarnation(),
+                record == null ? "" : record.standing().name(),
+                reason));
     }
 
-    private void wake(SimulatedProcess p) {
-        if (!p.runs()) {
+    private void resume(SimulatedProcess process) {
+        if (!process.isRunning()) {
             return;
         }
-        while (!p.unread.isEmpty()) {
-            p.membership.receive(nowMs, p.unread.poll());
+        while (!process.unread.isEmpty()) {
+            process.membership.receive(nowMs, process.unread.poll());
         }
-        arm(p);
+        scheduleTick(process);
     }
 
     void apply(Fault fault) {
-        if (fault instanceof Fault.Kill f) {
-            each(f.slots(), this::gone);
-        } else if (fault instanceof Fault.Freeze f) {
-            each(f.slots(), p -> p.frozen = true);
-        } else if (fault instanceof Fault.Thaw f) {
-            each(f.slots(), p -> {
-                if (p.frozen) {
-                    p.frozen = false;
-                    p.tickAtMs = Double.POSITIVE_INFINITY;
-                    wake(p);
+        if (fault instanceof Fault.Kill kill) {
+            forEachProcess(kill.slots(), this::terminate);
+        } else if (fault instanceof Fault.Freeze freeze) {
+            forEachProcess(freeze.slots(), process -> process.frozen = true);
+        } else if (fault instanceof Fault.Thaw thaw) {
+            forEachProcess(thaw.slots(), process -> {
+                if (process.frozen) {
+                    process.frozen = false;
+                    process.nextTickMs = Double.POSITIVE_INFINITY;
+                    resume(process);
                 }
             });
-        } else if (fault instanceof Fault.Term f) {
-            each(f.slots(), p -> {
-                if (p.runs() && !p.leaving) {
-                    p.leaving = true;
-                    p.membership.leave(nowMs);
-                    p.endsMs = nowMs + FAREWELL_MS;
-                    arm(p);
+        } else if (fault instanceof Fault.Term term) {
+            forEachProcess(term.slots(), process -> {
+                if (process.isRunning() && !process.leaving) {
+                    process.leaving = true;
+                    process.membership.leave(nowMs);
+                    process.exitMs = nowMs + LEAVE_DURATION_MS;
+                    scheduleTick(process);
                 } else {
-                    gone(p);
+                    terminate(process);
                 }
             });
-        } else if (fault instanceof Fault.Quiesce f) {
-            each(f.slots(), p -> {
-                p.membership.about(nowMs, p.membership.self().about().with(f.on() ? "quiesced" : "serving", null));
-                arm(p);
+        } else if (fault instanceof Fault.Quiesce quiesce) {
+            forEachProcess(quiesce.slots(), process -> {
+                process.membership.about(
+                        nowMs, process.membership.self().about().with(quiesce.on() ? "quiesced" : "serving", null));
+                scheduleTick(process);
             });
-        } else if (fault instanceof Fault.Start f) {
-            f.slots().forEach(slot -> start(slot, f.name(), f.clockMs(), f.format()));
-        } else if (fault instanceof Fault.Starve f) {
-            each(f.slots(), p -> stall(p, f.share()));
+        } else if (fault instanceof Fault.Start start) {
+            start.slots().forEach(slot -> startProcess(slot, start.name(), start.clockMs(), start.format()));
+        } else if (fault instanceof Fault.Starve starvation) {
+            forEachProcess(starvation.slots(), process -> stall(process, starvation.share()));
         } else {
-            links.apply(fault);
+            linkFaults.apply(fault);
         }
     }
 
-    private void each(Set<Integer> slots, Consumer<SimulatedProcess> what) {
+    private void forEachProcess(Set<Integer> slots, Consumer<SimulatedProcess> action) {
         for (int slot : slots) {
-            if (running[slot] != null) {
-                what.accept(running[slot]);
+            if (processBySlot[slot] != null) {
+                action.accept(processBySlot[slot]);
             }
         }
     }
 
-    private void stall(SimulatedProcess p, double share) {
-        if (share >= 1 || p.gone) {
+    private void stall(SimulatedProcess process, double share) {
+        if (share >= 1 || process.terminated) {
             return;
         }
-        p.stalled = true;
-        at(nowMs + STARVED_CYCLE_MS * (1 - share), () -> {
-            p.stalled = false;
-            p.tickAtMs = Double.POSITIVE_INFINITY;
-            wake(p);
-            at(nowMs + STARVED_CYCLE_MS * share, () -> stall(p, share));
+        process.stalled = true;
+        scheduleAt(nowMs + STALL_CYCLE_MS * (1 - share), () -> {
+            process.stalled = false;
+            process.nextTickMs = Double.POSITIVE_INFINITY;
+            resume(process);
+            scheduleAt(nowMs + STALL_CYCLE_MS * share, () -> stall(process, share));
         });
     }
 
     /** Null where every component has settled on itself; else what is still missing. */
-    String settled() {
-        Set<Integer> up = new TreeSet<>();
-        for (SimulatedProcess p : running) {
-            if (p != null && !p.frozen && !p.leaving) {
-                up.add(p.slot);
+    String unsettledReason() {
+        Set<Integer> upSlots = new TreeSet<>();
+        for (SimulatedProcess process : processBySlot) {
+            if (process != null && !process.frozen && !process.leaving) {
+                upSlots.add(process.slot);
             }
         }
-        for (Set<Integer> component : links.components(up)) {
+        for (Set<Integer> component : linkFaults.connectedComponents(upSlots)) {
             TreeMap<String, SimulatedProcess> byName = new TreeMap<>();
             for (int slot : component) {
-                SimulatedProcess p = running[slot];
-                byName.merge(p.name, p, (a, b) -> a.membership.self().compareTo(b.membership.self()) > 0 ? a : b);
+                SimulatedProcess process = processBySlot[slot];
+                byName.merge(
+                        process.name,
+                        process,
+                        (a, b) -> a.membership.self().compareTo(b.membership.self()) > 0 ? a : b);
             }
-            String missing = settled(component, byName);
-            if (missing != null) {
-                return missing;
+            String reason = unsettledReason(component, byName);
+            if (reason != null) {
+                return reason;
             }
         }
         return null;
     }
 
-    private String settled(Set<Integer> component, TreeMap<String, SimulatedProcess> byName) {
+    private String unsettledReason(Set<Integer> component, TreeMap<String, SimulatedProcess> byName) {
         long digest = byName.firstEntry().getValue().membership.digest();
         for (int slot : component) {
-            SimulatedProcess p = running[slot];
-            if (p.membership.inDoubt(nowMs)) {
-                return p.name + " is in doubt";
+            SimulatedProcess process = processBySlot[slot];
+            if (process.membership.inDoubt(nowMs)) {
+                return process.name + " is in doubt";
             }
-            if (byName.get(p.name) != p) {
+            if (byName.get(process.name) != process) {
                 continue;
             }
-            if (p.membership.members() != byName.size() || p.membership.digest() != digest) {
-                return p.name + " sees " + p.membership.members() + " of " + byName.size() + ", digest "
-                        + Long.toHexString(p.membership.digest()) + " against " + Long.toHexString(digest)
-                        + difference(p, byName);
+            if (process.membership.members() != byName.size() || process.membership.digest() != digest) {
+                return process.name + " sees " + process.membership.members() + " of " + byName.size() + ", digest "
+                        + Long.toHexString(process.membership.digest()) + " against " + Long.toHexString(digest)
+                        + describeDifference(process, byName);
             }
             // Not only by the digests' word, where that can be afforded.
-            String different = encodes ? difference(p, byName) : "";
-            if (!different.isEmpty()) {
-                return p.name + " has the same digest" + different;
+            String difference = encodeDatagrams ? describeDifference(process, byName) : "";
+            if (!difference.isEmpty()) {
+                return process.name + " has the same digest" + difference;
             }
         }
         return null;
     }
 
-    private String difference(SimulatedProcess p, TreeMap<String, SimulatedProcess> byName) {
+    private String describeDifference(SimulatedProcess process, TreeMap<String, SimulatedProcess> byName) {
         StringBuilder text = new StringBuilder();
-        for (View.Member m : p.membership.view(nowMs).members()) {
-            SimulatedProcess other = byName.get(m.saying().name());
-            Saying own = other == null ? null : other.membership.self();
-            if (m.listed() != (own != null) || own != null && m.saying().compareTo(own) != 0) {
+        for (View.Member member : process.membership.view(nowMs).members()) {
+            SimulatedProcess other = byName.get(member.saying().name());
+            Saying ownRecord = other == null ? null : other.membership.self();
+            if (member.listed() != (ownRecord != null)
+                    || ownRecord != null && member.saying().compareTo(ownRecord) != 0) {
                 text.append(", ")
-                        .append(m.saying().name())
+                        .append(member.saying().name())
                         .append(' ')
-                        .append(m.listed() ? "" : "out ")
-                        .append(m.saying().standing())
+                        .append(member.listed() ? "" : "out ")
+                        .append(member.saying().standing())
                         .append(' ')
-                        .append(m.saying().incarnation())
+                        .append(member.saying().incarnation())
                         .append(" in truth ")
-                        .append(own == null ? "gone" : String.valueOf(own.incarnation()));
+                        .append(ownRecord == null ? "gone" : String.valueOf(ownRecord.incarnation()));
             }
         }
         return text.length() > 400 ? text.substring(0, 400) : text.toString();
     }
 
-    SimulatedProcess in(int slot) {
-        return running[slot];
+    SimulatedProcess process(int slot) {
+        return processBySlot[slot];
     }
 
-    List<SimulatedProcess> processes() {
-        return processes;
+    List<SimulatedProcess> allProcesses() {
+        return allProcesses;
     }
 
     LinkFaults links() {
-        return links;
+        return linkFaults;
     }
 }
--- a/lab/src/test/java/barleyspur/lab/fleet/BudgetProcessesTest.java
+++ b/lab/src/test/java/barleyspur/lab/fleet/BudgetProcessesTest.java
@@ -28,9 +28,9 @@
 
     private BudgetProcessRun.RunResult play(String file) throws Exception {
         assertTrue(Files.isReadable(JAR), "the doorman's jar is built first: mvn verify");
-        BudgetProcessRun.RunResult result = BudgetProcessRun.play(
+        BudgetProcessRun.RunResult result = BudgetProcessRun.run(
                 ScenarioFile.load(Path.of("..", "examples", "budget", file)), JAR, folder, System.out::println);
-        assertEquals(List.of(), result.broken());
+        assertEquals(List.of(), result.violations());
         return result;
     }
 
@@ -41,13 +41,13 @@
     @Test
     void holdersThatAreLostUseNothingTwice() throws Exception {
         BudgetProcessRun.RunResult result = play("holders.hcl");
-        assertTrue(result.boxes().get("s-0").mostAtOnce() > 0, "the boxes saw nothing at all");
+        assertTrue(result.tallyByBox().get("s-0").mostAtOnce() > 0, "the boxes saw nothing at all");
     }
 
     /** Guards: the divider killed, frozen past its term, cut off with a minority: never two that hand out the same. */
     @Test
     void dividersThatAreLostAreReplacedOneAtATime() throws Exception {
-        assertTrue(play("dividers.hcl").shares().dividers() >= 3);
+        assertTrue(play("dividers.hcl").budgetMonitor().coordinatorCount() >= 3);
     }
 
     /** Guards: halves, thirds of which two meet, a third of datagrams lost or late, one way cut. */
@@ -59,19 +59,19 @@
     /** Guards: in a rolling restart who leaves gives back at once, and what others hold goes on under a new divider. */
     @Test
     void aRollingRestartKeepsTheWholeInUse() throws Exception {
-        assertTrue(play("rolling.hcl").shares().dividers() >= 2);
+        assertTrue(play("rolling.hcl").budgetMonitor().coordinatorCount() >= 2);
     }
 
     /** Guards: a whole that is halved by a reload holds once what was given of more is over, and can be raised again. */
     @Test
     void aWholeThatIsHalvedHolds() throws Exception {
         BudgetProcessRun.RunResult result = play("whole.hcl");
-        double lowered = result.struck().stream()
+        double lowered = result.injectedFaults().stream()
                 .filter(s -> s.fault() instanceof Fault.Whole)
                 .findFirst()
                 .orElseThrow()
-                .atMs();
-        long before = result.shares().all().stream()
+                .timeMs();
+        long before = result.budgetMonitor().allLeases().stream()
                 .filter(t -> t.atMs() < lowered)
                 .mapToLong(BudgetMonitor.Told::amount)
                 .max()
@@ -82,7 +82,7 @@
     /** Guards: one place among 14 is never two, and doesn't stay with one of them for good. */
     @Test
     void onePlaceAmongFourteenChangesHands() throws Exception {
-        Set<Integer> had = play("one.hcl").shares().all().stream()
+        Set<Integer> had = play("one.hcl").budgetMonitor().allLeases().stream()
                 .filter(t -> t.budget().startsWith("calls:") && t.amount() > 0)
                 .map(BudgetMonitor.Told::slot)
                 .collect(Collectors.toSet());
@@ -92,6 +92,6 @@
     /** Guards: what a young box may be sent in all isn't handed out anew when a divider dies. */
     @Test
     void anAmountIsSpentOnce() throws Exception {
-        assertTrue(play("cold.hcl").boxes().get("s-0").arrived() > 0, "the box saw nothing at all");
+        assertTrue(play("cold.hcl").tallyByBox().get("s-0").arrived() > 0, "the box saw nothing at all");
     }
 }
--- a/lab/src/test/java/barleyspur/lab/fleet/BudgetWorldTest.java
+++ b/lab/src/test/java/barleyspur/lab/fleet/BudgetWorldTest.java
@@ -42,7 +42,7 @@
         return new BudgetSimulation(
                 schedule,
                 terms,
-                BudgetCommands.DRIFT,
+                BudgetCommands.MAX_CLOCK_DRIFT,
                 budgets,
                 (budget, slot, now) -> budget.equals("cold")
                         ? now > 12_000 && now < 14_800 ? 20 : 0
@@ -92,7 +92,7 @@
         BudgetModelChecker checker = new BudgetModelChecker(kind, 12);
         assertTrue(checker.isWarm(), "both units are out when the faults begin");
         BudgetModelChecker.ExplorationResult r = checker.explore(2);
-        assertNull(r.broken(), () -> r.counterexample() + ": " + r.broken());
+        assertNull(r.violation(), () -> r.counterexample() + ": " + r.violation());
     }
 
     /** Guards: demand that jumps each second is followed, and in calm all but a little of the whole can be used. */
@@ -221,7 +221,7 @@
         BudgetSimulation world = new BudgetSimulation(
                 new FaultSchedule("quick", 5, 5, List.of(0), 500, List.of(), 0, 5),
                 terms,
-                BudgetCommands.DRIFT,
+                BudgetCommands.MAX_CLOCK_DRIFT,
                 List.of("b"),
                 demand);
         world.startInitialProcesses();
@@ -365,7 +365,7 @@
         BudgetSimulation world = new BudgetSimulation(
                 new FaultSchedule("step", 30, 30, List.of(0), 500, List.of(), 0, 5),
                 terms(30, 3),
-                BudgetCommands.DRIFT,
+                BudgetCommands.MAX_CLOCK_DRIFT,
                 List.of("calls"),
                 (b, slot, now) -> 5);
         Map<Long, Integer> byMs = new TreeMap<>();
--- a/lab/src/test/java/barleyspur/lab/fleet/BudgetWrongVersionsTest.java
+++ b/lab/src/test/java/barleyspur/lab/fleet/BudgetWrongVersionsTest.java
@@ -211,6 +211,6 @@
     /** Called on the classes of a wrong version. */
     static void explore(String kind) {
         BudgetModelChecker.ExplorationResult r = new BudgetModelChecker(Kind.valueOf(kind), 12).explore(2);
-        assertEquals(null, r.broken());
+        assertEquals(null, r.violation());
     }
 }
--- a/lab/src/test/java/barleyspur/lab/fleet/ProcessesTest.java
+++ b/lab/src/test/java/barleyspur/lab/fleet/ProcessesTest.java
@@ -29,15 +29,15 @@
         MembershipMonitor watch = new MembershipMonitor(true);
         try (RealFleet fleet = new RealFleet(
                 ScenarioFile.load(Path.of("..", "examples", "fleet", file)), watch, JAR, folder, System.out::println)) {
-            fleet.play();
+            fleet.run();
         }
-        assertEquals(List.of(), watch.broken());
+        assertEquals(List.of(), watch.violations());
         return watch;
     }
 
     private static List<MembershipMonitor.ReportedChange> verdicts(MembershipMonitor watch) {
-        return watch.all().stream()
-                .filter(t -> t.kind().equals("Lost") && !t.why().equals("STOOD_STILL"))
+        return watch.allChanges().stream()
+                .filter(t -> t.kind().equals("Lost") && !t.reason().equals("STOOD_STILL"))
                 .toList();
     }
 
@@ -75,10 +75,11 @@
     @Test
     void newerLivesReplaceOlderOnes() throws Exception {
         MembershipMonitor watch = play("lives.hcl");
-        assertTrue(watch.all().stream()
-                .anyMatch(t -> t.kind().equals("Lost") && t.standing().equals("LEFT")));
-        Set<String> phases = Set.copyOf(
-                watch.all().stream().map(MembershipMonitor.ReportedChange::kind).toList());
+        assertTrue(watch.allChanges().stream()
+                .anyMatch(t -> t.kind().equals("Lost") && t.state().equals("LEFT")));
+        Set<String> phases = Set.copyOf(watch.allChanges().stream()
+                .map(MembershipMonitor.ReportedChange::kind)
+                .toList());
         assertTrue(phases.contains("Name"), "a second process of a name is noticed: " + phases);
     }
 
@@ -89,7 +90,7 @@
         assertEquals(
                 Set.of("LEFT"),
                 Set.copyOf(verdicts(watch).stream()
-                        .map(MembershipMonitor.ReportedChange::standing)
+                        .map(MembershipMonitor.ReportedChange::state)
                         .toList()));
     }
 
--- a/lab/src/test/java/barleyspur/lab/fleet/VirtualFleetTest.java
+++ b/lab/src/test/java/barleyspur/lab/fleet/VirtualFleetTest.java
@@ -25,7 +25,7 @@
     }
 
     private static List<MembershipMonitor.ReportedChange> verdicts(MembershipMonitor watch) {
-        return watch.all().stream().filter(t -> t.kind().equals("Lost")).toList();
+        return watch.allChanges().stream().filter(t -> t.kind().equals("Lost")).toList();
     }
 
     /** Guards: no random schedule of faults breaks a promise; 10,000 are played by hand, some hundred here. */
@@ -69,33 +69,33 @@
                                 true, 1_000, new Fault.Start(FaultSchedule.slotRange(100, 1_000), "", 0, 2)))),
                 watch,
                 false);
-        fleet.play();
-        assertEquals(List.of(), watch.broken());
-        assertEquals(1_000, fleet.in(500).membership.members());
+        fleet.run();
+        assertEquals(List.of(), watch.violations());
+        assertEquals(1_000, fleet.process(500).membership.members());
     }
 
     /** A member that says of everybody else, all the time, that they are dead, or tells news of foreign incarnations. */
     private static MembershipMonitor withLiar(Standing standing, long ahead) {
         MembershipMonitor watch = new MembershipMonitor(true);
         VirtualFleet fleet = new VirtualFleet(quiet(14, 14, List.of()), watch, true);
-        fleet.begin();
-        fleet.playTo(5_000);
-        assertNull(fleet.settled());
+        fleet.startInitialProcesses();
+        fleet.runUntil(5_000);
+        assertNull(fleet.unsettledReason());
         int before = verdicts(watch).size();
-        fleet.tamper(0, d -> {
+        fleet.tamperWithSent(0, d -> {
             List<Saying> lies = new ArrayList<>();
             for (int slot = 1; slot < 7; slot++) {
-                Saying s = fleet.in(slot).membership.self();
+                Saying s = fleet.process(slot).membership.self();
                 lies.add(new Saying(s.name(), s.life(), s.nonce(), s.incarnation() + ahead, standing, "d1", s.about()));
             }
             return new Datagram(d.sender(), d.digest(), d.message(), lies);
         });
-        fleet.playTo(65_000);
+        fleet.runUntil(65_000);
         assertEquals(before, verdicts(watch).size(), "verdicts");
-        fleet.tamper(-1, null);
-        fleet.playTo(75_000);
-        assertNull(fleet.settled());
-        assertEquals(List.of(), watch.broken());
+        fleet.tamperWithSent(-1, null);
+        fleet.runUntil(75_000);
+        assertNull(fleet.unsettledReason());
+        assertEquals(List.of(), watch.violations());
         return watch;
     }
 
@@ -118,13 +118,13 @@
     void leavingIsSeenAsSuch() {
         MembershipMonitor watch = new MembershipMonitor(true);
         VirtualFleet fleet = new VirtualFleet(quiet(14, 14, List.of()), watch, true);
-        fleet.begin();
-        fleet.playTo(5_000);
+        fleet.startInitialProcesses();
+        fleet.runUntil(5_000);
         fleet.apply(new Fault.Term(Set.of(4)));
-        fleet.playTo(5_500);
+        fleet.runUntil(5_500);
         assertEquals(13, verdicts(watch).size());
         assertTrue(verdicts(watch).stream()
-                .allMatch(t -> t.standing().equals("LEFT") && t.member().equals("d5")));
+                .allMatch(t -> t.state().equals("LEFT") && t.member().equals("d5")));
     }
 
     /**
@@ -135,19 +135,19 @@
     void ofTwoWithOneNameTheNewerHoldsIt() {
         MembershipMonitor watch = new MembershipMonitor(true);
         VirtualFleet fleet = new VirtualFleet(quiet(6, 5, List.of()), watch, true);
-        fleet.begin();
-        fleet.playTo(5_000);
+        fleet.startInitialProcesses();
+        fleet.runUntil(5_000);
         fleet.apply(new Fault.Start(Set.of(5), "d2", 0, 2));
-        fleet.playTo(10_000);
-        assertNull(fleet.settled());
-        assertTrue(fleet.in(1).membership.view(fleet.nowMs).nameGivenUp());
-        long changes = watch.all().size();
-        fleet.playTo(60_000);
-        assertEquals(changes, watch.all().size(), "neither flaps the other");
+        fleet.runUntil(10_000);
+        assertNull(fleet.unsettledReason());
+        assertTrue(fleet.process(1).membership.view(fleet.nowMs).nameGivenUp());
+        long changes = watch.allChanges().size();
+        fleet.runUntil(60_000);
+        assertEquals(changes, watch.allChanges().size(), "neither flaps the other");
         fleet.apply(new Fault.Kill(Set.of(5)));
-        fleet.playTo(90_000);
-        assertNull(fleet.settled());
-        assertTrue(!fleet.in(1).membership.view(fleet.nowMs).nameGivenUp());
+        fleet.runUntil(90_000);
+        assertNull(fleet.unsettledReason());
+        assertTrue(!fleet.process(1).membership.view(fleet.nowMs).nameGivenUp());
     }
 
     /** Guards: a process that stood still knows that its view is in doubt before anything else is done with it. */
@@ -155,16 +155,16 @@
     void afterAStandstillTheViewIsInDoubt() {
         MembershipMonitor watch = new MembershipMonitor(true);
         VirtualFleet fleet = new VirtualFleet(quiet(5, 5, List.of()), watch, true);
-        fleet.begin();
-        fleet.playTo(5_000);
+        fleet.startInitialProcesses();
+        fleet.runUntil(5_000);
         fleet.apply(new Fault.Freeze(Set.of(2)));
-        fleet.playTo(15_000);
-        assertTrue(fleet.in(2).membership.inDoubt(15_000), "asked before it is told the time");
+        fleet.runUntil(15_000);
+        assertTrue(fleet.process(2).membership.inDoubt(15_000), "asked before it is told the time");
         fleet.apply(new Fault.Thaw(Set.of(2)));
-        fleet.playTo(16_500);
-        assertNull(fleet.settled());
-        List<MembershipMonitor.ReportedChange> own = watch.all().stream()
-                .filter(t -> t.slot() == 2 && t.atMs() >= 15_000)
+        fleet.runUntil(16_500);
+        assertNull(fleet.unsettledReason());
+        List<MembershipMonitor.ReportedChange> own = watch.allChanges().stream()
+                .filter(t -> t.slot() == 2 && t.timeMs() >= 15_000)
                 .toList();
         assertEquals("Doubt", own.get(0).kind());
     }
@@ -174,14 +174,16 @@
     void oneWayCutGivesNobodyUp() {
         MembershipMonitor watch = new MembershipMonitor(true);
         VirtualFleet fleet = new VirtualFleet(quiet(9, 9, List.of()), watch, true);
-        fleet.begin();
-        fleet.playTo(5_000);
+        fleet.startInitialProcesses();
+        fleet.runUntil(5_000);
         fleet.apply(new Fault.Cut(Set.of(2), Set.of(4), false));
-        fleet.playTo(120_000);
+        fleet.runUntil(120_000);
         assertEquals(0, verdicts(watch).size());
         assertEquals(
                 0,
-                watch.all().stream().filter(t -> t.standing().equals("SUSPECT")).count(),
+                watch.allChanges().stream()
+                        .filter(t -> t.state().equals("SUSPECT"))
+                        .count(),
                 "nor suspected");
     }
 
@@ -199,21 +201,21 @@
                                 new FaultSchedule.Step(true, 0, new Fault.Heal()))),
                 new MembershipMonitor(false),
                 true);
-        assertTrue(fleet.play().get(3) < SETTLE_MS);
+        assertTrue(fleet.run().get(3) < SETTLE_MS);
     }
 
     /** Guards: who missed a change while it was cut off for a second has it soon after, though nobody tells it any more. */
     @Test
     void missedNewsAreMadeUpFor() {
         VirtualFleet fleet = new VirtualFleet(quiet(100, 100, List.of()), new MembershipMonitor(false), true);
-        fleet.begin();
-        fleet.playTo(20_000);
+        fleet.startInitialProcesses();
+        fleet.runUntil(20_000);
         fleet.apply(new Fault.Cut(FaultSchedule.slotRange(0, 100), Set.of(4), false));
         fleet.apply(new Fault.Quiesce(Set.of(3), true));
-        fleet.playTo(21_500);
+        fleet.runUntil(21_500);
         fleet.apply(new Fault.Heal());
-        fleet.playTo(26_500);
-        assertNull(fleet.settled());
+        fleet.runUntil(26_500);
+        assertNull(fleet.unsettledReason());
     }
 
     /** Guards: no false verdict in ten minutes of 10% loss, nor beside doormans at a fifth of a core. */
@@ -221,15 +223,15 @@
     void lossAndSlownessGiveNobodyUp() {
         MembershipMonitor watch = new MembershipMonitor(true);
         VirtualFleet fleet = new VirtualFleet(quiet(14, 14, List.of()), watch, true);
-        fleet.begin();
-        fleet.playTo(5_000);
+        fleet.startInitialProcesses();
+        fleet.runUntil(5_000);
         fleet.apply(new Fault.Weather(
                 FaultSchedule.slotRange(0, 14), FaultSchedule.slotRange(0, 14), new Fault.Noise(0.1, 20, 0, 0)));
-        fleet.playTo(605_000);
+        fleet.runUntil(605_000);
         fleet.apply(
                 new Fault.Weather(FaultSchedule.slotRange(0, 14), FaultSchedule.slotRange(0, 14), Fault.Noise.NONE));
         fleet.apply(new Fault.Starve(Set.of(1, 5, 9, 13), 0.2));
-        fleet.playTo(905_000);
+        fleet.runUntil(905_000);
         assertEquals(List.of(), verdicts(watch));
     }
 
@@ -238,13 +240,13 @@
     void quiesceIsSeen() {
         MembershipMonitor watch = new MembershipMonitor(false);
         VirtualFleet fleet = new VirtualFleet(quiet(14, 14, List.of()), watch, true);
-        fleet.begin();
-        fleet.playTo(5_000);
+        fleet.startInitialProcesses();
+        fleet.runUntil(5_000);
         fleet.apply(new Fault.Quiesce(Set.of(3), true));
-        fleet.playTo(6_000);
+        fleet.runUntil(6_000);
         for (int slot = 0; slot < 14; slot++) {
             assertTrue(
-                    fleet.in(slot).membership.view(6_000).members().stream()
+                    fleet.process(slot).membership.view(6_000).members().stream()
                             .anyMatch(m -> m.saying().name().equals("d4")
                                     && m.saying().about().phase().equals("quiesced")),
                     "slot " + slot);
@@ -258,14 +260,15 @@
         for (int i = 0; i < 2; i++) {
             VirtualFleet fleet = new VirtualFleet(
                     quiet(i == 0 ? 14 : 140, i == 0 ? 14 : 140, List.of()), new MembershipMonitor(false), true);
-            fleet.begin();
-            fleet.playTo(20_000);
-            long before = fleet.processes().stream().mapToLong(p -> p.sentBytes).sum();
-            fleet.playTo(40_000);
+            fleet.startInitialProcesses();
+            fleet.runUntil(20_000);
+            long before =
+                    fleet.allProcesses().stream().mapToLong(p -> p.sentBytes).sum();
+            fleet.runUntil(40_000);
             perSecond[i] =
-                    (fleet.processes().stream().mapToLong(p -> p.sentBytes).sum() - before)
+                    (fleet.allProcesses().stream().mapToLong(p -> p.sentBytes).sum() - before)
                             / 20.0
-                            / fleet.processes().size();
+                            / fleet.allProcesses().size();
         }
         assertTrue(perSecond[0] < 2_000 && perSecond[1] < 1.1 * perSecond[0], perSecond[0] + " and " + perSecond[1]);
     }
@@ -276,27 +279,27 @@
         MembershipMonitor watch = new MembershipMonitor(true);
         VirtualFleet fleet = new VirtualFleet(quiet(5, 5, List.of()), watch, true);
         List<Datagram> caught = new ArrayList<>();
-        fleet.tamper(2, d -> {
+        fleet.tamperWithSent(2, d -> {
             if (d.message() instanceof Message.Ping) {
                 caught.add(d);
             }
             return d;
         });
-        fleet.begin();
-        fleet.playTo(5_000);
+        fleet.startInitialProcesses();
+        fleet.runUntil(5_000);
         fleet.apply(new Fault.Kill(Set.of(2)));
-        fleet.playTo(5_200);
+        fleet.runUntil(5_200);
         fleet.apply(new Fault.Start(Set.of(2), "", -3_600_000, 2));
-        fleet.playTo(12_000);
-        assertNull(fleet.settled());
-        int before = watch.all().size();
+        fleet.runUntil(12_000);
+        assertNull(fleet.unsettledReason());
+        int before = watch.allChanges().size();
         for (Datagram d : caught) {
             for (int slot = 0; slot < 5; slot++) {
-                fleet.in(slot).membership.receive(fleet.nowMs, d);
+                fleet.process(slot).membership.receive(fleet.nowMs, d);
             }
         }
-        fleet.playTo(20_000);
-        assertNull(fleet.settled());
-        assertEquals(before, watch.all().size());
+        fleet.runUntil(20_000);
+        assertNull(fleet.unsettledReason());
+        assertEquals(before, watch.allChanges().size());
     }
 }
