--- a/lab/src/main/java/barleyspur/lab/fleet/BudgetCommands.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/BudgetCommands.java
@@ -17,15 +17,22 @@
 import org.knowm.xchart.XYChartBuilder;
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
-/** The commands {@code budget run} and {@code budget measure}. */
+/** The commands {@code budget run}, {@code budget measure} and {@code check budget}. */
 public final class BudgetCommands {
 
+    /** Largest deviation of a simulated clock's rate from 1. */
     static final double MAX_CLOCK_DRIFT = 0.01;
+
     private static final double PLOT_INTERVAL_MS = 500;
 
     private BudgetCommands() {}
 
-    /** Plays a scenario with budgets on real processes; whether all promises were kept. */
+    /**
+     * Runs a scenario with budgets on real processes and writes a report.
+     *
+     * @return whether all invariants held
+     * @throws Hcl.Invalid where the scenario can't be used
+     */
     public static boolean runProcesses(Path scenario, Path jar, Path folder) throws Hcl.Invalid, IOException {
         FaultSchedule schedule = loadWithBudgets(scenario);
         System.out.printf("%s: %d doormans, logs below %s%n", schedule.name(), schedule.initialDoormans(), folder);
@@ -35,19 +42,20 @@
             result.tallyByBox()
                     .forEach((uid, tally) -> System.out.printf(
                             Locale.ROOT,
-                            "%-6s %6d arrived, %3d at once at most, %.1f over its " + "rate at most%n",
+                            "%-6s %6d arrived, at most %3d concurrent, at most %.1f " + "over its rate%n",
                             uid,
                             tally.arrived(),
                             tally.mostAtOnce(),
                             tally.mostOverRate()));
             System.out.printf(
                     Locale.ROOT,
-                    "divided anew %.1f s after the last fault; a process began to divide %d times%n",
+                    "capacities leased again %.1f s after the last fault; a process became the coordinator %d times%n",
                     result.reassignedAfterMs() / 1e3,
                     result.budgetMonitor().coordinatorCount());
             System.out.printf(
                     Locale.ROOT,
-                    "a member sent %.0f bytes a second on average, %.0f at most; %d came to the young box%n",
+                    "a member sent %.0f bytes/s on average, at most %.0f; "
+                            + "%d arrived at the box that had just started%n",
                     result.trafficSamples().stream()
                             .mapToDouble(t -> t[1])
                             .average()
@@ -69,7 +77,7 @@
         FaultSchedule schedule = ScenarioFile.load(scenario);
         if (schedule.workload() == null) {
             throw new Hcl.Invalid(
-                    scenario.toString(), 1, "has no block load { ... } and no budgets: fleet run plays it");
+                    scenario.toString(), 1, "has no block load { ... } and no budgets: use the command fleet run");
         }
         return schedule;
     }
@@ -81,7 +89,7 @@
                 .height(400)
                 .title(schedule.name())
                 .xAxisTitle("seconds")
-                .yAxisTitle("part of the whole that is held")
+                .yAxisTitle("leased part of the capacity")
                 .build();
         JSONArray held = new JSONArray();
         for (String budget : new TreeMap<>(schedule.workload().config().budgets()).keySet()) {
@@ -142,8 +150,8 @@
                         + "</title><h1>"
                         + FleetRunReport.escapeHtml(schedule.name()) + "</h1><p>"
                         + (result.violations().isEmpty()
-                                ? "All promises kept."
-                                : "Broken: "
+                                ? "All invariants held."
+                                : "Violations: "
                                         + FleetRunReport.escapeHtml(
                                                 result.violations().toString()))
                         + "</p><img src=held.png>"
@@ -153,7 +161,12 @@
         System.out.println("report: " + folder.resolve("report.html"));
     }
 
-    /** Plays a scenario in virtual time from its seed on; the first seed that breaks a promise is shrunk and written. */
+    /**
+     * Runs a scenario in virtual time with consecutive seeds. The schedule of the first seed that violates an
+     * invariant is shrunk and written to a file.
+     *
+     * @return whether all invariants held
+     */
     public static boolean runSimulations(Path scenario, int seeds, Path folder) throws Hcl.Invalid, IOException {
         FaultSchedule schedule = loadWithBudgets(scenario);
         long startNanos = System.nanoTime();
@@ -172,7 +185,7 @@
                 Path file = folder.resolve("broken-" + seeded.randomSeed() + ".hcl");
                 Files.writeString(file, ScenarioFile.write(shrunk));
                 System.out.printf(
-                        "seed %d; shrunk from %d to %d steps; again: barleyspur-lab budget run %s --virtual%n",
+                        "seed %d; shrunk from %d to %d steps; replay: barleyspur-lab budget run %s --virtual%n",
                         seeded.randomSeed(),
                         seeded.steps().size(),
                         shrunk.steps().size(),
@@ -186,7 +199,7 @@
         }
         System.out.printf(
                 Locale.ROOT,
-                "%s: %d seeds of %d doormans in %.1f s; at the end %.3f of the least held budget could be "
+                "%s: %d seeds of %d doormans in %.1f s; at the end %.3f of the least available budget could be "
                         + "used on average%n",
                 schedule.name(),
                 seeds,
@@ -197,9 +210,10 @@
     }
 
     /**
-     * Explores a small world with each kind of budget, or replays one schedule of it; whether nothing was broken.
+     * Explores a small model with each kind of budget, or replays one schedule of it.
      *
-     * @param replay faults as a counterexample names them, or null
+     * @param replay faults as a counterexample prints them, or null
+     * @return whether no violation was found
      */
     public static boolean checkModel(int steps, int faults, String replay) {
         boolean passed = true;
@@ -207,7 +221,7 @@
             BudgetModelChecker checker = new BudgetModelChecker(kind, steps);
             if (replay != null) {
                 String violation = checker.run(BudgetModelChecker.parse(replay));
-                System.out.printf("%s: %s%n", kind, violation == null ? "not over the whole" : "BROKEN " + violation);
+                System.out.printf("%s: %s%n", kind, violation == null ? "no violation" : "BROKEN " + violation);
                 passed &= violation == null;
                 continue;
             }
@@ -230,7 +244,7 @@
                 result.counterexample().forEach(p -> replayArgument
                         .append(replayArgument.isEmpty() ? "" : " ")
                         .append(p));
-                System.out.println("  again: barleyspur-lab check budget --steps " + steps + " --replay \""
+                System.out.println("  replay: barleyspur-lab check budget --steps " + steps + " --replay \""
                         + replayArgument + "\"");
             }
             passed &= result.violation() == null;
@@ -238,7 +252,7 @@
         return passed;
     }
 
-    /** Prints what is found by size and kind of load, in virtual time. */
+    /** Prints measurements by size of the fleet and kind of load, in virtual time. */
     public static void printMeasurements(List<Integer> sizes) {
         BudgetMeasurement.print(sizes.stream().sorted(Comparator.naturalOrder()).toList());
     }
--- a/lab/src/main/java/barleyspur/lab/fleet/BudgetMeasurement.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/BudgetMeasurement.java
@@ -8,7 +8,10 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** {@code budget measure}: use of the whole, time to divide anew and traffic by size and load, in virtual time. */
+/**
+ * The command {@code budget measure}: used capacity, recovery time after a crash and traffic by size of the fleet and
+ * kind of load, in virtual time.
+ */
 final class BudgetMeasurement {
 
     private static final double LEASE_MS = 4_000;
@@ -32,7 +35,7 @@
         return new BudgetSimulation(schedule, config, BudgetCommands.MAX_CLOCK_DRIFT, List.of("calls:s0"), demand);
     }
 
-    /** What a fixed part for each would let through of what is wanted, as a part of the whole. */
+    /** Returns the part of the capacity that would be used if each doorman had a fixed equal part. */
     private static double fixedPartsUse(int doormans, double[] demandPerS, double capacity) {
         double allowedPerS = 0;
         for (double demand : demandPerS) {
@@ -43,8 +46,8 @@
 
     /** Prints a row for each size. */
     static void print(List<Integer> sizes) {
-        System.out.println(
-                "doormans  load      in use  fixed parts  Jain  words/s a doorman  real ms/virtual s  anew s after kill");
+        System.out.println("doormans  load      in use  fixed parts  Jain  msgs/s per doorman  "
+                + "real ms/virtual s  recovery s after kill");
         for (int doormans : sizes) {
             long capacity = 20L * doormans;
             Map<String, BudgetSimulation.Demand> loads = new TreeMap<>();
@@ -75,7 +78,7 @@
             demandPerS[i] = demand.attemptsPerSecond("calls", i, 0);
             double arrivals = simulation.box("calls:s0").arrivalsBySlot.getOrDefault(i, 0L)
                     - arrivalsBySlotBefore.getOrDefault(i, 0L);
-            // Among those that want the most, which all are to have alike.
+            // Jain's fairness index, over the doormans with the highest demand, which should get equal parts.
             if (name.equals("jumping") || demandPerS[i] > 2) {
                 sum += arrivals;
                 squares += arrivals * arrivals;
@@ -87,7 +90,7 @@
             totalDemandPerS += doormanDemandPerS;
         }
         double usableFraction = Math.min(1, totalDemandPerS / capacity);
-        // Whoever divides, which holds a share as well.
+        // The coordinator, which holds leases as well.
         simulation.apply(new Fault.Kill(Set.of(0)));
         double killedMs = simulation.nowMs;
         double reassignedAfterMs = Double.POSITIVE_INFINITY;
--- a/lab/src/main/java/barleyspur/lab/fleet/BudgetModelChecker.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/BudgetModelChecker.java
@@ -15,36 +15,37 @@
 import net.openhft.hashing.LongHashFunction;
 
 /**
- * Explores the decisions on a small world without leaving anything out: three doormans with clocks that drift apart, one
- * budget of two units, and every way to place a bounded number of faults on a bounded number of steps. Fewer faults come
- * first, so that the first counterexample is a shortest one. In each step the time moves, what was sent in the step before
- * arrives, everybody ticks and takes what it can get.
+ * Bounded model checker of the budget logic. It explores a small model exhaustively: three doormans whose clocks drift
+ * apart, one budget of two units, and every placement of a bounded number of faults on a bounded number of steps.
+ * Schedules with fewer faults are tried first, so that the first counterexample is a shortest one. In each step the
+ * time advances, messages sent in the step before are delivered, and each doorman runs its timers and acquires all
+ * units it can get.
  */
 final class BudgetModelChecker {
 
-    /** What may be done to one doorman in one step. */
+    /** A kind of fault that hits one doorman in one step. */
     enum FaultKind {
-        /** What it sent in the step before is lost. */
+        /** The messages that it sent in the step before are lost. */
         LOSE,
-        /** The same arrives six steps later, after what was sent since. */
+        /** These messages arrive {@value #LATE_STEPS} steps late, after newer ones. */
         LATE,
-        /** The same arrives now, and once more six steps later. */
+        /** These messages arrive in time, and once more {@value #LATE_STEPS} steps later. */
         TWICE,
         /** It is killed, and another process starts at its address. */
         RESTART,
         /** It is killed for good. */
         KILL,
-        /** It stands still for two steps. */
+        /** It is paused for {@value #SHORT_OUTAGE_STEPS} steps. */
         FREEZE,
-        /** It stands still for longer than a lease. */
+        /** It is paused for longer than a lease. */
         FREEZE_LONG,
-        /** Nothing comes to it or from it for longer than a lease. */
+        /** It is isolated from the network for longer than a lease. */
         CUT,
-        /** It goes by itself, and another process starts at its address. */
+        /** It leaves and returns its leases, and another process starts at its address. */
         LEAVE
     }
 
-    /** A fault: in which step, what, and to whom. */
+    /** A fault of a schedule: its step, its kind and the index of the doorman that it hits. */
     record PlacedFault(int step, FaultKind kind, int doorman) {
         @Override
         public String toString() {
@@ -52,7 +53,11 @@
         }
     }
 
-    /** Faults as they are printed. */
+    /**
+     * Parses faults in their printed form, separated by spaces.
+     *
+     * @throws IllegalArgumentException where the text has another form
+     */
     static List<PlacedFault> parse(String text) {
         List<PlacedFault> faults = new ArrayList<>();
         for (String item : text.strip().split(" +")) {
@@ -61,57 +66,66 @@
                 faults.add(new PlacedFault(
                         Integer.parseInt(parts[0]), FaultKind.valueOf(parts[1]), Integer.parseInt(parts[2]) - 1));
             } catch (RuntimeException e) {
-                throw new IllegalArgumentException("--replay is no fault, as 27:RESTART:1: " + item, e);
+                throw new IllegalArgumentException("--replay expects faults of the form 27:RESTART:1, not " + item, e);
             }
         }
         return faults;
     }
 
-    /** What an exploration came to. */
+    /** The result of an exploration; the counterexample and its violation are null where none was found. */
     record ExplorationResult(
             long schedules, long steps, int states, List<PlacedFault> counterexample, String violation) {}
 
     private static final int DOORMANS = 3;
     static final double STEP_MS = 50;
-    private static final double TERM_MS = 600;
+    private static final double LEADER_LEASE_MS = 600;
     private static final double LEASE_MS = 500;
-    private static final double HOLD_MS = 60;
+    private static final double MAX_HOLD_MS = 60;
     private static final int LATE_STEPS = 6;
     private static final int LONG_OUTAGE_STEPS = 14;
     private static final int SHORT_OUTAGE_STEPS = 2;
-    /** Steps before the first fault: all silences and waits are over and the units are held. */
+    /**
+     * Steps before the first fault; after them all abstention and recovery periods are over and all units are leased.
+     */
     private static final int WARM_UP_STEPS = 34;
-    /** An amount lasts so long, and is wanted for less from then on: its first units are spent in the warm-up. */
+    /** Lease of an amount; amounts are used for less than that, from {@link #AMOUNT_FIRST_STEP} on. */
     private static final int AMOUNT_STEPS = 14;
 
+    /** First step in which amounts are used, so that the first units are spent in the warm-up. */
     private static final int AMOUNT_FIRST_STEP = 30;
+
     private static final double[] CLOCK_RATES = {1, 1 + Terms.DRIFT, 1 - Terms.DRIFT};
 
     private final Terms config;
     private final int stepsWithFaults;
 
+    /** Creates a checker of one kind of budget, which places faults on the steps after the warm-up. */
     BudgetModelChecker(Kind kind, int stepsWithFaults) {
         this.stepsWithFaults = stepsWithFaults;
         double leaseMs = kind == Kind.AMOUNT ? AMOUNT_STEPS * STEP_MS : LEASE_MS;
         config = new Terms(
                 BudgetSimulation.voterAddresses(DOORMANS),
                 DOORMANS,
-                TERM_MS,
-                HOLD_MS,
+                LEADER_LEASE_MS,
+                MAX_HOLD_MS,
                 1,
                 Map.of("b", new Terms.Budget("b", kind, 2, DOORMANS, 0, 1, leaseMs)));
     }
 
+    /** A sent message and the step in which it arrives; sender and receiver are indices of doormans. */
     private record InFlightMessage(int deliveryStep, int from, int to, Word message) {}
 
-    /** The world, played from its beginning for each schedule. */
+    /** The state of the model; each schedule is run on a new one. */
     private final class Model {
         private final Budgets[] agents = new Budgets[DOORMANS];
         private final Share[] limiters = new Share[DOORMANS];
         private final long[] nonces = new long[DOORMANS];
         private final int[] frozenUntilStep = new int[DOORMANS];
         private final int[] isolatedUntilStep = new int[DOORMANS];
-        /** Units in use: who took them, when they are given back there, and whether that process lives. */
+        /**
+         * Units in use: index of the doorman, its local time of the acquisition, 1 while the process lives, and the
+         * step.
+         */
         private final List<double[]> unitsInUse = new ArrayList<>();
 
         private List<InFlightMessage> inFlight = new ArrayList<>();
@@ -213,11 +227,11 @@
         }
 
         private void acquireAndRelease(int doorman) {
-            // A share that was forgotten for want of use is a new one.
+            // The agent creates a new limiter where it has dropped one that was not used.
             limiters[doorman] = agents[doorman].share(localTimeMs(doorman), "b");
             unitsInUse.removeIf(unit -> {
                 boolean released =
-                        unit[0] == doorman && unit[2] == 1 && localTimeMs(doorman) - unit[1] >= HOLD_MS * 0.8;
+                        unit[0] == doorman && unit[2] == 1 && localTimeMs(doorman) - unit[1] >= MAX_HOLD_MS * 0.8;
                 if (released) {
                     limiters[doorman].release(unit[1], localTimeMs(doorman));
                 }
@@ -268,13 +282,13 @@
             }
         }
 
-        /** What all might use at this moment, and what is in use by who is no longer there. */
+        /** Checks that what all may acquire or use, terminated processes included, does not exceed the capacity. */
         private void checkCapacity() {
             long usable = spentByTerminated;
             for (int i = 0; i < DOORMANS; i++) {
                 long inUse = 0;
                 for (double[] unit : unitsInUse) {
-                    inUse += unit[0] == i && unit[2] == 1 && (step - unit[3]) * STEP_MS < HOLD_MS ? 1 : 0;
+                    inUse += unit[0] == i && unit[2] == 1 && (step - unit[3]) * STEP_MS < MAX_HOLD_MS ? 1 : 0;
                 }
                 if (limiters[i] != null) {
                     usable += Math.max(
@@ -282,7 +296,7 @@
                 }
             }
             for (double[] unit : unitsInUse) {
-                usable += unit[2] == 0 && (step - unit[3]) * STEP_MS < HOLD_MS ? 1 : 0;
+                usable += unit[2] == 0 && (step - unit[3]) * STEP_MS < MAX_HOLD_MS ? 1 : 0;
             }
             if (usable > config.of("b").whole() && violation == null) {
                 violation = "in step " + step + " " + usable + " of "
@@ -290,7 +304,7 @@
             }
         }
 
-        /** What the world is, relative to its time: equal ones count once. */
+        /** Returns a hash of the state with all times relative to the current step, to detect equal states. */
         long stateHash() {
             StringBuilder text = new StringBuilder();
             for (int i = 0; i < DOORMANS; i++) {
@@ -322,14 +336,16 @@
         }
     }
 
-    /** Plays one schedule; null, or what it breaks. */
+    /** Runs one schedule and returns its violation, or null. */
     String run(List<PlacedFault> faults) {
         Model model = new Model();
         model.runTo(faults, WARM_UP_STEPS + stepsWithFaults);
         return model.violation;
     }
 
-    /** Whether both units are held when the warm-up is over: else nothing would be shown. */
+    /**
+     * Returns whether both units are leased when the warm-up is over; otherwise the exploration would prove nothing.
+     */
     boolean isWarm() {
         Model model = new Model();
         model.runTo(List.of(), WARM_UP_STEPS);
@@ -347,7 +363,7 @@
         return config.of("b").kind();
     }
 
-    /** All ways to place up to so many faults; ends with the first that breaks the promise. */
+    /** Tries all placements of up to {@code maxFaults} faults, and stops at the first violation. */
     ExplorationResult explore(int maxFaults) {
         long[] counts = new long[2];
         Set<Long> states = new HashSet<>();
@@ -367,7 +383,7 @@
             int lastFaultStep = faults.isEmpty() ? 0 : faults.get(faults.size() - 1).step;
             model.runTo(faults, lastFaultStep);
             counts[0]++;
-            // From the same world, with no faults to come, the same follows: it is played once.
+            // With no faults left, equal states have the same future, which is run once.
             if (model.violation == null && states.add(model.stateHash())) {
                 model.runTo(faults, WARM_UP_STEPS + stepsWithFaults);
             }
--- a/lab/src/main/java/barleyspur/lab/fleet/BudgetMonitor.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/BudgetMonitor.java
@@ -10,20 +10,21 @@
 import java.util.TreeMap;
 
 /**
- * Joins what every process told of its shares, on the machine's one monotonic clock, and finds any instant at which all
- * together could use more than the whole. Also what a killed process held counts until it runs out.
+ * Invariant monitor of leased budgets. It merges the leases that all processes log, by the machine's monotonic clock,
+ * and finds any time at which they add up to more than the capacity. A lease of a killed process counts until it
+ * expires.
  */
 final class BudgetMonitor {
 
-    /** A share as a process told it. */
+    /** A lease as a process logged it. Violations print it in this form. */
     record Told(double atMs, int process, int slot, String budget, long amount, double untilMs) {}
 
-    /** Two readings of a clock lie between what is told of a moment and what was meant. */
+    /** A logged time and the time that it stands for come from two readings of the clock. */
     private static final double TOLERANCE_MS = 1;
 
     private final Terms config;
     private final List<Told> leases = new ArrayList<>();
-    /** Wholes that were lowered or raised, with the time from which less has to hold. */
+    /** Changed capacities by budget, each with the time from which it is checked. */
     private final Map<String, TreeMap<Double, Long>> capacityChanges = new HashMap<>();
 
     private int coordinatorChanges;
@@ -32,6 +33,11 @@
         this.config = config;
     }
 
+    /**
+     * Reads an event that a process logged.
+     *
+     * @param startMs the monotonic time to subtract from logged times
+     */
     synchronized void onLogEvent(int process, int slot, String event, Map<String, String> keys, double startMs) {
         double atMs = Double.parseDouble(keys.get("mono")) - startMs;
         if (event.equals("share")) {
@@ -47,16 +53,17 @@
         }
     }
 
-    /** From that time on no more than this is to be held. */
+    /** Sets the capacity of a budget that may not be exceeded from a time on. */
     synchronized void changeCapacity(String budget, double fromMs, long capacity) {
         capacityChanges.computeIfAbsent(budget, k -> new TreeMap<>()).put(fromMs, capacity);
     }
 
-    /** How often a process began to divide. */
+    /** Returns how often a process became the coordinator. */
     int coordinatorCount() {
         return coordinatorChanges;
     }
 
+    /** Returns all logged leases in the order in which they were read. */
     synchronized List<Told> allLeases() {
         return List.copyOf(leases);
     }
@@ -68,7 +75,7 @@
         return entry == null ? budget.whole() : entry.getValue();
     }
 
-    /** Instants over the whole: none, or they are told. */
+    /** Returns descriptions of the times at which a capacity was exceeded, at most 20. */
     synchronized List<String> violations() {
         List<String> violations = new ArrayList<>();
         Map<String, Map<Integer, Told>> leasesByBudget = new HashMap<>();
@@ -89,8 +96,9 @@
     }
 
     /**
-     * How much of the whole was held on average between two times, over the subjects of a budget that anybody was granted
-     * something of in that time or within a lease before: routing may turn to other nodes. NaN where there was none.
+     * Returns the average part of a budget's capacity that was leased between two times, or NaN where no subject
+     * counts. Only subjects of which somebody got a lease in that time, or within one lease before it, count: routing
+     * may turn to other nodes.
      */
     synchronized double leasedFraction(String budget, double fromMs, double toMs) {
         Map<String, Double> leasedBySubject = new HashMap<>();
--- a/lab/src/main/java/barleyspur/lab/fleet/BudgetProcessRun.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/BudgetProcessRun.java
@@ -24,25 +24,32 @@
 import org.json.JSONArray;
 
 /**
- * Plays a schedule with budgets on real processes: real doormans behind relays, stand-in boxes that count what arrives, and
- * clients that ask at a rate whatever becomes of it. Judged by what the processes told of their shares, joined on the
- * machine's clock, and independently by what the boxes counted.
+ * Runs a schedule with budgets on real processes: doormans behind relays, stand-in boxes that count arrivals, and
+ * clients that send at a fixed rate whatever the responses are. The run is checked by the leases that the processes
+ * log, merged by the machine's clock, and independently by what the boxes counted.
  */
 final class BudgetProcessRun {
 
     private static final int PORT = 7001;
     private static final int PARENTS = 2;
-    /** The part of a whole that has to be held for it to count as divided anew, over that time. */
+    /** A budget counts as reassigned when this part of its capacity was leased on average over the window. */
     private static final double MIN_LEASED_FRACTION = 0.9;
 
     private static final double LEASED_WINDOW_MS = 2_000;
     private static final double REASSIGNMENT_TIMEOUT_MS = 40_000;
+    /** Time within which all doormans have reloaded their settings. */
     private static final double RELOAD_MARGIN_MS = 3_000;
+
     private static final AtomicInteger STARTED_RUNS = new AtomicInteger();
-    /** So far from the ends of a young box's time it surely is one. */
+    /** Left out at both ends of the first box's warm-up, as each doorman has another reading of the wall clock. */
     private static final long CLOCK_MARGIN_MS = 200;
 
-    /** What a play came to; {@code young}: what came to the young box while it surely was one. */
+    /**
+     * The result of a run.
+     *
+     * @param arrivalsWhileWarmingUp arrivals at the first box while all doormans agree that it has just started
+     * @param reassignedAfterMs      time after the last fault until the capacities were leased again, or infinity
+     */
     record RunResult(
             MembershipMonitor membershipMonitor,
             BudgetMonitor budgetMonitor,
@@ -58,6 +65,7 @@
 
     private BudgetProcessRun() {}
 
+    /** Runs a schedule that has a workload. */
     static RunResult run(FaultSchedule schedule, Path jar, Path folder, Consumer<String> progress)
             throws IOException, InterruptedException {
         FaultSchedule.Workload workload = schedule.workload();
@@ -88,7 +96,7 @@
         InetSocketAddress channel = new InetSocketAddress(networkPrefix + "100", PORT);
         StandChannel.listen(group, channel, 1);
         List<Double> settleTimesMs;
-        List<String> rows;
+        List<String> clientRows;
         BudgetMonitor budgetMonitor;
         List<String> violations;
         List<RealFleet.InjectedFault> injectedFaults;
@@ -125,19 +133,19 @@
                     workload.requestsPerS(),
                     (slot, now) -> workload.requestsPerSecondAt(slot, schedule.initialDoormans(), now)
                             / workload.requestsPerS());
-            // Doormans read the wall clock at their starts, each a little otherwise.
+            // Each doorman reads the wall clock when it starts, so their readings differ a little.
             tallyByBox.get("s-0").watch(bootMs + CLOCK_MARGIN_MS, bootMs + (long) warmUpMs(workload) - CLOCK_MARGIN_MS);
             settleTimesMs = fleet.run();
             reassignedAfterMs = awaitReassignment(fleet, budgetMonitor, config);
             endMs = fleet.nowMs();
             injectedFaults = fleet.injectedFaults();
             trafficSamples = fleet.trafficSamples();
-            rows = clients.rows();
+            clientRows = clients.rows();
             Map<String, Long> capacities = new TreeMap<>();
             for (RealFleet.InjectedFault injected : injectedFaults) {
                 if (injected.fault() instanceof Fault.Whole capacityChange) {
                     Long previous = capacities.put(capacityChange.budget(), capacityChange.whole());
-                    // Less has to hold once what was given of more must be over, and everybody has read its settings.
+                    // A smaller capacity must be kept once leases of the larger one have expired and all have reloaded.
                     budgetMonitor.changeCapacity(
                             capacityChange.budget(),
                             capacityChange.whole()
@@ -160,10 +168,11 @@
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
         }
         if (!boxes.runsTwice().startsWith("0 ")) {
-            violations.add("runs at most once: " + boxes.runsTwice() + " ran twice");
+            violations.add("requests run at most once: " + boxes.runsTwice() + " ran twice");
         }
         if (Double.isInfinite(reassignedAfterMs)) {
-            violations.add("divided anew: not within " + REASSIGNMENT_TIMEOUT_MS + " ms after the last fault");
+            violations.add(
+                    "capacities leased again: not within " + REASSIGNMENT_TIMEOUT_MS + " ms after the last fault");
         }
         return new RunResult(
                 membershipMonitor,
@@ -171,7 +180,7 @@
                 violations,
                 settleTimesMs,
                 tallyByBox,
-                rows,
+                clientRows,
                 arrivalsWhileWarmingUp,
                 injectedFaults,
                 trafficSamples,
@@ -179,7 +188,10 @@
                 reassignedAfterMs);
     }
 
-    /** Waits until all that is divided for good is held again; one that can't be shared out changes hands now and then. */
+    /**
+     * Waits until the capacity of all budgets but amounts is leased again. Where a capacity is too small for all
+     * doormans it is enough that a part is leased, as its units rotate among them.
+     */
     private static double awaitReassignment(RealFleet fleet, BudgetMonitor monitor, Terms config)
             throws IOException, InterruptedException {
         double fromMs = fleet.nowMs();
@@ -206,7 +218,7 @@
         return StandBoxes.Kind.valueOf(model.toUpperCase(Locale.ROOT));
     }
 
-    /** How long a box that has just started is young: as long as an amount lasts. */
+    /** Returns for how long a box that has just started is limited by amounts: for the lease of an amount. */
     private static double warmUpMs(FaultSchedule.Workload workload) {
         return workload.config().budgets().values().stream()
                 .filter(b -> b.kind() == Kind.AMOUNT)
@@ -237,7 +249,9 @@
         return out.toString();
     }
 
-    /** What the boxes counted, against the wholes; a whole that was changed is judged by its largest. */
+    /**
+     * Checks the counts of the boxes against the capacities in the schedule; a changed capacity must not exceed them.
+     */
     private static void checkBoxes(
             FaultSchedule.Workload workload,
             Map<String, Tally> tallyByBox,
@@ -261,7 +275,7 @@
                             + " over its rate, the burst is " + budget.burst());
                 } else if (budget.kind() == Kind.AMOUNT && index == 0 && arrivalsWhileWarmingUp > budget.whole()) {
                     violations.add("at the box: " + entry.getKey() + " got " + arrivalsWhileWarmingUp
-                            + " while young of " + budget.whole());
+                            + " while warming up, of " + budget.whole());
                 }
             }
         }
--- a/lab/src/main/java/barleyspur/lab/fleet/BudgetSimulation.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/BudgetSimulation.java
@@ -19,27 +19,33 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Plays a schedule on the decisions of {@code barleyspur.budget} in virtual time: each process has a clock of its own that
- * starts anywhere and drifts, views of the fleet are late and wrong, and every unit that is taken comes to a box that
- * counts. After each event it is looked at what all processes together might use at that moment.
+ * Discrete-event simulation of the logic in {@code barleyspur.budget} under a schedule of faults. Each process has its
+ * own clock with a random offset and drift, its view of the fleet is late and sometimes wrong, and every acquired unit
+ * arrives at a simulated box that counts it. After each event the simulation checks that the units which all processes
+ * together could use at that time do not exceed the capacity.
  */
 final class BudgetSimulation {
 
     private static final double MIN_LATENCY_MS = 0.1;
     private static final double LATENCY_JITTER_MS = 0.6;
+    /** Mean interval; each interval is drawn from half to one and a half of it. */
     private static final double VIEW_UPDATE_INTERVAL_MS = 500;
+    /** Per peer and update. */
     private static final double WRONG_VIEW_PROBABILITY = 0.1;
+    /** Attempts per budget that a frozen process makes before it reads its messages. */
     private static final int QUEUED_ATTEMPTS_AFTER_THAW = 20;
+    /** Time from SIGTERM until the process gives back its leases. */
     private static final double DRAIN_DELAY_MS = 750;
+
     private static final double MIN_SAMPLES_PER_S = 20;
     private static final int MAX_VIOLATIONS = 20;
 
-    /** How many attempts a second a doorman has at a moment. */
+    /** The rate at which a doorman tries to acquire units of a budget. */
     interface Demand {
         double attemptsPerSecond(String budget, int slot, double nowMs);
     }
 
-    /** A process. */
+    /** A doorman with its budget agent and its own clock. */
     final class SimulatedProcess {
         final int slot;
         final String address;
@@ -63,11 +69,12 @@
                     config, "d" + (slot + 1), address, nonce, random.nextLong(), localTimeMs(), this::execute);
         }
 
-        /** The time on this process's own clock. */
+        /** Returns the time on this process's own clock. */
         double localTimeMs() {
             return clockOffsetMs + nowMs * clockRate;
         }
 
+        /** Converts a time on this process's clock to the time of the simulation. */
         double toSimulationTimeMs(double localMs) {
             return (localMs - clockOffsetMs) / clockRate;
         }
@@ -81,10 +88,12 @@
             traceListener.accept("d" + (slot + 1), action);
         }
 
+        /** Returns whether the process exists and is not frozen. */
         boolean isRunning() {
             return !terminated && !frozen;
         }
 
+        /** Returns the limiter of a budget's subject and records it for the capacity check. */
         Share limiter(String subject) {
             Share limiter = agent.share(localTimeMs(), subject);
             limiters.put(subject, limiter);
@@ -92,6 +101,7 @@
         }
     }
 
+    /** An action at a time of the simulation; events at the same time run in the order of their sequence numbers. */
     private record ScheduledEvent(double timeMs, long sequence, Runnable action) {}
 
     final FaultSchedule schedule;
@@ -107,9 +117,9 @@
     final TreeMap<String, Integer> warningCounts = new TreeMap<>();
     private final Demand demand;
     private final List<String> subjects;
-    /** Told what each process does, and each fault: for a trace. */
+    /** Receives the actions of each process and each injected fault, for traces. */
     BiConsumer<String, Object> traceListener = (who, what) -> {};
-    /** Changes words on their way from this slot; a null result is not sent. */
+    /** Replaces the messages sent from {@link #tamperedSlot}; a message replaced by null is dropped. */
     UnaryOperator<Word> messageTamperer;
 
     int tamperedSlot = -1;
@@ -117,7 +127,7 @@
     long sentMessages;
     double nowMs;
 
-    /** What a box or a parent sees: counts of its own, whatever the doormans say. */
+    /** A cache, parent or origin that counts arrivals independently of what the doormans report. */
     final class Box {
         private final String subject;
         final Terms.Budget budget;
@@ -136,6 +146,7 @@
             this.budget = config.of(subject);
         }
 
+        /** Counts an arriving unit and checks the box's own limit. */
         void onArrival(SimulatedProcess sender) {
             arrivals++;
             arrivalsBySlot.merge(sender.slot, 1L, Long::sum);
@@ -149,7 +160,7 @@
                     concurrent--;
                     inFlightByProcess.merge(sender, -1, Integer::sum);
                     if (!sender.terminated) {
-                        // A frozen one hears of it later: till then the place counts as in use there.
+                        // A frozen process learns of the release when it thaws; its place counts as in use until then.
                         if (sender.frozen) {
                             sender.pendingDeliveries.add(
                                     () -> sender.limiters.get(subject).release(acquiredAtMs, sender.localTimeMs()));
@@ -176,7 +187,7 @@
         }
     }
 
-    /** The whole at this moment; a schedule's player may lower it. */
+    /** Capacities to check against by budget, where they differ from the configured ones. */
     private final TreeMap<String, Long> checkedCapacities = new TreeMap<>();
 
     private long checkedCapacity(Terms.Budget budget) {
@@ -184,8 +195,10 @@
     }
 
     /**
-     * @param maxClockDrift    by which each clock's rate may differ from the true one
-     * @param subjects names of budgets that are used
+     * Creates a simulation in which no process runs yet.
+     *
+     * @param maxClockDrift largest deviation of a clock's rate from 1
+     * @param subjects      names of the budgets that are used
      */
     BudgetSimulation(FaultSchedule schedule, Terms config, double maxClockDrift, List<String> subjects, Demand demand) {
         this.schedule = schedule;
@@ -201,7 +214,7 @@
         }
     }
 
-    /** A schedule's own budgets and load: each has one subject, and demand of its nodes' part of the requests. */
+    /** Creates a simulation of a schedule's workload: one subject per budget, each with a third of the requests. */
     static BudgetSimulation forSchedule(FaultSchedule schedule, double maxClockDrift) {
         FaultSchedule.Workload workload = schedule.workload();
         Terms config = workload.configWithVoters(voterAddresses(workload.voterCount()));
@@ -209,7 +222,8 @@
                 .mapToDouble(Terms.Budget::leaseMs)
                 .max()
                 .orElse(0);
-        // After all silences and waits, and for less than a lease, as a young box is.
+        // Amounts limit a box that has just started: they are used only after all abstention and recovery periods, and
+        // for less than one lease.
         double amountsFromMs = config.termMs() + 3 * longestLeaseMs;
         return new BudgetSimulation(
                 schedule,
@@ -222,6 +236,7 @@
                         : workload.requestsPerSecondAt(slot, schedule.initialDoormans(), now) / 3);
     }
 
+    /** Returns the address of the process in a slot. */
     static String addressOf(int slot) {
         return "127.0.0." + (slot + 1) + ":7301";
     }
@@ -230,7 +245,7 @@
         return Integer.parseInt(address.substring(address.lastIndexOf('.') + 1, address.indexOf(':'))) - 1;
     }
 
-    /** The addresses of the first so many slots. */
+    /** Returns the addresses of the first {@code count} slots. */
     static List<String> voterAddresses(int count) {
         List<String> addresses = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -239,25 +254,28 @@
         return addresses;
     }
 
+    /** Runs an action at a time of the simulation. */
     void scheduleAt(double timeMs, Runnable action) {
         events.add(new ScheduledEvent(timeMs, nextSequence++, action));
     }
 
+    /** Returns the violations found so far, at most {@value #MAX_VIOLATIONS}. */
     List<String> violations() {
         return foundViolations;
     }
 
+    /** Returns the box that counts the units of a subject. */
     Box box(String subject) {
         return boxBySubject.get(subject);
     }
 
-    private void addViolation(String promise, String detail) {
+    private void addViolation(String invariant, String detail) {
         if (foundViolations.size() < MAX_VIOLATIONS) {
-            foundViolations.add(String.format("%s: at %.1f ms: %s", promise, nowMs, detail));
+            foundViolations.add(String.format("%s: at %.1f ms: %s", invariant, nowMs, detail));
         }
     }
 
-    /** Plays the whole schedule, and to its settling time after it. */
+    /** Runs the whole schedule and the settle timeout after it. */
     void run() {
         startInitialProcesses();
         for (FaultSchedule.Step step : schedule.steps()) {
@@ -267,12 +285,14 @@
         runUntil(nowMs + schedule.settleTimeoutMs());
     }
 
+    /** Starts the doormans that the schedule begins with. */
     void startInitialProcesses() {
         for (int i = 0; i < schedule.initialDoormans(); i++) {
             startProcess(i);
         }
     }
 
+    /** Runs all events up to a time, and checks the capacities after each of them. */
     void runUntil(double untilMs) {
         while (!events.isEmpty() && events.peek().timeMs <= untilMs) {
             ScheduledEvent event = events.poll();
@@ -284,7 +304,7 @@
         checkCapacity();
     }
 
-    /** Never over the whole: what each process might take at this moment, or has in flight, is summed up. */
+    /** Checks that what all processes may still acquire or have in use does not exceed the capacity of any subject. */
     private void checkCapacity() {
         for (String subject : subjects) {
             Box box = boxBySubject.get(subject);
@@ -296,7 +316,7 @@
                     long inUse =
                             switch (box.budget.kind()) {
                                 case RATE -> 0;
-                                // Of a frozen process the box knows better.
+                                // A frozen process has not seen releases yet, so the box's count is used.
                                 case PLACES -> box.inFlightByProcess.getOrDefault(process, 0);
                                 case AMOUNT -> limiter == null ? 0 : limiter.using();
                             };
@@ -343,7 +363,7 @@
         return text.toString();
     }
 
-    /** What can be used at this moment of a budget, as a share of the whole. */
+    /** Returns the part of a subject's capacity that running processes may acquire now. */
     double usableFraction(String subject) {
         double sum = 0;
         for (SimulatedProcess process : processBySlot) {
@@ -354,6 +374,7 @@
         return sum / checkedCapacity(config.of(subject));
     }
 
+    /** Starts a process in a slot, unless one runs there. */
     void startProcess(int slot) {
         if (processBySlot[slot] != null) {
             return;
@@ -367,6 +388,7 @@
         }
     }
 
+    /** Returns the process in a slot, or null. */
     SimulatedProcess process(int slot) {
         return processBySlot[slot];
     }
@@ -397,7 +419,8 @@
         if (process.terminated) {
             return;
         }
-        // By thinning, so that a demand that jumps from little to much isn't noticed with the next of the few only.
+        // A thinned Poisson process: with few attempts, a sudden rise of the demand would otherwise be noticed only at
+        // the next attempt.
         double samplesPerS = Math.max(attemptsPerS, MIN_SAMPLES_PER_S);
         if (process.isRunning() && !process.leaving && random.nextDouble() * samplesPerS < attemptsPerS) {
             attempt(process, subject);
@@ -427,7 +450,7 @@
         double dueMs = Math.max(nowMs, process.toSimulationTimeMs(process.agent.dueMs()));
         if (dueMs < process.nextTickMs && dueMs < Double.POSITIVE_INFINITY) {
             process.nextTickMs = dueMs;
-            // A little late, as timers are, so that rounding of clocks makes no circles.
+            // Timers fire a little late, so that rounding between the clocks can't lead to an endless loop.
             scheduleAt(dueMs + 0.01, () -> {
                 if (process.nextTickMs == dueMs) {
                     tick(process);
@@ -465,7 +488,10 @@
         }
     }
 
-    /** Sets another whole for all that run, as a reload of the settings does; lower, it counts once it holds. */
+    /**
+     * Changes a budget's capacity at all running processes, as a reload of the settings does. The check goes on with
+     * the capacity before; see {@link #setCheckedCapacity}.
+     */
     void reconfigureCapacity(String budget, long capacity) {
         for (SimulatedProcess process : processBySlot) {
             if (process != null) {
@@ -475,11 +501,12 @@
         }
     }
 
-    /** From now on no more than this may be used: broken where more still is. */
+    /** Sets the capacity of a budget that may not be exceeded from now on. */
     void setCheckedCapacity(String budget, long capacity) {
         checkedCapacities.put(budget, capacity);
     }
 
+    /** Injects a fault. */
     void apply(Fault fault) {
         traceListener.accept("fault", fault);
         if (fault instanceof Fault.Kill kill) {
@@ -490,7 +517,7 @@
             forEachProcess(thaw.slots(), process -> {
                 if (process.frozen) {
                     process.frozen = false;
-                    // Requests that waited go first: not one may go out on an old share.
+                    // Queued requests are tried before messages are read: none may be sent under an expired lease.
                     for (String subject : subjects) {
                         for (int i = 0; i < QUEUED_ATTEMPTS_AFTER_THAW; i++) {
                             if (demand.attemptsPerSecond(subject, process.slot, nowMs) > 0) {
@@ -508,7 +535,7 @@
         } else if (fault instanceof Fault.Term term) {
             forEachProcess(term.slots(), process -> {
                 if (process.isRunning() && !process.leaving) {
-                    // It serves on for a while after the signal, then gives back and is gone when all is answered.
+                    // It goes on serving after the signal, then returns its leases and ends when all is answered.
                     process.agent.resign(process.localTimeMs());
                     scheduleTick(process);
                     scheduleAt(nowMs + DRAIN_DELAY_MS, () -> {
--- a/lab/src/main/java/barleyspur/lab/fleet/DatagramRelays.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/DatagramRelays.java
@@ -21,8 +21,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A relay before each doorman: all are told its address instead of the doorman's own, so that every datagram between
- * two of them comes by here, known by the socket that it was sent from.
+ * Relays of UDP datagrams, one in front of each doorman. Doormans advertise the addresses of their relays instead of
+ * their own, so that each datagram between two of them passes a relay, which knows the sender by its socket.
  */
 final class DatagramRelays implements AutoCloseable {
 
@@ -38,6 +38,7 @@
     private final Map<InetSocketAddress, Integer> slotByDoormanAddress = new HashMap<>();
     private long relayedBytes;
 
+    /** Binds the relays; both lists of addresses are by slot. */
     DatagramRelays(
             LinkFaults linkFaults, List<InetSocketAddress> relayAddresses, List<InetSocketAddress> doormanAddresses)
             throws InterruptedException {
@@ -60,7 +61,7 @@
 
                         @Override
                         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-                            // The doorman behind it is down: that is what the schedule wants.
+                            // The doorman behind the relay is down, as the schedule intends.
                         }
                     })
                     .bind(relayAddresses.get(i))
@@ -93,21 +94,23 @@
                 channelBySlot[from].voidPromise());
     }
 
-    /** The loop's group, for what else stands in for others. */
+    /** Returns the event loop group of the relays, which other stand-ins may use. */
     EventLoopGroup eventLoopGroup() {
         return group;
     }
 
+    /** Applies a fault of the links on the relays' event loop. */
     void apply(Fault fault) {
         loop.submit(() -> linkFaults.apply(fault)).syncUninterruptibly();
     }
 
+    /** Returns the connected components of the given slots, by links that are open in both directions. */
     List<Set<Integer>> connectedComponents(Set<Integer> upSlots)
             throws InterruptedException, java.util.concurrent.ExecutionException {
         return loop.submit(() -> linkFaults.connectedComponents(upSlots)).get();
     }
 
-    /** Bytes that all members have sent up to now. */
+    /** Returns the number of bytes that all members have sent so far. */
     long sentBytes() {
         return loop.submit(() -> relayedBytes).syncUninterruptibly().getNow();
     }
--- a/lab/src/main/java/barleyspur/lab/fleet/Fault.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/Fault.java
@@ -4,60 +4,63 @@
 import java.util.Set;
 
 /**
- * What a schedule does to a fleet. A slot is a place for a process, with an address of its own, numbered from 0; slot 0
- * is {@code d1} unless a process is started there under another name.
+ * A fault that a schedule injects. A slot is a place for one process, with its own address. Slots are numbered from 0,
+ * and the process in slot 0 is called {@code d1} unless it is started under another name. The names of these records
+ * and of their components are printed in progress lines and reports.
  */
 public sealed interface Fault {
 
-    /** SIGKILL. */
+    /** Sends SIGKILL. */
     record Kill(Set<Integer> slots) implements Fault {}
 
-    /** SIGSTOP. */
+    /** Pauses processes by SIGSTOP. */
     record Freeze(Set<Integer> slots) implements Fault {}
 
-    /** SIGCONT. */
+    /** Resumes paused processes by SIGCONT. */
     record Thaw(Set<Integer> slots) implements Fault {}
 
-    /** SIGTERM. */
+    /** Sends SIGTERM, so that processes leave the fleet and end. */
     record Term(Set<Integer> slots) implements Fault {}
 
-    /** The operators quiesce it, or take that back. */
+    /** Quiesces doormans, or resumes them. */
     record Quiesce(Set<Integer> slots, boolean on) implements Fault {}
 
     /**
-     * A process is started where none is.
+     * Starts processes in slots where none runs.
      *
-     * @param name    it goes by; empty: its slot's
-     * @param clockMs what its wall clock is off by
-     * @param format  the newest format of datagrams that it speaks
+     * @param name    the process's name; empty for the name of its slot
+     * @param clockMs offset of its wall clock
+     * @param format  the newest format of datagrams that it supports
      */
     record Start(Set<Integer> slots, String name, double clockMs, int format) implements Fault {}
 
-    /** Nothing that these send comes to those, or again: one way. */
+    /** Cuts the links in one direction only, or restores them. */
     record Cut(Set<Integer> from, Set<Integer> to, boolean mended) implements Fault {}
 
-    /** Nothing passes between groups; whoever is in none is alone. */
+    /** Partitions the network into groups; a slot that is in no group is isolated. */
     record Split(List<Set<Integer>> groups) implements Fault {}
 
-    /** All cuts and splits are over. */
+    /** Ends all cuts and partitions. */
     record Heal() implements Fault {}
 
-    /** What happens on the way from these to those, from now on. */
+    /** Sets the noise on the links in one direction. */
     record Weather(Set<Integer> from, Set<Integer> to, Noise noise) implements Fault {}
 
-    /** The settings of all that run, and of who starts later, get another whole of a budget, by a reload. */
+    /**
+     * Changes a budget's capacity in the settings of all running processes, by a reload, and of those started later.
+     */
     record Whole(String budget, long whole) implements Fault {}
 
-    /** These get a share of a core from now on: 1 is all of it. */
+    /** Limits processes to a share of a core; 1 ends the limit. */
     record Starve(Set<Integer> slots, double share) implements Fault {}
 
     /**
-     * What becomes of datagrams on one way.
+     * Noise on the datagrams of a link.
      *
-     * @param loss    share that is lost
-     * @param delayMs longest delay; each datagram's is drawn, so that they overtake one another
-     * @param twice   share that comes twice
-     * @param garbage share of which some bytes are changed
+     * @param loss    probability of loss
+     * @param delayMs longest delay; each datagram's delay is random, so that datagrams are reordered
+     * @param twice   probability of duplication
+     * @param garbage probability of corruption
      */
     record Noise(double loss, double delayMs, double twice, double garbage) {
         static final Noise NONE = new Noise(0, 0, 0, 0);
--- a/lab/src/main/java/barleyspur/lab/fleet/FaultSchedule.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/FaultSchedule.java
@@ -9,17 +9,17 @@
 import java.util.TreeSet;
 
 /**
- * A fleet and what happens to it.
+ * A fleet and the faults that are injected into it.
  *
- * @param slotCount    places for processes
- * @param initialDoormans  how many are started at once at the beginning, in the first slots
- * @param seedSlots    slots whose addresses all are told
- * @param protocolPeriodMs of the view
- * @param steps    one after another
- * @param settleTimeoutMs how long after the last step every component is to have settled
- * @param randomSeed     of what is drawn
- * @param randomFaults    how many faults were drawn from the seed; 0 where the steps are written out
- * @param workload      budgets and the load on them, or null
+ * @param slotCount        number of slots, each a place for one process
+ * @param initialDoormans  number of doormans that start together at the beginning, in the first slots
+ * @param seedSlots        slots whose addresses are the seeds of all doormans
+ * @param protocolPeriodMs period of the membership protocol
+ * @param steps            the faults, one after another
+ * @param settleTimeoutMs  time after the last step within which the views of every connected component must agree
+ * @param randomSeed       seed of the random generators
+ * @param randomFaults     number of faults that were drawn from the seed; 0 where the steps are written out
+ * @param workload         budgets and the load on them, or null
  */
 public record FaultSchedule(
         String name,
@@ -58,14 +58,16 @@
     /**
      * Budgets and the load on them.
      *
-     * @param config  of the budgets; who votes is filled in by who plays them
-     * @param voterCount the first so many slots vote
-     * @param modelByBudget     the models whose nodes have a budget each, by the budgets' names
-     * @param cacheCount how many caches there are; beside them two parents and the head office
-     * @param requestsPerS   requests a second at all doormans together
-     * @param hotspotIntervalMs so often another third of the doormans gets nine tenths of them; 0: all get alike
-     * @param hitServiceMs  what a hit at a cache takes
-     * @param firstCacheStartMs when the first cache starts, so that amounts count for it from then on; 0: long ago
+     * @param config            configuration of the budgets without voters, see {@link #configWithVoters}
+     * @param voterCount        number of voters, which are in the first slots
+     * @param modelByBudget     by the name of each budget, the kind of node that it is for: each such node has a
+     *                          budget of its own
+     * @param cacheCount        number of caches, beside two parents and the head office
+     * @param requestsPerS      requests per second at all doormans together
+     * @param hotspotIntervalMs time after which the next third of the doormans gets nine tenths of the requests; 0
+     *                          spreads them evenly
+     * @param hitServiceMs      service time of a hit at a cache
+     * @param firstCacheStartMs time at which the first cache starts, from which amounts apply to it; 0: long ago
      */
     public record Workload(
             Terms config,
@@ -77,6 +79,7 @@
             double hitServiceMs,
             double firstCacheStartMs) {
 
+        /** Returns the configuration of the budgets with the first of these addresses as voters. */
         Terms configWithVoters(List<String> addresses) {
             return new Terms(
                     addresses.subList(0, voterCount),
@@ -87,7 +90,7 @@
                     config.budgets());
         }
 
-        /** Requests a second at one of so many doormans at a moment. */
+        /** Returns the requests per second at one of {@code doormanCount} doormans. */
         double requestsPerSecondAt(int slot, int doormanCount, double nowMs) {
             if (hotspotIntervalMs == 0 || doormanCount < 2) {
                 return requestsPerS / doormanCount;
@@ -103,10 +106,10 @@
     }
 
     /**
-     * A fault and when it strikes.
+     * A fault and the time of its injection.
      *
-     * @param awaitSettled whether every component has to have settled on itself first
-     * @param delayMs so long after that, or after the step before
+     * @param awaitSettled whether to wait first until the views of every connected component agree
+     * @param delayMs      delay after that, or after the step before
      */
     public record Step(boolean awaitSettled, double delayMs, Fault fault) {
         Step(double delayMs, Fault fault) {
@@ -114,7 +117,7 @@
         }
     }
 
-    /** The same with other steps, written out. */
+    /** Returns a copy with other steps. */
     FaultSchedule with(List<Step> newSteps) {
         return new FaultSchedule(
                 name,
@@ -129,7 +132,10 @@
                 workload);
     }
 
-    /** Another one of the kind: other faults where they were drawn, else the same steps. */
+    /**
+     * Returns a copy with another seed: with other faults where they were drawn at random, or else with the same
+     * steps.
+     */
     FaultSchedule with(long newSeed) {
         return randomFaults > 0
                 ? random(initialDoormans, randomFaults, protocolPeriodMs, settleTimeoutMs, newSeed)
@@ -147,7 +153,7 @@
                         workload);
     }
 
-    /** The same with budgets. */
+    /** Returns a copy with another workload. */
     FaultSchedule with(Workload newWorkload) {
         return new FaultSchedule(
                 name,
@@ -162,6 +168,7 @@
                 newWorkload);
     }
 
+    /** Returns the slots from {@code from} up to and without {@code to}. */
     static Set<Integer> slotRange(int from, int to) {
         Set<Integer> set = new TreeSet<>();
         for (int i = from; i < to; i++) {
@@ -170,7 +177,10 @@
         return set;
     }
 
-    /** A schedule that only its seed tells: so many faults on so many doormans, then all healed and quiet. */
+    /**
+     * Returns a schedule of random faults that depends on these parameters only. At its end all links are healed,
+     * frozen doormans go on, and the seeds and some of the others that ended are restarted.
+     */
     static FaultSchedule random(
             int doormans, int faultCount, double protocolPeriodMs, double settleTimeoutMs, long randomSeed) {
         SplittableRandom random = new SplittableRandom(randomSeed);
@@ -190,7 +200,7 @@
             if (frozen[i]) {
                 toThaw.add(i);
             } else if (down[i] && (i < 2 || random.nextBoolean())) {
-                // The seeds in any case: newcomers that know nobody else could not find each other.
+                // Seeds are always restarted: new members that know nobody else could not find each other.
                 toStart.add(i);
             }
         }
--- a/lab/src/main/java/barleyspur/lab/fleet/FleetDemo.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/FleetDemo.java
@@ -16,7 +16,10 @@
 import java.util.concurrent.TimeUnit;
 import org.json.JSONArray;
 
-/** {@code fleet demo}: a station of stand-ins with five real doormans, some of which are killed and cut off for a minute. */
+/**
+ * The command {@code fleet demo}: a station of stand-ins with five real doormans, which for a minute are partly killed
+ * and cut off from one another.
+ */
 public final class FleetDemo {
 
     private static final int DOORMANS = 5;
@@ -28,7 +31,7 @@
 
     private FleetDemo() {}
 
-    /** Runs it; whether all promises were kept and nothing ran twice. */
+    /** Runs the demo and returns whether all invariants held and no request ran twice. */
     public static boolean run(Path jar, Path folder) throws IOException, InterruptedException {
         List<FaultSchedule.Step> steps = List.of(
                 new FaultSchedule.Step(true, 10_000, new Fault.Kill(Set.of(1))),
@@ -80,7 +83,7 @@
                 clients.rows().forEach(r -> System.out.println("             " + r));
             });
             fleet.run();
-            System.out.println("requests that must not run twice and did: " + boxes.runsTwice()
+            System.out.println("requests that ran twice though they must not: " + boxes.runsTwice()
                     + "; attempts at boxes: " + boxes.attempts());
         } finally {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
--- a/lab/src/main/java/barleyspur/lab/fleet/FleetMeasurement.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/FleetMeasurement.java
@@ -4,12 +4,12 @@
 import java.util.Locale;
 import java.util.Set;
 
-/** {@code fleet measure}: what the view costs and how soon it knows, by the size of the fleet, in virtual time. */
+/** The command {@code fleet measure}: cost and detection times of the membership by fleet size, in virtual time. */
 public final class FleetMeasurement {
 
     private static final double STEADY_STATE_MS = 20_000;
     private static final int MAX_MEMBERS_FOR_LOSS = 100;
-    /** News of a start that are surely told within one calm time. */
+    /** Number of joins whose gossip has surely ended within one {@link #STEADY_STATE_MS}. */
     private static final int JOINS_PER_STEADY_STATE = 250;
 
     private FleetMeasurement() {}
@@ -37,15 +37,15 @@
         return fleet.allProcesses().stream().mapToLong(p -> p.sentBytes).sum();
     }
 
-    /** Prints a row of figures for each size. */
+    /** Prints a row of measurements for each size. */
     public static void print(List<Integer> sizes) {
         System.out.println(
-                "members  join s  calm B/s  known s  settled s  split s  heal s  heal KB  real ms/virtual s");
+                "members  join s  idle B/s  detect s  settle s  split s  heal s  heal KB  real ms/virtual s");
         for (int members : sizes) {
             MembershipMonitor monitor = new MembershipMonitor(true);
             VirtualFleet fleet = startFleet(members, monitor);
             double joinS = secondsUntilSettled(fleet, 120_000);
-            // News of so many joins are told for a while: bounded by the round, not by how many there are.
+            // Gossip about so many joins goes on for a while: each round carries a bounded number of records.
             fleet.runUntil(fleet.nowMs + STEADY_STATE_MS * Math.max(1, members / JOINS_PER_STEADY_STATE));
             long sentBefore = sentBytes(fleet);
             long startNanos = System.nanoTime();
@@ -84,11 +84,11 @@
         }
     }
 
-    /** Prints false verdicts by member and hour under loss, slowness and a one-way cut. */
+    /** Prints the false positives per member and hour under loss, slowness and a one-way cut. */
     public static void printFalsePositives(int members, int minutes) {
         int fleetSize = Math.min(MAX_MEMBERS_FOR_LOSS, members);
         System.out.println(
-                "members  minutes  what                              false verdicts  a member and hour  suspicions");
+                "members  minutes  fault                            false positives    per member-hour  suspicions");
         for (double loss : new double[] {0, 0.1, 0.3}) {
             printRow(
                     fleetSize,
--- a/lab/src/main/java/barleyspur/lab/fleet/FleetRunCommand.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/FleetRunCommand.java
@@ -8,18 +8,18 @@
 import java.util.List;
 import java.util.Locale;
 
-/** The laboratory's command {@code fleet run}: plays a schedule of faults on several doormans. */
+/** The command {@code fleet run}: runs a schedule of faults on several doormans. */
 public final class FleetRunCommand {
 
-    /** In larger fleets datagrams are handed over as objects and sized by their bound. */
+    /** In larger fleets datagrams are passed as objects, and their sizes are upper bounds. */
     static final int MAX_ENCODED_SLOTS = 200;
 
     private FleetRunCommand() {}
 
     /**
-     * Plays a scenario on real processes, and prints what happened.
+     * Runs a scenario on real processes and writes a report.
      *
-     * @return whether all promises were kept
+     * @return whether all invariants held
      * @throws Hcl.Invalid where the scenario can't be used
      */
     public static boolean runProcesses(Path scenario, Path jar, Path folder) throws Hcl.Invalid, IOException {
@@ -31,7 +31,7 @@
             List<double[]> trafficSamples = fleet.trafficSamples();
             System.out.printf(
                     Locale.ROOT,
-                    "%s; a member sent %.0f bytes a second in the last second, %.0f at most%n",
+                    "%s; a member sent %.0f bytes/s in the last second, at most %.0f%n",
                     fleet.resourceUsage(),
                     trafficSamples.isEmpty() ? 0 : trafficSamples.get(trafficSamples.size() - 1)[1],
                     trafficSamples.stream().mapToDouble(t -> t[1]).max().orElse(0));
@@ -42,16 +42,19 @@
         return printViolations(monitor.violations());
     }
 
+    /** Prints violations and returns whether there were none. */
     static boolean printViolations(List<String> violations) {
         violations.forEach(b -> System.out.println("BROKEN " + b));
         System.out.println(
-                violations.isEmpty() ? "all promises kept" : violations.size() + " times a promise was broken");
+                violations.isEmpty() ? "all invariants held" : violations.size() + " violations of invariants");
         return violations.isEmpty();
     }
 
     /**
-     * Plays a scenario in virtual time from {@code seeds} seeds on; the first seed that breaks a promise is shrunk and
-     * written beside as a scenario of its own.
+     * Runs a scenario in virtual time with consecutive seeds. The schedule of the first seed that violates an
+     * invariant is shrunk and written to a file.
+     *
+     * @return whether all invariants held
      */
     public static boolean runSimulations(Path scenario, int seeds, Path folder) throws Hcl.Invalid, IOException {
         FaultSchedule schedule = ScenarioFile.load(scenario);
@@ -74,7 +77,7 @@
                 Path file = folder.resolve("broken-" + seeded.randomSeed() + ".hcl");
                 Files.writeString(file, ScenarioFile.write(shrunk));
                 System.out.printf(
-                        "seed %d; shrunk from %d to %d steps; again: barleyspur-lab fleet run %s --virtual%n",
+                        "seed %d; shrunk from %d to %d steps; replay: barleyspur-lab fleet run %s --virtual%n",
                         seeded.randomSeed(),
                         seeded.steps().size(),
                         shrunk.steps().size(),
@@ -89,7 +92,7 @@
         System.out.printf(
                 Locale.ROOT,
                 "%s: %d seeds of %d doormans in %.1f s; settled after %.2f s (median), %.2f s "
-                        + "(99 in 100), %.2f s (most); a member sent %.0f bytes a second%n",
+                        + "(99th percentile), %.2f s (maximum); a member sent %.0f bytes/s%n",
                 schedule.name(),
                 seeds,
                 schedule.initialDoormans(),
--- a/lab/src/main/java/barleyspur/lab/fleet/FleetRunReport.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/FleetRunReport.java
@@ -18,11 +18,12 @@
 import org.knowm.xchart.XYSeries;
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
-/** What a play came to: report.html with a plot of the views' sizes over time, and report.json. */
+/** Writes the report of a run: report.html with a plot of the sizes of the views over time, and report.json. */
 final class FleetRunReport {
 
     private FleetRunReport() {}
 
+    /** Writes the report's files to a folder; without traffic samples the report has no plot of the traffic. */
     static void write(
             Path folder,
             FaultSchedule schedule,
@@ -38,7 +39,7 @@
                     .height(300)
                     .title("traffic")
                     .xAxisTitle("seconds")
-                    .yAxisTitle("bytes a second and member")
+                    .yAxisTitle("bytes per second and member")
                     .build();
             chart.getStyler().setLegendVisible(false);
             chart.addSeries(
@@ -81,8 +82,8 @@
                         + " doormans, period " + schedule.protocolPeriodMs() + " ms, seed " + schedule.randomSeed()
                         + "</p><p>"
                         + (monitor.violations().isEmpty()
-                                ? "All promises kept."
-                                : "Broken promises:<ul>" + violationItems + "</ul>")
+                                ? "All invariants held."
+                                : "Violations:<ul>" + violationItems + "</ul>")
                         + "</p><h2>Members in each view</h2><img src=views.png>"
                         + (trafficSamples.isEmpty() ? "" : "<h2>Traffic</h2><img src=traffic.png>")
                         + "<h2>Time to settle</h2><table border=1>"
@@ -107,6 +108,7 @@
         return index + 1;
     }
 
+    /** Escapes text for the content of an HTML element. */
     static String escapeHtml(String text) {
         return text.replace("&", "&amp;").replace("<", "&lt;").replace(">", "&gt;");
     }
--- a/lab/src/main/java/barleyspur/lab/fleet/LinkFaults.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/LinkFaults.java
@@ -7,7 +7,10 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 
-/** What passes on the way from one slot to another, decided apart from sockets so that both players of a schedule share it. */
+/**
+ * State of the links between the slots: cuts, partitions and noise. It decides what becomes of a datagram without any
+ * socket, so that runs in virtual time and on real processes share it.
+ */
 final class LinkFaults {
 
     private final SplittableRandom random;
@@ -16,6 +19,7 @@
     private int[] partitionBySlot;
     private final Map<Long, Fault.Noise> noiseByLink = new HashMap<>();
 
+    /** Creates links between all slots without any faults. */
     LinkFaults(int slotCount, long seed) {
         this.slotCount = slotCount;
         this.random = new SplittableRandom(seed);
@@ -27,6 +31,7 @@
         return (long) from << 32 | to;
     }
 
+    /** Applies a fault of the links; other faults are ignored. */
     void apply(Fault fault) {
         if (fault instanceof Fault.Cut cutFault) {
             for (int from : cutFault.from()) {
@@ -58,11 +63,12 @@
         }
     }
 
+    /** Returns whether datagrams pass from one slot to another. */
     boolean isOpen(int from, int to) {
         return partitionBySlot[from] == partitionBySlot[to] && (cutLinks[from] == null || !cutLinks[from][to]);
     }
 
-    /** Connected components of the slots in {@code up}, by ways that are open in both directions. */
+    /** Returns the connected components of the given slots, by links that are open in both directions. */
     List<Set<Integer>> connectedComponents(Set<Integer> upSlots) {
         List<Set<Integer>> components = new ArrayList<>();
         Set<Integer> unvisited = new java.util.TreeSet<>(upSlots);
@@ -86,7 +92,7 @@
         return components;
     }
 
-    /** The delays after which copies of one datagram arrive, in ms: none, one or two. */
+    /** Returns the delay in ms of each copy of a datagram that arrives: none, one or two. */
     double[] deliveryDelaysMs(int from, int to) {
         if (!isOpen(from, to)) {
             return new double[0];
@@ -105,7 +111,7 @@
                 : new double[] {delayMs};
     }
 
-    /** Changes some bytes, if the way does so to this datagram. */
+    /** Returns the datagram, or by the noise of the link a copy with changed bytes that may be truncated. */
     byte[] maybeCorrupt(int from, int to, byte[] bytes) {
         Fault.Noise linkNoise = noiseByLink.isEmpty() ? null : noiseByLink.get(linkKey(from, to));
         if (linkNoise == null || random.nextDouble() >= linkNoise.garbage()) {
--- a/lab/src/main/java/barleyspur/lab/fleet/RealFleet.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/RealFleet.java
@@ -33,8 +33,8 @@
 import org.json.JSONTokener;
 
 /**
- * Plays a schedule on real processes of the built jar, on 127.0.0.0/8. All are children of this process, known by their
- * handles, and are ended when it closes.
+ * Runs a schedule of faults on real processes of the built jar, which use addresses in 127.0.0.0/8. All are children of
+ * this process, known by their handles, and are killed when the fleet is closed.
  */
 final class RealFleet implements AutoCloseable {
 
@@ -46,18 +46,21 @@
     private static final int HOSTS_PER_SUBNET = 250;
     private static final double NANOS_PER_MS = 1e6;
     private static final long POLL_INTERVAL_MS = 100;
+    /** The interval between polls grows by one {@link #POLL_INTERVAL_MS} for each so many slots. */
     private static final int DOORMANS_PER_POLL_INTERVAL = 10;
+
     private static final Duration HTTP_TIMEOUT = Duration.ofSeconds(2);
     private static final double STARTUP_TIMEOUT_MS = 60_000;
     private static final double TRAFFIC_SAMPLE_MS = 1_000;
-    /** How a process says that it serves. */
+    /** The part of a log line that precedes the event of a process that has begun to serve. */
     private static final String SERVING_LOG_PREFIX = " node - ";
 
+    /** The end of that line. */
     private static final String SERVING_LOG_SUFFIX = " serves";
-    /** So that two fleets of this process have addresses of their own. */
+    /** Gives each fleet of this process its own addresses. */
     private static final AtomicInteger CREATED_FLEETS = new AtomicInteger();
 
-    /** A process that was started. */
+    /** A started doorman process. */
     private static final class DoormanProcess {
         final int number;
         final int slot;
@@ -69,14 +72,14 @@
         final int format;
         boolean frozen;
         boolean leaving;
-        /** It has said that it serves. A JVM that still starts is ended by SIGHUP, so reloads wait for this. */
+        /** Whether it has logged that it serves. SIGHUP ends a JVM that is still starting, so reloads wait for this. */
         boolean serving;
 
         boolean reloadPending;
         long logBytesRead;
         String partialLine = "";
         Process throttleProcess;
-        /** The processor time it had taken when the fleet first settled: 0 where it was started later. */
+        /** Processor time used before the fleet first settled; 0 where the process was started later. */
         double cpuSecondsWhenSettled;
 
         double cpuSeconds() {
@@ -117,24 +120,25 @@
     private final List<DoormanProcess> allDoormans = new ArrayList<>();
     private final long startNanos = System.nanoTime();
     private UnaryOperator<JSONObject> configurationTransform = json -> json;
-    /** Seconds from the start, and bytes a second that a member sent since the sample before. */
+    /** Pairs of the seconds since the start and the bytes per second and member since the sample before. */
     private final List<double[]> trafficSamples = new ArrayList<>();
-    /** A fault and when it was. */
+    /** A fault and the time of its injection, from the start of the run. */
     record InjectedFault(double timeMs, Fault fault) {}
 
     private final List<InjectedFault> injected = new ArrayList<>();
     private double lastSampleMs;
     private long lastSampleBytes;
     private double firstSettledMs;
-    /** What stands in each process's own settings beside its fleet. */
+    /** Blocks of each process's settings file beside the block of its fleet. */
     private String budgetSettings = "";
 
     private BudgetMonitor budgetMonitor;
     private Runnable periodicTask;
     private double taskPeriodMs;
     private double lastTaskRunMs;
-    private final Thread shutdownHook = new Thread(this::killAll, "end children");
+    private final Thread shutdownHook = new Thread(this::killAll, "kill child processes");
 
+    /** Creates a fleet and its relays; {@link #run} starts the processes. */
     RealFleet(FaultSchedule schedule, MembershipMonitor monitor, Path jar, Path folder, Consumer<String> progress)
             throws IOException, InterruptedException {
         this.schedule = schedule;
@@ -155,7 +159,7 @@
             relayAddresses.add(new InetSocketAddress(hostAddress(slot), RELAY_PORT));
             doormanAddresses.add(new InetSocketAddress(hostAddress(slot), FLEET_PORT));
         }
-        // Also when this process is ended by a signal, its children are.
+        // Kills the children also when a signal ends this process.
         Runtime.getRuntime().addShutdownHook(shutdownHook);
         relays = new DatagramRelays(
                 new LinkFaults(schedule.slotCount(), schedule.randomSeed() + 1), relayAddresses, doormanAddresses);
@@ -167,22 +171,23 @@
         return networkPrefix + slot / HOSTS_PER_SUBNET + "." + (slot % HOSTS_PER_SUBNET + 1);
     }
 
+    /** Returns the time since the creation of this fleet. */
     double nowMs() {
         return (System.nanoTime() - startNanos) / NANOS_PER_MS;
     }
 
-    /** Changes what each process is configured with. */
+    /** Sets a function that changes the configuration of each process before it is written. */
     void setConfigurationTransform(UnaryOperator<JSONObject> transform) {
         configurationTransform = transform;
     }
 
-    /** Divides budgets as well; whoever starts has these blocks in its settings. */
+    /** Adds budgets: the settings of each started process contain these blocks, and the monitor gets its log events. */
     void enableBudgets(String settingsBlocks, BudgetMonitor monitor) {
         budgetSettings = settingsBlocks;
         budgetMonitor = monitor;
     }
 
-    /** Addresses by which others know the doormans, by slot. */
+    /** Returns the advertised addresses of the doormans by slot. These are the relays' addresses. */
     List<String> advertisedAddresses() {
         List<String> addresses = new ArrayList<>();
         for (int slot = 0; slot < schedule.slotCount(); slot++) {
@@ -191,18 +196,18 @@
         return addresses;
     }
 
-    /** Where clients find the doorman of a slot. */
+    /** Returns the address at which the doorman of a slot listens for clients. */
     InetSocketAddress clientAddress(int slot) {
         return new InetSocketAddress(hostAddress(slot), CLIENT_PORT);
     }
 
-    /** Does this by and by while the schedule is played. */
+    /** Sets a task that is run periodically during the run. */
     void setPeriodicTask(long periodMs, Runnable task) {
         taskPeriodMs = periodMs;
         periodicTask = task;
     }
 
-    /** How many members each doorman's view has, by slot; - where none answers. */
+    /** Returns the number of members in each doorman's view by slot, or "-" where no doorman answers. */
     List<String> viewSizes() {
         List<String> sizes = new ArrayList<>();
         Map<DoormanProcess, JSONObject> views = fetchViews();
@@ -213,7 +218,7 @@
         return sizes;
     }
 
-    /** Plays the whole schedule; the times in ms that it took to settle where it says so, and at the end. */
+    /** Runs the whole schedule. Returns the settle times in ms, of each step that awaits settling and of the end. */
     List<Double> run() throws IOException, InterruptedException {
         List<Double> settleTimesMs = new ArrayList<>();
         for (int i = 0; i < schedule.initialDoormans(); i++) {
@@ -237,7 +242,7 @@
         return settleTimesMs;
     }
 
-    /** Lets that time pass. */
+    /** Waits, and polls the processes meanwhile. */
     void pause(double durationMs) throws IOException, InterruptedException {
         double untilMs = nowMs() + durationMs;
         for (double leftMs = durationMs; leftMs > 0; leftMs = untilMs - nowMs()) {
@@ -246,7 +251,7 @@
         }
     }
 
-    /** Waits until every component has settled on itself; the time in ms that took, or infinity. */
+    /** Waits until the views in every connected component agree. Returns the time in ms that took, or infinity. */
     private double awaitSettled() throws IOException, InterruptedException {
         double fromMs = nowMs();
         double timeoutMs = schedule.settleTimeoutMs() + (fromMs < STARTUP_TIMEOUT_MS / 2 ? STARTUP_TIMEOUT_MS : 0);
@@ -259,10 +264,11 @@
                 return elapsedMs;
             }
             if (elapsedMs > timeoutMs) {
-                monitor.addViolation("settles: " + reason + " " + Math.round(elapsedMs) + " ms after the last step");
+                monitor.addViolation(
+                        "not settled: " + reason + " " + Math.round(elapsedMs) + " ms after the last step");
                 return Double.POSITIVE_INFINITY;
             }
-            // Looking must not keep the doormans from answering one another.
+            // Polling must not keep the doormans from answering one another.
             Thread.sleep(POLL_INTERVAL_MS + POLL_INTERVAL_MS * schedule.slotCount() / DOORMANS_PER_POLL_INTERVAL);
         }
     }
@@ -399,7 +405,7 @@
         }
     }
 
-    /** By turns stopped and continued, a tenth of a second each round. */
+    /** Limits a process to a share of a core by SIGSTOP and SIGCONT in cycles of 100 ms. */
     private void throttleCpu(DoormanProcess doorman, double share) throws IOException {
         if (doorman.throttleProcess != null) {
             doorman.throttleProcess.destroyForcibly();
@@ -411,7 +417,8 @@
                             "-c",
                             String.format(
                                     java.util.Locale.ROOT,
-                                    "while kill -STOP %1$d 2>/dev/null; do sleep %2$.3f; kill -CONT %1$d 2>/dev/null; sleep %3$.3f; done",
+                                    "while kill -STOP %1$d 2>/dev/null; do sleep %2$.3f; "
+                                            + "kill -CONT %1$d 2>/dev/null; sleep %3$.3f; done",
                                     doorman.process.pid(),
                                     0.1 * (1 - share),
                                     0.1 * share))
@@ -444,7 +451,7 @@
         return found;
     }
 
-    // ---- what they tell --------------------------------------------------------------------------------
+    // ---- Logs and views of the processes ---------------------------------------------------------------
 
     private void poll() throws IOException {
         if (nowMs() - lastSampleMs >= TRAFFIC_SAMPLE_MS) {
@@ -477,15 +484,16 @@
             }
             if (!doorman.process.isAlive() && doormanBySlot[doorman.slot] == doorman) {
                 if (!doorman.leaving) {
-                    monitor.addViolation("process " + doorman.number + " (" + doorman.name + ") ended by itself with "
-                            + doorman.process.exitValue() + ": see " + doorman.logFile);
+                    monitor.addViolation(
+                            "process " + doorman.number + " (" + doorman.name + ") exited unexpectedly with code "
+                                    + doorman.process.exitValue() + ": see " + doorman.logFile);
                 }
                 removeFromSlot(doorman);
             }
         }
     }
 
-    /** Reads a line of the logger {@code fleet}: keys with values, then the event's text. */
+    /** Reads a line of the loggers {@code fleet} and {@code budget}: keys with values, then the text of the event. */
     private void parseLogLine(DoormanProcess doorman, String line) {
         if (line.contains(SERVING_LOG_PREFIX) && line.endsWith(SERVING_LOG_SUFFIX)) {
             doorman.serving = true;
@@ -570,7 +578,7 @@
         return views;
     }
 
-    /** Null where every component has settled on itself; else what is still missing. */
+    /** Returns null where the views in every connected component agree, or else the first difference. */
     private String unsettledReason() throws InterruptedException {
         Map<DoormanProcess, JSONObject> views = fetchViews();
         Set<Integer> upSlots = new TreeSet<>();
@@ -632,15 +640,19 @@
                 : "of " + names + " only " + viewByName.keySet() + " hold their names";
     }
 
+    /** Returns the faults injected so far. */
     List<InjectedFault> injectedFaults() {
         return List.copyOf(injected);
     }
 
+    /** Returns pairs of the seconds since the start and the bytes per second and member in the second before. */
     List<double[]> trafficSamples() {
         return trafficSamples;
     }
 
-    /** What the processes that run take: percent of a core since the first settling, and MB of memory, each. */
+    /**
+     * Describes the average use of a core since the fleet first settled, and the average memory, per running process.
+     */
     String resourceUsage() throws IOException {
         int count = 0;
         double kilobytes = 0;
@@ -658,7 +670,7 @@
         }
         return String.format(
                 java.util.Locale.ROOT,
-                "%d processes, each %.2f%% of a core over %.0f s and %.1f MB",
+                "%d processes, on average %.2f%% of a core over %.0f s and %.1f MB",
                 count,
                 100 * cpuSeconds / ((nowMs() - firstSettledMs) / 1e3) / Math.max(1, count),
                 (nowMs() - firstSettledMs) / 1e3,
--- a/lab/src/main/java/barleyspur/lab/fleet/ScenarioFile.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/ScenarioFile.java
@@ -18,7 +18,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** A schedule of faults as a file: read, checked, and written for a replay. {@code docs/FLEET.md} has the language. */
+/** Reads and checks schedules of faults from files, and writes them for a replay. See {@code docs/FLEET.md}. */
 final class ScenarioFile {
 
     private static final Pattern STEP_TIME = Pattern.compile("(settled)?(?: *\\+ *)?([0-9.]+(?:ms|s))?");
@@ -33,6 +33,11 @@
         this.slotCount = slotCount;
     }
 
+    /**
+     * Reads a schedule from a file.
+     *
+     * @throws Hcl.Invalid where the file can't be read or its text is invalid
+     */
     static FaultSchedule load(Path file) throws Hcl.Invalid {
         String text;
         try {
@@ -43,6 +48,11 @@
         return read(file.toString(), text);
     }
 
+    /**
+     * Parses a schedule.
+     *
+     * @param file name of the file for messages
+     */
     static FaultSchedule read(String file, String text) throws Hcl.Invalid {
         Hcl.Block root = Hcl.read(file, text);
         root.close(List.of("scenario"));
@@ -50,7 +60,7 @@
             throw new Hcl.Invalid(
                     file,
                     1,
-                    "wants one block scenario \"NAME\" { ... }, not "
+                    "must contain one block scenario \"NAME\" { ... }, not "
                             + root.blocks().size());
         }
         Hcl.Block scenario = root.blocks().get(0);
@@ -71,7 +81,7 @@
             if (step.type().equals("random")) {
                 if (!scenario.blocks("step").isEmpty()
                         || scenario.blocks("random").size() > 1) {
-                    throw step.invalid("stands beside other steps");
+                    throw step.invalid("can't be combined with other steps");
                 }
                 int faults = (int) step.number("faults", 10, 1, 1_000);
                 step.close(List.of());
@@ -99,7 +109,7 @@
             if (scenario.blocks("load").isEmpty() && scenario.blocks("budget").isEmpty()) {
                 return null;
             }
-            throw scenario.invalid("wants one block load { ... } beside its budgets, not "
+            throw scenario.invalid("must have one block load { ... } beside its budgets, not "
                     + scenario.blocks("load").size());
         }
         Hcl.Block load = scenario.blocks("load").get(0);
@@ -133,8 +143,8 @@
     private FaultSchedule.Step parseStep(Hcl.Block block) throws Hcl.Invalid {
         Matcher matcher = STEP_TIME.matcher(block.label());
         if (!matcher.matches() || block.label().isBlank()) {
-            throw block.invalid("has a time that is none: \"" + block.label()
-                    + "\"; as in \"2s\", \"settled\", \"settled + 500ms\"");
+            throw block.invalid("has an invalid time \"" + block.label()
+                    + "\"; examples are \"2s\", \"settled\", \"settled + 500ms\"");
         }
         double delayMs = matcher.group(2) == null ? 0 : Hcl.millis(matcher.group(2));
         Fault fault = parseFault(block);
@@ -154,7 +164,7 @@
         Hcl.Value clock = step.value("clock");
         double offset = clock == null ? 0 : Hcl.millis(clock.text());
         if (Double.isNaN(offset)) {
-            throw clock.invalid("is no time: " + clock.value());
+            throw clock.invalid("is not a time: " + clock.value());
         }
         int format = (int) step.number("format", 2, 1, 2);
         addIfPresent(
@@ -192,11 +202,12 @@
             block.close(List.of());
         }
         if (found.size() != 1) {
-            throw step.invalid("wants one fault, not " + found.size());
+            throw step.invalid("must have one fault, not " + found.size());
         }
         return found.get(0);
     }
 
+    /** Creates a fault that hits the processes in some slots. */
     private interface FaultFactory {
         Fault create(Set<Integer> slots);
     }
@@ -242,7 +253,7 @@
                 }
                 set.addAll(FaultSchedule.slotRange(from - 1, to));
             } else {
-                throw value.invalid("names " + name + ": d1, d2..d5 or all was wanted");
+                throw value.invalid("names " + name + ", but d1, d2..d5 or all is expected");
             }
         }
         return set;
@@ -258,9 +269,9 @@
         return ms;
     }
 
-    // ---- writing ---------------------------------------------------------------------------------------
+    // ---- Writing ---------------------------------------------------------------------------------------
 
-    /** The schedule as a file that reads as the same. */
+    /** Returns the text of a file from which the same schedule is read. */
     static String write(FaultSchedule schedule) {
         StringBuilder out =
                 new StringBuilder("scenario \"" + schedule.name() + "\" {\n  doormans = " + schedule.initialDoormans()
@@ -302,7 +313,7 @@
         return out.toString();
     }
 
-    /** A budget's block, as scenarios and our own settings have it. */
+    /** Returns the block of a budget, which scenarios and settings files share. */
     static String budgetBlock(Terms.Budget budget, String model, String indent) {
         return indent + "budget \"" + budget.name() + "\" {\n" + indent + "  kind = \""
                 + budget.kind().name().toLowerCase(Locale.ROOT)
--- a/lab/src/main/java/barleyspur/lab/fleet/Shrinker.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/Shrinker.java
@@ -4,28 +4,33 @@
 import java.util.List;
 import java.util.function.Predicate;
 
-/** Makes a schedule that breaks a promise smaller: leaves out steps for as long as what is left still breaks one. */
+/** Shrinks a schedule that violates an invariant: removes steps as long as the rest still violates one. */
 final class Shrinker {
 
     private Shrinker() {}
 
-    /** What a schedule breaks when it is played in virtual time. */
+    /** Runs a schedule in virtual time and returns its violations of the membership's invariants. */
     static List<String> violations(FaultSchedule schedule) {
         MembershipMonitor monitor = new MembershipMonitor(false);
         new VirtualFleet(schedule, monitor, schedule.slotCount() <= FleetRunCommand.MAX_ENCODED_SLOTS).run();
         return monitor.violations();
     }
 
-    /** The same of a random schedule that its seed tells. */
+    /** Runs a random schedule in virtual time and returns its violations. */
     static List<String> broken(int doormans, int faults, long seed) {
         return violations(FaultSchedule.random(doormans, faults, 500, 30_000, seed));
     }
 
+    /** Shrinks a schedule that violates an invariant of the membership in virtual time. */
     static FaultSchedule shrink(FaultSchedule schedule) {
         return shrink(schedule, candidate -> !violations(candidate).isEmpty());
     }
 
-    /** @param violates whether a schedule still breaks a promise */
+    /**
+     * Shrinks a schedule.
+     *
+     * @param violates returns whether a schedule still violates an invariant
+     */
     static FaultSchedule shrink(FaultSchedule schedule, Predicate<FaultSchedule> violates) {
         List<FaultSchedule.Step> steps = new ArrayList<>(schedule.steps());
         for (int chunkSize = Math.max(1, steps.size() / 2); chunkSize >= 1; chunkSize /= 2) {
--- a/lab/src/main/java/barleyspur/lab/fleet/VirtualFleet.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/VirtualFleet.java
@@ -22,22 +22,27 @@
 import java.util.function.Consumer;
 import java.util.function.UnaryOperator;
 
-/** Plays a schedule in virtual time: the membership that serves, without sockets, threads or a clock. */
+/**
+ * Discrete-event simulation of a fleet under a schedule of faults: it runs the membership code of production in virtual
+ * time, without sockets, threads or a clock.
+ */
 final class VirtualFleet {
 
     private static final double MIN_LATENCY_MS = 0.1;
     private static final double LATENCY_JITTER_MS = 0.6;
     private static final double STALL_CYCLE_MS = 100;
     private static final int MAX_UNREAD_DATAGRAMS = 2_000;
+    /** Wall-clock time at the start of the simulation. */
     private static final double INITIAL_WALL_CLOCK_MS = 1.8e12;
+
     private static final double LEAVE_DURATION_MS = 300;
-    /** Events at one moment beyond which somebody is caught in a circle. */
+    /** More events than this at one time mean that a process schedules its timer in an endless loop. */
     private static final int MAX_EVENTS_AT_ONE_TIME = 100_000;
 
     private static final double START_SPREAD_MS = 100;
     private static final double SETTLE_CHECK_INTERVAL_MS = 50;
 
-    /** A process. */
+    /** A doorman with its membership logic. */
     final class SimulatedProcess {
         final int number;
         final int slot;
@@ -83,11 +88,13 @@
             }
         }
 
+        /** Returns whether the process exists and is neither frozen nor stalled. */
         boolean isRunning() {
             return !terminated && !frozen && !stalled;
         }
     }
 
+    /** An action at a time of the simulation; events at the same time run in the order of their sequence numbers. */
     private record ScheduledEvent(double timeMs, long sequence, Runnable action) {}
 
     private final FaultSchedule schedule;
@@ -104,12 +111,18 @@
     private long nextSequence;
     private int eventsAtThisTime;
     double nowMs;
-    /** Changes the membership's datagrams on their way out, for wrong versions and liars; else null. */
+    /** Replaces datagrams sent from {@link #tamperedSlot}, to simulate misbehaving members; else null. */
     private UnaryOperator<Datagram> datagramTamperer;
 
     private int tamperedSlot = -1;
     private Consumer<SimulatedProcess> startListener = process -> {};
 
+    /**
+     * Creates a fleet in which no process runs yet.
+     *
+     * @param encodeDatagrams whether to encode and decode datagrams, or to pass them as objects and estimate their
+     *                        sizes
+     */
     VirtualFleet(FaultSchedule schedule, MembershipMonitor monitor, boolean encodeDatagrams) {
         this.schedule = schedule;
         this.monitor = monitor;
@@ -119,6 +132,7 @@
         this.processBySlot = new SimulatedProcess[schedule.slotCount()];
     }
 
+    /** Returns the address of the process in a slot. */
     static String addressOf(int slot) {
         return "127." + (slot >> 16) + "." + (slot >> 8 & 255) + "." + (slot & 255) + ":7301";
     }
@@ -128,12 +142,13 @@
         return Integer.parseInt(parts[1]) << 16 | Integer.parseInt(parts[2]) << 8 | Integer.parseInt(parts[3]);
     }
 
-    /** What the process in a slot sends is changed so; a null result is not sent. */
+    /** Replaces the datagrams that the process in a slot sends; a datagram replaced by null is dropped. */
     void tamperWithSent(int slot, UnaryOperator<Datagram> tamperer) {
         tamperedSlot = slot;
         datagramTamperer = tamperer;
     }
 
+    /** Sets a listener that is called with each started process. */
     void setStartListener(Consumer<SimulatedProcess> listener) {
         startListener = listener;
     }
@@ -142,7 +157,7 @@
         events.add(new ScheduledEvent(timeMs, nextSequence++, action));
     }
 
-    /** Starts what the schedule starts. */
+    /** Starts the doormans that the schedule begins with. */
     void startInitialProcesses() {
         for (int i = 0; i < schedule.initialDoormans(); i++) {
             int slot = i;
@@ -151,21 +166,21 @@
         runUntil(START_SPREAD_MS);
     }
 
-    /** Plays until then. */
+    /** Runs all events up to a time. */
     void runUntil(double untilMs) {
         while (!events.isEmpty() && events.peek().timeMs <= untilMs) {
             ScheduledEvent event = events.poll();
             eventsAtThisTime = event.timeMs > nowMs ? 0 : eventsAtThisTime + 1;
             nowMs = Math.max(nowMs, event.timeMs);
             if (eventsAtThisTime > MAX_EVENTS_AT_ONE_TIME) {
-                throw new AssertionError("a doorman asks to be woken at " + nowMs + " ms again and again");
+                throw new AssertionError("a doorman schedules its timer at " + nowMs + " ms in an endless loop");
             }
             event.action.run();
         }
         nowMs = Math.max(nowMs, untilMs);
     }
 
-    /** Plays the whole schedule; the times in ms that it took to settle where it says so, and at the end. */
+    /** Runs the whole schedule. Returns the settle times in ms, of each step that awaits settling and of the end. */
     List<Double> run() {
         List<Double> settleTimesMs = new ArrayList<>();
         startInitialProcesses();
@@ -180,13 +195,13 @@
         return settleTimesMs;
     }
 
-    /** Plays until every component has settled on itself, and gives the time that took, or infinity. */
+    /** Runs until the views in every connected component agree. Returns the time in ms that took, or infinity. */
     private double runUntilSettled() {
         double fromMs = nowMs;
         for (String reason = unsettledReason(); reason != null; reason = unsettledReason()) {
             if (nowMs >= fromMs + schedule.settleTimeoutMs()) {
                 monitor.addViolation(
-                        "settles: " + reason + " " + Math.round(nowMs - fromMs) + " ms after the last step");
+                        "not settled: " + reason + " " + Math.round(nowMs - fromMs) + " ms after the last step");
                 return Double.POSITIVE_INFINITY;
             }
             runUntil(nowMs + SETTLE_CHECK_INTERVAL_MS);
@@ -314,6 +329,7 @@
         scheduleTick(process);
     }
 
+    /** Injects a fault. */
     void apply(Fault fault) {
         if (fault instanceof Fault.Kill kill) {
             forEachProcess(kill.slots(), this::terminate);
@@ -374,7 +390,7 @@
         });
     }
 
-    /** Null where every component has settled on itself; else what is still missing. */
+    /** Returns null where the views in every connected component agree, or else the first difference. */
     String unsettledReason() {
         Set<Integer> upSlots = new TreeSet<>();
         for (SimulatedProcess process : processBySlot) {
@@ -414,7 +430,7 @@
                         + Long.toHexString(process.membership.digest()) + " against " + Long.toHexString(digest)
                         + describeDifference(process, byName);
             }
-            // Not only by the digests' word, where that can be afforded.
+            // Small fleets also compare the members themselves, as equal digests may hide a difference.
             String difference = encodeDatagrams ? describeDifference(process, byName) : "";
             if (!difference.isEmpty()) {
                 return process.name + " has the same digest" + difference;
@@ -444,10 +460,12 @@
         return text.length() > 400 ? text.substring(0, 400) : text.toString();
     }
 
+    /** Returns the process in a slot, or null. */
     SimulatedProcess process(int slot) {
         return processBySlot[slot];
     }
 
+    /** Returns all processes that were ever started. */
     List<SimulatedProcess> allProcesses() {
         return allProcesses;
     }
