--- a/lab/src/main/java/barleyspur/lab/Lab.java
+++ b/lab/src/main/java/barleyspur/lab/Lab.java
@@ -1,10 +1,10 @@
 package barleyspur.lab;
 
 import barleyspur.config.Hcl;
-import barleyspur.lab.fleet.BudgetLab;
+import barleyspur.lab.fleet.BudgetCommands;
 import barleyspur.lab.fleet.FleetDemo;
-import barleyspur.lab.fleet.FleetLab;
-import barleyspur.lab.fleet.FleetMeasure;
+import barleyspur.lab.fleet.FleetMeasurement;
+import barleyspur.lab.fleet.FleetRunCommand;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -168,7 +168,7 @@
                     throw new IllegalArgumentException(
                             "expected budget, not " + String.join(" ", commandLine.getArgList()));
                 }
-                return BudgetLab.check(
+                return BudgetCommands.checkModel(
                                 parseInteger(commandLine, "steps", 14, 1),
                                 parseInteger(commandLine, "faults", 2, 0),
                                 commandLine.getOptionValue("replay"))
@@ -220,8 +220,8 @@
                     commandLine.getOptionValue("sizes", "3,14,100,1000").split(",")) {
                 sizes.add(parseInteger("sizes", size, 3));
             }
-            FleetMeasure.print(sizes);
-            FleetMeasure.printVerdicts(14, parseInteger(commandLine, "minutes", 60, 1));
+            FleetMeasurement.print(sizes);
+            FleetMeasurement.printFalsePositives(14, parseInteger(commandLine, "minutes", 60, 1));
             return OK;
         }
         if (arguments.equals(List.of("demo"))) {
@@ -244,8 +244,8 @@
         int seeds = parseInteger(commandLine, "seeds", 1, 1);
         try {
             return (commandLine.hasOption("virtual")
-                            ? FleetLab.virtual(scenario, seeds, folder)
-                            : FleetLab.real(scenario, doormanJar(commandLine), folder))
+                            ? FleetRunCommand.runSimulations(scenario, seeds, folder)
+                            : FleetRunCommand.runProcesses(scenario, doormanJar(commandLine), folder))
                     ? OK
                     : FAILED;
         } catch (Hcl.Invalid e) {
@@ -261,7 +261,7 @@
             for (String size : commandLine.getOptionValue("sizes", "3,14,100").split(",")) {
                 sizes.add(parseInteger("sizes", size, 3));
             }
-            BudgetLab.measure(sizes);
+            BudgetCommands.printMeasurements(sizes);
             return OK;
         }
         if (arguments.equals(List.of("scale"))) {
@@ -276,8 +276,8 @@
         int seeds = parseInteger(commandLine, "seeds", 1, 1);
         try {
             return (commandLine.hasOption("virtual")
-                            ? BudgetLab.virtual(scenario, seeds, folder)
-                            : BudgetLab.real(scenario, doormanJar(commandLine), folder))
+                            ? BudgetCommands.runSimulations(scenario, seeds, folder)
+                            : BudgetCommands.runProcesses(scenario, doormanJar(commandLine), folder))
                     ? OK
                     : FAILED;
         } catch (Hcl.Invalid e) {
--- a/lab/src/test/java/barleyspur/lab/fleet/BudgetMutationTest.java
+++ b/lab/src/test/java/barleyspur/lab/fleet/BudgetMutationTest.java
@@ -215,7 +215,7 @@
 
     /** Runs the exploration; called on the classes of a mutant. */
     static void explore(String kind) {
-        BudgetChecker.Result result = new BudgetChecker(BudgetKind.valueOf(kind), 12).explore(2);
-        assertEquals(null, result.broken());
+        BudgetModelChecker.ExplorationResult result = new BudgetModelChecker(BudgetKind.valueOf(kind), 12).explore(2);
+        assertEquals(null, result.violation());
     }
 }
--- a/lab/src/test/java/barleyspur/lab/fleet/BudgetProcessesTest.java
+++ b/lab/src/test/java/barleyspur/lab/fleet/BudgetProcessesTest.java
@@ -26,11 +26,11 @@
     @TempDir
     Path folder;
 
-    private BudgetFleet.Result play(String file) throws Exception {
+    private BudgetProcessRun.RunResult play(String file) throws Exception {
         assertTrue(Files.isReadable(JAR), "the doorman's jar has to be built first: mvn verify");
-        BudgetFleet.Result result = BudgetFleet.play(
+        BudgetProcessRun.RunResult result = BudgetProcessRun.run(
                 ScenarioFile.load(Path.of("..", "examples", "budget", file)), JAR, folder, System.out::println);
-        assertEquals(List.of(), result.broken());
+        assertEquals(List.of(), result.violations());
         return result;
     }
 
@@ -41,8 +41,8 @@
      */
     @Test
     void leasesOfLostHoldersAreNotReused() throws Exception {
-        BudgetFleet.Result result = play("holders.hcl");
-        assertTrue(result.boxes().get("s-0").peakConcurrency() > 0, "the box got no requests");
+        BudgetProcessRun.RunResult result = play("holders.hcl");
+        assertTrue(result.tallyByBox().get("s-0").peakConcurrency() > 0, "the box got no requests");
     }
 
     /**
@@ -51,7 +51,7 @@
      */
     @Test
     void lostCoordinatorsAreReplacedOneAtATime() throws Exception {
-        assertTrue(play("dividers.hcl").shares().dividers() >= 3);
+        assertTrue(play("dividers.hcl").budgetMonitor().coordinatorCount() >= 3);
     }
 
     /**
@@ -68,21 +68,21 @@
      */
     @Test
     void rollingRestartKeepsTheCapacityInUse() throws Exception {
-        assertTrue(play("rolling.hcl").shares().dividers() >= 2);
+        assertTrue(play("rolling.hcl").budgetMonitor().coordinatorCount() >= 2);
     }
 
     /** A capacity halved by a reload is kept once the larger leases have expired, and can be raised again. */
     @Test
     void halvedCapacityIsKept() throws Exception {
-        BudgetFleet.Result result = play("whole.hcl");
-        double reducedMs = result.struck().stream()
+        BudgetProcessRun.RunResult result = play("whole.hcl");
+        double reducedMs = result.injectedFaults().stream()
                 .filter(step -> step.fault() instanceof Fault.Whole)
                 .findFirst()
                 .orElseThrow()
-                .atMs();
-        long maxLeasedBefore = result.shares().all().stream()
+                .timeMs();
+        long maxLeasedBefore = result.budgetMonitor().allLeases().stream()
                 .filter(lease -> lease.atMs() < reducedMs)
-                .mapToLong(BudgetWatch.Told::amount)
+                .mapToLong(BudgetMonitor.Told::amount)
                 .max()
                 .orElse(0);
         assertTrue(maxLeasedBefore >= 3, "a quarter of the twelve should have been leased before: " + maxLeasedBefore);
@@ -91,9 +91,9 @@
     /** A single place among 14 processes is never used twice at once, and doesn't stay with one of them. */
     @Test
     void onePlaceRotatesAmongFourteen() throws Exception {
-        Set<Integer> holders = play("one.hcl").shares().all().stream()
+        Set<Integer> holders = play("one.hcl").budgetMonitor().allLeases().stream()
                 .filter(lease -> lease.budget().startsWith("calls:") && lease.amount() > 0)
-                .map(BudgetWatch.Told::slot)
+                .map(BudgetMonitor.Told::slot)
                 .collect(Collectors.toSet());
         assertTrue(holders.size() > 1, "one place stayed with " + holders);
     }
@@ -101,6 +101,6 @@
     /** The total that may be sent to a young box isn't granted again when a coordinator dies. */
     @Test
     void amountIsSpentOnce() throws Exception {
-        assertTrue(play("cold.hcl").boxes().get("s-0").arrivals() > 0, "the box got no requests");
+        assertTrue(play("cold.hcl").tallyByBox().get("s-0").arrivals() > 0, "the box got no requests");
     }
 }
--- a/lab/src/test/java/barleyspur/lab/fleet/FleetProcessesTest.java
+++ b/lab/src/test/java/barleyspur/lab/fleet/FleetProcessesTest.java
@@ -24,20 +24,20 @@
     @TempDir
     Path folder;
 
-    private Watch play(String file) throws Exception {
+    private MembershipMonitor play(String file) throws Exception {
         assertTrue(Files.isReadable(JAR), "the jar of the doorman is missing; run mvn verify first");
-        Watch watch = new Watch(true);
+        MembershipMonitor watch = new MembershipMonitor(true);
         try (RealFleet fleet = new RealFleet(
                 ScenarioFile.load(Path.of("..", "examples", "fleet", file)), watch, JAR, folder, System.out::println)) {
-            fleet.play();
+            fleet.run();
         }
-        assertEquals(List.of(), watch.broken());
+        assertEquals(List.of(), watch.violations());
         return watch;
     }
 
-    private static List<Watch.Told> lostChanges(Watch watch) {
-        return watch.all().stream()
-                .filter(t -> t.kind().equals("Lost") && !t.why().equals("STOOD_STILL"))
+    private static List<MembershipMonitor.ReportedChange> lostChanges(MembershipMonitor watch) {
+        return watch.allChanges().stream()
+                .filter(t -> t.kind().equals("Lost") && !t.reason().equals("STOOD_STILL"))
                 .toList();
     }
 
@@ -65,10 +65,10 @@
      */
     @Test
     void unreachableMemberIsRemoved() throws Exception {
-        Watch watch = play("noise.hcl");
+        MembershipMonitor watch = play("noise.hcl");
         long reporters = lostChanges(watch).stream()
                 .filter(t -> t.member().equals("d4"))
-                .map(Watch.Told::slot)
+                .map(MembershipMonitor.ReportedChange::slot)
                 .distinct()
                 .count();
         assertEquals(8, reporters);
@@ -80,21 +80,24 @@
      */
     @Test
     void newerProcessesReplaceOlderOnes() throws Exception {
-        Watch watch = play("lives.hcl");
-        assertTrue(watch.all().stream()
-                .anyMatch(t -> t.kind().equals("Lost") && t.standing().equals("LEFT")));
-        Set<String> kinds =
-                Set.copyOf(watch.all().stream().map(Watch.Told::kind).toList());
+        MembershipMonitor watch = play("lives.hcl");
+        assertTrue(watch.allChanges().stream()
+                .anyMatch(t -> t.kind().equals("Lost") && t.state().equals("LEFT")));
+        Set<String> kinds = Set.copyOf(watch.allChanges().stream()
+                .map(MembershipMonitor.ReportedChange::kind)
+                .toList());
         assertTrue(kinds.contains("Name"), "a second process of the same name must be reported, kinds: " + kinds);
     }
 
     /** In a rolling restart with mixed formats each member is reported as LEFT and never as DEAD. */
     @Test
     void rollingRestartWithMixedFormatsConverges() throws Exception {
-        Watch watch = play("rolling.hcl");
+        MembershipMonitor watch = play("rolling.hcl");
         assertEquals(
                 Set.of("LEFT"),
-                Set.copyOf(lostChanges(watch).stream().map(Watch.Told::standing).toList()));
+                Set.copyOf(lostChanges(watch).stream()
+                        .map(MembershipMonitor.ReportedChange::state)
+                        .toList()));
     }
 
     /**
--- a/lab/src/test/java/barleyspur/lab/fleet/VirtualFleetTest.java
+++ b/lab/src/test/java/barleyspur/lab/fleet/VirtualFleetTest.java
@@ -20,12 +20,12 @@
 
     private static final double SETTLE_MS = 30_000;
 
-    private static Schedule quiet(int doormans, int started, List<Schedule.Step> steps) {
-        return new Schedule("test", doormans, started, List.of(0, 1), 500, steps, SETTLE_MS, 7);
+    private static FaultSchedule quiet(int doormans, int started, List<FaultSchedule.Step> steps) {
+        return new FaultSchedule("test", doormans, started, List.of(0, 1), 500, steps, SETTLE_MS, 7);
     }
 
-    private static List<Watch.Told> lostChanges(Watch watch) {
-        return watch.all().stream().filter(t -> t.kind().equals("Lost")).toList();
+    private static List<MembershipMonitor.ReportedChange> lostChanges(MembershipMonitor watch) {
+        return watch.allChanges().stream().filter(t -> t.kind().equals("Lost")).toList();
     }
 
     /** No random fault schedule violates a guarantee. A few hundred schedules run here; 10,000 are run manually. */
@@ -40,12 +40,12 @@
     /** A schedule survives being written and read, so that the file of a failing seed reproduces the failure. */
     @Test
     void scheduleFileRoundTrips() throws Exception {
-        Schedule schedule = Schedule.random(5, 10, 500, SETTLE_MS, 3);
-        Schedule again = ScenarioFile.read("x.hcl", ScenarioFile.write(schedule));
+        FaultSchedule schedule = FaultSchedule.random(5, 10, 500, SETTLE_MS, 3);
+        FaultSchedule again = ScenarioFile.read("x.hcl", ScenarioFile.write(schedule));
         assertEquals(ScenarioFile.write(schedule), ScenarioFile.write(again));
         assertEquals(schedule.steps().size(), again.steps().size());
         // Another seed generates other steps, except for a schedule whose steps are written in the file.
-        Schedule shrunk = schedule.with(schedule.steps().subList(0, 3));
+        FaultSchedule shrunk = schedule.with(schedule.steps().subList(0, 3));
         assertEquals(
                 3,
                 ScenarioFile.read("x.hcl", ScenarioFile.write(shrunk))
@@ -53,7 +53,7 @@
                         .steps()
                         .size());
         assertEquals(
-                Schedule.random(5, 10, 500, SETTLE_MS, 9).steps(),
+                FaultSchedule.random(5, 10, 500, SETTLE_MS, 9).steps(),
                 schedule.with(9).steps());
     }
 
@@ -62,17 +62,18 @@
      */
     @Test
     void nineHundredMembersJoinFleetOfOneHundred() {
-        Watch watch = new Watch(false);
+        MembershipMonitor watch = new MembershipMonitor(false);
         VirtualFleet fleet = new VirtualFleet(
                 quiet(
                         1_000,
                         100,
-                        List.of(new Schedule.Step(true, 1_000, new Fault.Start(Schedule.range(100, 1_000), "", 0, 2)))),
+                        List.of(new FaultSchedule.Step(
+                                true, 1_000, new Fault.Start(FaultSchedule.slotRange(100, 1_000), "", 0, 2)))),
                 watch,
                 false);
-        fleet.play();
-        assertEquals(List.of(), watch.broken());
-        assertEquals(1_000, fleet.in(500).membership.memberCount());
+        fleet.run();
+        assertEquals(List.of(), watch.violations());
+        assertEquals(1_000, fleet.process(500).membership.memberCount());
     }
 
     /**
@@ -82,17 +83,17 @@
      * @param state             the state in the forged records
      * @param incarnationsAhead how far their incarnations are ahead of the real ones
      */
-    private static Watch playWithForgedGossip(MemberState state, long incarnationsAhead) {
-        Watch watch = new Watch(true);
+    private static MembershipMonitor playWithForgedGossip(MemberState state, long incarnationsAhead) {
+        MembershipMonitor watch = new MembershipMonitor(true);
         VirtualFleet fleet = new VirtualFleet(quiet(14, 14, List.of()), watch, true);
-        fleet.begin();
-        fleet.playTo(5_000);
-        assertNull(fleet.settled());
+        fleet.startInitialProcesses();
+        fleet.runUntil(5_000);
+        assertNull(fleet.unsettledReason());
         int before = lostChanges(watch).size();
-        fleet.tamper(0, datagram -> {
+        fleet.tamperWithSent(0, datagram -> {
             List<MembershipRecord> forged = new ArrayList<>();
             for (int slot = 1; slot < 7; slot++) {
-                MembershipRecord real = fleet.in(slot).membership.self();
+                MembershipRecord real = fleet.process(slot).membership.self();
                 forged.add(new MembershipRecord(
                         real.name(),
                         real.generation(),
@@ -104,12 +105,12 @@
             }
             return new Datagram(datagram.sender(), datagram.digest(), datagram.message(), forged);
         });
-        fleet.playTo(65_000);
+        fleet.runUntil(65_000);
         assertEquals(before, lostChanges(watch).size(), "changes of kind Lost");
-        fleet.tamper(-1, null);
-        fleet.playTo(75_000);
-        assertNull(fleet.settled());
-        assertEquals(List.of(), watch.broken());
+        fleet.tamperWithSent(-1, null);
+        fleet.runUntil(75_000);
+        assertNull(fleet.unsettledReason());
+        assertEquals(List.of(), watch.violations());
         return watch;
     }
 
@@ -130,15 +131,15 @@
     /** A member that receives SIGTERM leaves all views at once, in the state LEFT rather than DEAD. */
     @Test
     void leavingIsReportedAsLeft() {
-        Watch watch = new Watch(true);
+        MembershipMonitor watch = new MembershipMonitor(true);
         VirtualFleet fleet = new VirtualFleet(quiet(14, 14, List.of()), watch, true);
-        fleet.begin();
-        fleet.playTo(5_000);
+        fleet.startInitialProcesses();
+        fleet.runUntil(5_000);
         fleet.apply(new Fault.Term(Set.of(4)));
-        fleet.playTo(5_500);
+        fleet.runUntil(5_500);
         assertEquals(13, lostChanges(watch).size());
         assertTrue(lostChanges(watch).stream()
-                .allMatch(t -> t.standing().equals("LEFT") && t.member().equals("d5")));
+                .allMatch(t -> t.state().equals("LEFT") && t.member().equals("d5")));
     }
 
     /**
@@ -147,38 +148,38 @@
      */
     @Test
     void newerProcessKeepsSharedName() {
-        Watch watch = new Watch(true);
+        MembershipMonitor watch = new MembershipMonitor(true);
         VirtualFleet fleet = new VirtualFleet(quiet(6, 5, List.of()), watch, true);
-        fleet.begin();
-        fleet.playTo(5_000);
+        fleet.startInitialProcesses();
+        fleet.runUntil(5_000);
         fleet.apply(new Fault.Start(Set.of(5), "d2", 0, 2));
-        fleet.playTo(10_000);
-        assertNull(fleet.settled());
-        assertTrue(fleet.in(1).membership.view(fleet.nowMs).nameGivenUp());
-        long changes = watch.all().size();
-        fleet.playTo(60_000);
-        assertEquals(changes, watch.all().size(), "the two processes must not replace each other repeatedly");
+        fleet.runUntil(10_000);
+        assertNull(fleet.unsettledReason());
+        assertTrue(fleet.process(1).membership.view(fleet.nowMs).nameGivenUp());
+        long changes = watch.allChanges().size();
+        fleet.runUntil(60_000);
+        assertEquals(changes, watch.allChanges().size(), "the two processes must not replace each other repeatedly");
         fleet.apply(new Fault.Kill(Set.of(5)));
-        fleet.playTo(90_000);
-        assertNull(fleet.settled());
-        assertTrue(!fleet.in(1).membership.view(fleet.nowMs).nameGivenUp());
+        fleet.runUntil(90_000);
+        assertNull(fleet.unsettledReason());
+        assertTrue(!fleet.process(1).membership.view(fleet.nowMs).nameGivenUp());
     }
 
     /** After a pause a process reports its view as in doubt, even when asked before it has processed any input. */
     @Test
     void viewIsInDoubtAfterProcessPause() {
-        Watch watch = new Watch(true);
+        MembershipMonitor watch = new MembershipMonitor(true);
         VirtualFleet fleet = new VirtualFleet(quiet(5, 5, List.of()), watch, true);
-        fleet.begin();
-        fleet.playTo(5_000);
+        fleet.startInitialProcesses();
+        fleet.runUntil(5_000);
         fleet.apply(new Fault.Freeze(Set.of(2)));
-        fleet.playTo(15_000);
-        assertTrue(fleet.in(2).membership.isInDoubt(15_000), "asked before the membership has seen the new time");
+        fleet.runUntil(15_000);
+        assertTrue(fleet.process(2).membership.isInDoubt(15_000), "asked before the membership has seen the new time");
         fleet.apply(new Fault.Thaw(Set.of(2)));
-        fleet.playTo(16_500);
-        assertNull(fleet.settled());
-        List<Watch.Told> own = watch.all().stream()
-                .filter(t -> t.slot() == 2 && t.atMs() >= 15_000)
+        fleet.runUntil(16_500);
+        assertNull(fleet.unsettledReason());
+        List<MembershipMonitor.ReportedChange> own = watch.allChanges().stream()
+                .filter(t -> t.slot() == 2 && t.timeMs() >= 15_000)
                 .toList();
         assertEquals("Doubt", own.get(0).kind());
     }
@@ -186,16 +187,18 @@
     /** With one direction between two members cut, indirect probes succeed and nobody is suspected. */
     @Test
     void asymmetricPartitionRemovesNobody() {
-        Watch watch = new Watch(true);
+        MembershipMonitor watch = new MembershipMonitor(true);
         VirtualFleet fleet = new VirtualFleet(quiet(9, 9, List.of()), watch, true);
-        fleet.begin();
-        fleet.playTo(5_000);
+        fleet.startInitialProcesses();
+        fleet.runUntil(5_000);
         fleet.apply(new Fault.Cut(Set.of(2), Set.of(4), false));
-        fleet.playTo(120_000);
+        fleet.runUntil(120_000);
         assertEquals(0, lostChanges(watch).size());
         assertEquals(
                 0,
-                watch.all().stream().filter(t -> t.standing().equals("SUSPECT")).count(),
+                watch.allChanges().stream()
+                        .filter(t -> t.state().equals("SUSPECT"))
+                        .count(),
                 "suspected members");
     }
 
@@ -207,55 +210,58 @@
                         8,
                         8,
                         List.of(
-                                new Schedule.Step(true, 0, new Fault.Kill(Set.of(0, 1))),
-                                new Schedule.Step(true, 0, new Fault.Split(List.of(Set.of(2, 3, 4), Set.of(5, 6, 7)))),
-                                new Schedule.Step(true, 0, new Fault.Heal()))),
-                new Watch(false),
+                                new FaultSchedule.Step(true, 0, new Fault.Kill(Set.of(0, 1))),
+                                new FaultSchedule.Step(
+                                        true, 0, new Fault.Split(List.of(Set.of(2, 3, 4), Set.of(5, 6, 7)))),
+                                new FaultSchedule.Step(true, 0, new Fault.Heal()))),
+                new MembershipMonitor(false),
                 true);
-        assertTrue(fleet.play().get(3) < SETTLE_MS);
+        assertTrue(fleet.run().get(3) < SETTLE_MS);
     }
 
     /** A member that missed a change while cut off gets it by anti-entropy, after gossip no longer spreads it. */
     @Test
     void antiEntropyRepairsMissedGossip() {
-        VirtualFleet fleet = new VirtualFleet(quiet(100, 100, List.of()), new Watch(false), true);
-        fleet.begin();
-        fleet.playTo(20_000);
-        fleet.apply(new Fault.Cut(Schedule.range(0, 100), Set.of(4), false));
+        VirtualFleet fleet = new VirtualFleet(quiet(100, 100, List.of()), new MembershipMonitor(false), true);
+        fleet.startInitialProcesses();
+        fleet.runUntil(20_000);
+        fleet.apply(new Fault.Cut(FaultSchedule.slotRange(0, 100), Set.of(4), false));
         fleet.apply(new Fault.Quiesce(Set.of(3), true));
-        fleet.playTo(21_500);
+        fleet.runUntil(21_500);
         fleet.apply(new Fault.Heal());
-        fleet.playTo(26_500);
-        assertNull(fleet.settled());
+        fleet.runUntil(26_500);
+        assertNull(fleet.unsettledReason());
     }
 
     /** Nobody is declared dead in ten minutes of 10% packet loss, nor while some doormans get a fifth of a core. */
     @Test
     void packetLossAndSlowProcessesRemoveNobody() {
-        Watch watch = new Watch(true);
+        MembershipMonitor watch = new MembershipMonitor(true);
         VirtualFleet fleet = new VirtualFleet(quiet(14, 14, List.of()), watch, true);
-        fleet.begin();
-        fleet.playTo(5_000);
-        fleet.apply(new Fault.Weather(Schedule.range(0, 14), Schedule.range(0, 14), new Fault.Noise(0.1, 20, 0, 0)));
-        fleet.playTo(605_000);
-        fleet.apply(new Fault.Weather(Schedule.range(0, 14), Schedule.range(0, 14), Fault.Noise.NONE));
+        fleet.startInitialProcesses();
+        fleet.runUntil(5_000);
+        fleet.apply(new Fault.Weather(
+                FaultSchedule.slotRange(0, 14), FaultSchedule.slotRange(0, 14), new Fault.Noise(0.1, 20, 0, 0)));
+        fleet.runUntil(605_000);
+        fleet.apply(
+                new Fault.Weather(FaultSchedule.slotRange(0, 14), FaultSchedule.slotRange(0, 14), Fault.Noise.NONE));
         fleet.apply(new Fault.Starve(Set.of(1, 5, 9, 13), 0.2));
-        fleet.playTo(905_000);
+        fleet.runUntil(905_000);
         assertEquals(List.of(), lostChanges(watch));
     }
 
     /** A quiesce reaches all views within a second, by a new incarnation. */
     @Test
     void quiesceReachesAllViews() {
-        Watch watch = new Watch(false);
+        MembershipMonitor watch = new MembershipMonitor(false);
         VirtualFleet fleet = new VirtualFleet(quiet(14, 14, List.of()), watch, true);
-        fleet.begin();
-        fleet.playTo(5_000);
+        fleet.startInitialProcesses();
+        fleet.runUntil(5_000);
         fleet.apply(new Fault.Quiesce(Set.of(3), true));
-        fleet.playTo(6_000);
+        fleet.runUntil(6_000);
         for (int slot = 0; slot < 14; slot++) {
             assertTrue(
-                    fleet.in(slot).membership.view(6_000).members().stream()
+                    fleet.process(slot).membership.view(6_000).members().stream()
                             .anyMatch(m -> m.record().name().equals("d4")
                                     && m.record().metadata().phase().equals("quiesced")),
                     "slot " + slot);
@@ -267,16 +273,17 @@
     void idleTrafficIsIndependentOfFleetSize() {
         double[] perSecond = new double[2];
         for (int i = 0; i < 2; i++) {
-            VirtualFleet fleet =
-                    new VirtualFleet(quiet(i == 0 ? 14 : 140, i == 0 ? 14 : 140, List.of()), new Watch(false), true);
-            fleet.begin();
-            fleet.playTo(20_000);
-            long before = fleet.processes().stream().mapToLong(p -> p.sentBytes).sum();
-            fleet.playTo(40_000);
+            VirtualFleet fleet = new VirtualFleet(
+                    quiet(i == 0 ? 14 : 140, i == 0 ? 14 : 140, List.of()), new MembershipMonitor(false), true);
+            fleet.startInitialProcesses();
+            fleet.runUntil(20_000);
+            long before =
+                    fleet.allProcesses().stream().mapToLong(p -> p.sentBytes).sum();
+            fleet.runUntil(40_000);
             perSecond[i] =
-                    (fleet.processes().stream().mapToLong(p -> p.sentBytes).sum() - before)
+                    (fleet.allProcesses().stream().mapToLong(p -> p.sentBytes).sum() - before)
                             / 20.0
-                            / fleet.processes().size();
+                            / fleet.allProcesses().size();
         }
         assertTrue(perSecond[0] < 2_000 && perSecond[1] < 1.1 * perSecond[0], perSecond[0] + " and " + perSecond[1]);
     }
@@ -284,30 +291,30 @@
     /** Datagrams of an earlier process that are captured and replayed after its restart change nothing. */
     @Test
     void replayedDatagramsChangeNothing() {
-        Watch watch = new Watch(true);
+        MembershipMonitor watch = new MembershipMonitor(true);
         VirtualFleet fleet = new VirtualFleet(quiet(5, 5, List.of()), watch, true);
         List<Datagram> captured = new ArrayList<>();
-        fleet.tamper(2, datagram -> {
+        fleet.tamperWithSent(2, datagram -> {
             if (datagram.message() instanceof Message.Ping) {
                 captured.add(datagram);
             }
             return datagram;
         });
-        fleet.begin();
-        fleet.playTo(5_000);
+        fleet.startInitialProcesses();
+        fleet.runUntil(5_000);
         fleet.apply(new Fault.Kill(Set.of(2)));
-        fleet.playTo(5_200);
+        fleet.runUntil(5_200);
         fleet.apply(new Fault.Start(Set.of(2), "", -3_600_000, 2));
-        fleet.playTo(12_000);
-        assertNull(fleet.settled());
-        int before = watch.all().size();
+        fleet.runUntil(12_000);
+        assertNull(fleet.unsettledReason());
+        int before = watch.allChanges().size();
         for (Datagram datagram : captured) {
             for (int slot = 0; slot < 5; slot++) {
-                fleet.in(slot).membership.receive(fleet.nowMs, datagram);
+                fleet.process(slot).membership.receive(fleet.nowMs, datagram);
             }
         }
-        fleet.playTo(20_000);
-        assertNull(fleet.settled());
-        assertEquals(before, watch.all().size());
+        fleet.runUntil(20_000);
+        assertNull(fleet.unsettledReason());
+        assertEquals(before, watch.allChanges().size());
     }
 }
