--- a/doorman/src/main/java/barleyspur/config/BudgetSettings.java
+++ b/doorman/src/main/java/barleyspur/config/BudgetSettings.java
@@ -9,23 +9,24 @@
 import java.util.TreeMap;
 
 /**
- * The blocks {@code budgets} and {@code budget}: what the doormans of a fleet may use together.
+ * Settings of the blocks {@code budgets} and {@code budget}: limits on what all doormans of a fleet use together.
  *
- * @param guards which budgets count attempts at nodes, by the budgets' names
+ * @param guards the budgets that limit attempts at nodes, by budget name
  */
 public record BudgetSettings(BudgetConfig terms, Map<String, Guard> guards) {
 
     /**
-     * Attempts at nodes of a model take from a budget that each such node has: {@code NAME:UID}.
+     * A budget that limits the attempts at each node of a model. Each such node has a budget of its own, named
+     * {@code NAME:UID}.
      *
-     * @param at    the nodes' model, as the platform names it
-     * @param place of the key, for errors that only the platform's settings show
+     * @param at    the model of the nodes, as the platform's configuration names it
+     * @param place the key {@code at}, for errors that show only when compared with the platform's configuration
      */
     public record Guard(String at, Hcl.Value place) {}
 
     private static final double SECOND = 1_000;
     private static final double MOST_WHOLE = 1e9;
-    /** Behind a budget's name stands a node's id. */
+    /** Limits the length of {@code NAME:UID}, a budget name that a node id is appended to. */
     private static final int LONGEST_NAME = 24;
 
     static BudgetSettings read(Hcl.Block common, List<Hcl.Block> blocks) throws Hcl.Invalid {
@@ -70,16 +71,16 @@
     }
 
     /**
-     * Reads one budget.
+     * Reads one block {@code budget}.
      *
-     * @param largest the most processes there ever are at once
-     * @param restMs  of a lease in which no place may be taken any more
+     * @param largest the maximum number of processes at any time
+     * @param restMs  how long before the end of a lease places can no longer be acquired
      */
     public static BudgetConfig.Budget budget(Hcl.Block b, int largest, double restMs) throws Hcl.Invalid {
         String name = b.label();
         if (!name.matches("[a-z0-9._-]{1," + LONGEST_NAME + "}")) {
-            throw b.invalid(
-                    "has a name that is not 1 to " + LONGEST_NAME + " of a-z, 0-9, '.', '_' and '-': \"" + name + "\"");
+            throw b.invalid("has a name that is not 1 to " + LONGEST_NAME
+                    + " characters of a-z, 0-9, '.', '_' and '-': \"" + name + "\"");
         }
         Hcl.Value kindAt = FleetSettings.required(b, "kind");
         BudgetKind kind = null;
@@ -107,7 +108,7 @@
                     .invalid("makes a burst of " + burst + ", under one unit for each of " + largest + " doormans");
         }
         if (burstAt != null && kind != BudgetKind.RATE) {
-            throw burstAt.invalid("is a rate's, not of " + kindAt.text());
+            throw burstAt.invalid("applies only to the kind rate, not to " + kindAt.text());
         }
         double weight = b.number("weight", 1, BudgetConfig.MIN_WEIGHT, BudgetConfig.MAX_WEIGHT);
         double lease = FleetSettings.time(b, "lease", 5 * SECOND, 500, 60 * SECOND);
@@ -120,7 +121,7 @@
         return new BudgetConfig.Budget(name, kind, whole, burst, floor, weight, lease);
     }
 
-    /** Turns down guards of models that the platform's configuration doesn't have. */
+    /** Rejects guards of models that the platform's configuration doesn't have. */
     void check(List<String> models) throws Hcl.Invalid {
         for (Guard guard : guards.values()) {
             if (!models.contains(guard.at())) {
@@ -131,14 +132,14 @@
         }
     }
 
-    /** The numbers of the models that are guarded, by the budgets' names. */
+    /** Returns the index of each guarded model in {@code models}, by budget name. */
     public Map<String, Integer> guarded(List<String> models) {
         Map<String, Integer> guarded = new TreeMap<>();
         guards.forEach((name, guard) -> guarded.put(name, models.indexOf(guard.at())));
         return guarded;
     }
 
-    /** What differs from these settings but for wholes and weights, which alone may change while a doorman runs. */
+    /** Returns what differs in {@code next} and needs a restart: all but capacities, bursts and weights. */
     List<String> fixedChanges(BudgetSettings next) {
         if (next == null) {
             return List.of("budgets");
--- a/doorman/src/main/java/barleyspur/config/Configuration.java
+++ b/doorman/src/main/java/barleyspur/config/Configuration.java
@@ -20,10 +20,12 @@
 import org.json.JSONTokener;
 
 /**
- * All that one doorman is told: read, checked and defaulted here and nowhere else. {@code known} is the
- * command channel's own form, for the channel's parser to read. {@code mgmt}, the second address, is null where the
- * platform gives none; {@code scratch} is the folder that {@code $TMPDIR} names, which an upgrade's two processes
- * share.
+ * The platform's configuration of one doorman. Only this class parses and validates it and applies defaults.
+ *
+ * @param channel address of the command channel
+ * @param mgmt    address for management requests, or null if the platform gives none
+ * @param scratch the directory {@code $TMPDIR}, which the old and the new process share during an upgrade
+ * @param known   the commands up to the start, in the format of the command channel, whose reader parses them
  */
 public record Configuration(
         String name,
@@ -37,17 +39,22 @@
         Names names,
         Limits limits) {
 
-    /** The names that sockets use for what the settings number. */
+    /** The names that clients and nodes use on connections for the indexes in the settings. */
     public record Names(List<String> classes, List<String> zones, List<String> kinds) {}
 
-    /** The node's own limits, none of which the decisions see. */
+    /**
+     * Resource limits of the process, which the routing decisions don't use.
+     *
+     * @param streams maximum number of concurrent attempts on one connection to a node
+     * @param idleMs  time after which an unused connection to a node is closed
+     */
     public record Limits(int sockets, int memoryMb, int maxOpen, int streams, int connectTimeoutMs, int idleMs) {}
 
-    /** A configuration that can't be used; the message names the key. */
+    /** Signals an invalid configuration; the message names the key. */
     public static final class Invalid extends Exception {
         private static final long serialVersionUID = 1L;
 
-        /** A fault that {@code message} names by its key. */
+        /** Creates an exception whose message names the key. */
         public Invalid(String message) {
             super(message);
         }
@@ -55,14 +62,14 @@
 
     private static final int LEAST_SOCKETS = 64;
     private static final int LEAST_MEMORY_MB = 32;
-    /** The most that a scored day gives. */
+    /** Default limit of the memory: the maximum that the platform provides. */
     private static final int MEMORY_MB = 192;
 
     private static final int HEX = 16;
-    /** How errors name a key: of the file, or of its settings. */
+    /** Start of an error message that names a key of the file, or a setting below its key {@code settings}. */
     private static final Pattern NAMED = Pattern.compile("^(key|setting) ([^ ]+)");
 
-    /** Reads the file that {@code RELAY_CONFIG} names; name and address may also come as variables. */
+    /** Reads the file {@code $RELAY_CONFIG}; environment variables override the name and the addresses. */
     public static Configuration load(Map<String, String> variables) throws Invalid {
         String file = variables.get("RELAY_CONFIG");
         if (file == null || file.isBlank()) {
@@ -78,7 +85,7 @@
         try {
             json = new JSONObject(text);
         } catch (JSONException e) {
-            throw new Invalid(file + ": not JSON, or cut short: " + e.getMessage());
+            throw new Invalid(file + ": not valid JSON, or truncated: " + e.getMessage());
         }
         try {
             return read(json, variables);
@@ -88,8 +95,8 @@
     }
 
     /**
-     * {@code ":LINE"} where the message names a key that stands in {@code text}, as {@code "key K ..."} or
-     * {@code "setting K ..."}; else nothing.
+     * Returns {@code ":LINE"} if the message begins with {@code "key K ..."} or {@code "setting K ..."} and
+     * {@code text} contains that key; otherwise an empty string.
      */
     private static String where(String text, String message) {
         Matcher named = NAMED.matcher(message);
@@ -101,7 +108,7 @@
         return line > 0 ? ":" + line : "";
     }
 
-    /** A small one on loopback, that a rehearsal can do with. */
+    /** Returns a small configuration on loopback addresses for a rehearsal. */
     public static Configuration example() throws Invalid {
         try (InputStream in = Configuration.class.getResourceAsStream("/barleyspur/rehearsal.json")) {
             return read(new JSONObject(new JSONTokener(in)), Map.of());
@@ -119,7 +126,7 @@
         String mgmt = variables.getOrDefault("RELAY_MGMT", json.optString("mgmt"));
         Path scratch = Path.of(variables.getOrDefault("TMPDIR", System.getProperty("java.io.tmpdir")));
         JSONObject settings = object(json, "settings");
-        JSONObject known = known(object(json, "known"));
+        JSONObject known = validateKnown(object(json, "known"));
         try {
             Map<String, String> flat = SettingsReader.flatten(settings);
             return new Configuration(
@@ -128,17 +135,17 @@
                     address("channel", json.optString("channel")),
                     mgmt.isBlank() ? null : address("mgmt", mgmt),
                     scratch,
-                    seed(json),
+                    parseSeed(json),
                     known,
                     SettingsReader.read(flat),
-                    names(settings),
-                    limits(json, flat));
+                    readNames(settings),
+                    readLimits(json, flat));
         } catch (IllegalArgumentException e) {
             throw new Invalid(e.getMessage());
         }
     }
 
-    /** The address in {@code text}, as {@code 10.0.0.4:7001}; a literal, since there is no DNS. */
+    /** Parses an address such as {@code 10.0.0.4:7001}; only literal IP addresses, since there is no DNS. */
     public static InetSocketAddress address(String key, String text) {
         int colon = text.lastIndexOf(':');
         try {
@@ -147,14 +154,14 @@
                 return new InetSocketAddress(host, Integer.parseInt(text.substring(colon + 1)));
             }
         } catch (IllegalArgumentException e) {
-            // Said below, with the key.
+            // Reported below with the key.
         }
         throw new IllegalArgumentException("key " + key + " is not an address with a port: '" + text + "'");
     }
 
     /**
-     * This one with what a running doorman takes from {@code next}: the command channel, the classes and the cap on
-     * attempts.
+     * Returns a copy with those values of {@code next} that can change at run time: the command channel, the classes
+     * and the limit on attempts.
      */
     public Configuration retuned(Configuration next) {
         return new Configuration(
@@ -171,8 +178,8 @@
     }
 
     /**
-     * The keys that differ and that a running doorman can't change: all but the channel, the classes and the cap on
-     * attempts. Seed and known are new each time.
+     * Returns the keys that differ and need a restart: all but the command channel, the classes and the limit on
+     * attempts. The keys seed and known are not compared because the platform changes them for each start.
      */
     public List<String> fixedChanges(Configuration next) {
         Map<String, Boolean> same = new LinkedHashMap<>();
@@ -191,7 +198,7 @@
                 .toList();
     }
 
-    /** A digest of the settings, by which operators see whether two doormans run by the same ones. */
+    /** Returns a digest of the settings without the number of the doorman, to compare the settings of two doormans. */
     public long digest() {
         return LongHashFunction.xx3()
                 .hashChars(settings.retuned(settings.classes(), settings.maxAttempts())
@@ -207,7 +214,7 @@
         return value;
     }
 
-    private static JSONObject known(JSONObject known) throws Invalid {
+    private static JSONObject validateKnown(JSONObject known) throws Invalid {
         if (known.optLong("cursor", -1) < 0) {
             throw new Invalid("key known.cursor is missing or no number from 0 on");
         }
@@ -223,7 +230,7 @@
         return known;
     }
 
-    private static long seed(JSONObject json) {
+    private static long parseSeed(JSONObject json) {
         try {
             return Long.parseUnsignedLong(json.optString("seed"), HEX);
         } catch (NumberFormatException e) {
@@ -231,7 +238,7 @@
         }
     }
 
-    private static Names names(JSONObject settings) {
+    private static Names readNames(JSONObject settings) {
         JSONArray grades = settings.optJSONArray("grades");
         if (grades == null) {
             throw new IllegalArgumentException("setting grades is missing or no list");
@@ -263,7 +270,7 @@
         throw new IllegalArgumentException("setting " + key + " is missing or empty");
     }
 
-    private static Limits limits(JSONObject json, Map<String, String> flat) {
+    private static Limits readLimits(JSONObject json, Map<String, String> flat) {
         JSONObject limits = json.optJSONObject("limits");
         int sockets = limits == null ? 0 : limits.optInt("sockets");
         if (sockets < LEAST_SOCKETS) {
@@ -293,7 +300,7 @@
                 return (int) value;
             }
         } catch (NumberFormatException e) {
-            // Said below, with the key.
+            // Reported below with the key.
         }
         throw new IllegalArgumentException("setting " + key + " is not a number from 1 on: '" + text + "'");
     }
--- a/doorman/src/main/java/barleyspur/config/ExpectationCheck.java
+++ b/doorman/src/main/java/barleyspur/config/ExpectationCheck.java
@@ -13,7 +13,7 @@
 import org.json.JSONException;
 import org.json.JSONObject;
 
-/** Puts a configuration and files of expectations before the checker. */
+/** Checks a configuration against files with routing expectations. */
 public final class ExpectationCheck {
 
     private final ExpectationFiles.Read read;
@@ -32,23 +32,23 @@
         this.fleets = all;
     }
 
-    /** The fleet of a configuration file. */
+    /** Reads the fleet of a configuration file. */
     public static Site site(Path config) throws Configuration.Invalid {
         try {
             return Sites.read(new JSONObject(Files.readString(config)));
         } catch (IOException e) {
             throw new Configuration.Invalid(config + " can't be read: " + e.getMessage());
         } catch (JSONException e) {
-            throw new Configuration.Invalid(config + " is not JSON: " + e.getMessage());
+            throw new Configuration.Invalid(config + " is not valid JSON: " + e.getMessage());
         } catch (Configuration.Invalid e) {
             throw new Configuration.Invalid(config + ": " + e.getMessage());
         }
     }
 
     /**
-     * Reads what is to be checked.
+     * Reads the expectations and creates a check of them.
      *
-     * @param describedOnly whether the fleets that files describe stand in for the configuration's own
+     * @param describedOnly whether the fleets that the files define, if any, replace the one of the configuration
      */
     public static ExpectationCheck of(Site site, List<String> files, boolean describedOnly) throws Hcl.Invalid {
         return new ExpectationCheck(
@@ -64,12 +64,17 @@
         }
     }
 
-    /** The names of the expectations, in their order. */
+    /** Returns the names of the expectations in the order of the files. */
     public List<String> names() {
         return read.expectations().stream().map(e -> e.name()).toList();
     }
 
-    /** What the checker is given; {@code only} empty: all expectations; {@code depth} 0: as the files say. */
+    /**
+     * Returns the input of the checker.
+     *
+     * @param only  the name of the only expectation to check, or empty for all
+     * @param depth length up to which all sequences of events are simulated, or 0 for the value of the files
+     */
     public Checker.Book book(String only, int depth) {
         return new Checker.Book(
                 read.expectations().stream()
@@ -81,22 +86,22 @@
                 depth > 0 ? depth : Math.max(1, read.depth()));
     }
 
-    /** The loads that files lay down, or the usual one. */
+    /** Returns the workloads that the files define, or the default one. */
     public List<Load> loads() {
         return read.loads().isEmpty() ? List.of(Load.usual(site.any())) : read.loads();
     }
 
-    /** The cases that were read. */
+    /** Returns the cases that the files define. */
     public List<Case> cases() {
         return read.cases();
     }
 
-    /** A counterexample as the text of a trace file. */
+    /** Returns the content of a trace file for a counterexample. */
     public String trace(Checker.Counterexample counterexample) {
         return Traces.write(counterexample, files, read.texts());
     }
 
-    /** The expectations that a configuration breaks, a line each; throws where they or it can't be read. */
+    /** Returns a message for each expectation that a configuration violates; throws if either can't be read. */
     public static List<String> broken(Path config, OwnSettings.Expectations wanted)
             throws Configuration.Invalid, Hcl.Invalid {
         ExpectationCheck check =
@@ -115,7 +120,7 @@
         return broken;
     }
 
-    /** Refuses a configuration that breaks an expectation, or with which that can't be told. */
+    /** Throws if a configuration violates an expectation, or if the expectations can't be read. */
     public static void require(Path config, OwnSettings.Expectations wanted) throws Configuration.Invalid {
         try {
             List<String> broken = broken(config, wanted);
--- a/doorman/src/main/java/barleyspur/config/ExpectationFiles.java
+++ b/doorman/src/main/java/barleyspur/config/ExpectationFiles.java
@@ -20,15 +20,15 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Reads files of routing expectations, whose language {@code docs/EXPECTATIONS.md} describes. */
+/** Parser of the HCL files with routing expectations; {@code docs/EXPECTATIONS.md} describes the language. */
 public final class ExpectationFiles {
 
-    /** Where the text of a file comes from: a folder, or a trace that holds it. */
+    /** Source of the files' texts: the file system, or a trace that contains them. */
     public interface Texts {
-        /** The text of {@code name}, as {@code from} names it; throws where there is none. */
+        /** Returns the text of the file {@code name}, which {@code from} refers to; throws if there is none. */
         String read(String from, String name) throws Hcl.Invalid;
 
-        /** The name by which {@code included} of file {@code from} is known from here on. */
+        /** Resolves the name of an included file relative to the file {@code from} that includes it. */
         default String resolve(String from, String included) {
             int slash = from.lastIndexOf('/');
             return included.startsWith("/") || slash < 0 ? included : from.substring(0, slash + 1) + included;
@@ -36,12 +36,12 @@
     }
 
     /**
-     * What the files say.
+     * The definitions and expectations of a set of files.
      *
-     * @param fleets described fleets, to be checked beside the configuration's own
-     * @param loads  the loads to play at, one after another
-     * @param depth  how long orders of events are that are all played; 0: not said
-     * @param texts  the files' texts by name, for traces
+     * @param fleets fleets defined in the files, to be checked in addition to the one of the configuration
+     * @param loads  the workloads to simulate, in turn
+     * @param depth  length up to which all sequences of events are simulated; 0 if not set
+     * @param texts  the texts of the files by name, to be stored in traces
      */
     public record Read(
             List<Expectation> expectations,
@@ -69,9 +69,9 @@
     }
 
     /**
-     * Reads files and what they include.
+     * Reads files and the files that they include.
      *
-     * @param site the configuration's own fleet, whose settings give the names of figures their values
+     * @param site the fleet of the configuration; its settings define the values that expectations can refer to
      */
     public static Read read(List<String> names, Texts texts, Site site) throws Hcl.Invalid {
         ExpectationFiles reader = new ExpectationFiles(texts, site);
@@ -89,7 +89,7 @@
                 reader.read);
     }
 
-    /** The settings' figures by the names that expectations use. */
+    /** Returns the numeric settings by the names that expectations use for them. */
     static Map<String, Double> figures(Site site) {
         RoutingPolicy.Settings s = site.any();
         Map<String, Double> figures = new LinkedHashMap<>();
@@ -130,14 +130,17 @@
         }
     }
 
-    /** Shared things first, whatever file they stand in, then the expectations that name them. */
+    /**
+     * Parses the shared definitions of all files first and then the expectations, since an expectation may refer to a
+     * definition in any file.
+     */
     private void understand() throws Hcl.Invalid {
         for (Hcl.Block root : files) {
             root.close(List.of("let", "fleet", "load", "case", "explore", "expectation"));
             for (Hcl.Block let : root.blocks("let")) {
                 for (Hcl.Value v : let.values()) {
                     if (names.put(v.key(), quantity.of(v)) != null) {
-                        throw v.invalid("is defined already");
+                        throw v.invalid("is already defined");
                     }
                 }
                 let.close(List.of());
@@ -147,7 +150,7 @@
         for (Hcl.Block root : files) {
             for (Hcl.Block b : root.blocks()) {
                 if (!b.type().equals("let") && !b.type().equals("explore") && !seen.add(b.type() + b.label())) {
-                    throw b.invalid("\"" + b.label() + "\" stands twice");
+                    throw b.invalid("\"" + b.label() + "\" is defined twice");
                 }
             }
             for (Hcl.Block b : root.blocks("fleet")) {
@@ -171,7 +174,7 @@
         }
     }
 
-    // ---- shared things ---------------------------------------------------------------------------------
+    // ---- shared definitions ----------------------------------------------------------------------------
 
     private Site fleet(Hcl.Block b) throws Hcl.Invalid {
         int stations = (int) figure(b, "stations", 1, 1, 10_000);
@@ -203,7 +206,7 @@
         return Sites.described(b.label(), site, zones, doormanZones, boxes);
     }
 
-    /** A box of a described fleet, before it has a number. */
+    /** A box of a fleet defined in a file, before it is assigned a node number. */
     record Box(String uid, int zone, int kind, double size) {}
 
     private String modelOf(Site.Role role) {
@@ -222,7 +225,7 @@
         for (Hcl.Block c : b.blocks("class")) {
             int place = site.classes().indexOf(c.label());
             if (place < 0) {
-                throw c.invalid("\"" + c.label() + "\" is no class" + Hcl.near(c.label(), site.classes()));
+                throw c.invalid("\"" + c.label() + "\" is not a class" + Hcl.near(c.label(), site.classes()));
             }
             classes.set(
                     place,
@@ -245,8 +248,8 @@
                 marks != null && marks.flag(),
                 classes);
         b.close(List.of("class"));
-        if (classes.stream().allMatch(c -> c.share() == 0)) {
-            throw b.invalid("asks for nothing: every class has share 0");
+        if (classes.stream().allMatch(entry -> entry.share() == 0)) {
+            throw b.invalid("has no requests: every class has share 0");
         }
         return read;
     }
@@ -308,15 +311,16 @@
         known.addAll(List.of("given", "after"));
         b.close(known);
         if (types.size() != 1) {
-            throw b.invalid("\"" + b.label() + "\" wants blocks of one of must, never, share, eventually, "
-                    + "count and settings");
+            throw b.invalid("\"" + b.label() + "\" needs blocks of exactly one of the types must, never, share, "
+                    + "eventually, count and settings");
         }
         if (b.blocks("after").size() > 1 || forms.size() > 1 && !types.contains("must")) {
-            throw b.invalid("\"" + b.label() + "\" may have several given and must blocks, one of all others");
+            throw b.invalid(
+                    "\"" + b.label() + "\" may have several given and must blocks, but only one of any other type");
         }
         Expectation.Form form = form(b, forms);
         if (form instanceof Expectation.Eventually && after == null) {
-            throw b.invalid("\"" + b.label() + "\" wants a block after: since when must it come?");
+            throw b.invalid("\"" + b.label() + "\" needs a block after, which defines when eventually starts");
         }
         Expectation e = new Expectation(
                 b.label(), about, b.place(), inFleets, inCases, atLoads, new Condition.All(given), form, after);
@@ -341,7 +345,7 @@
                 double least = figure(f, "at_least", 0, 0, 1);
                 double most = figure(f, "at_most", 1, 0, 1);
                 if (f.value("at_least") == null && f.value("at_most") == null) {
-                    throw f.invalid("wants a key at_least or at_most");
+                    throw f.invalid("needs a key at_least or at_most");
                 }
                 return new Expectation.Share(condition(f), least, most);
             }
@@ -350,7 +354,7 @@
                 for (Hcl.Value v : f.values()) {
                     Double figure = names.get(v.key());
                     if (figure == null) {
-                        throw v.invalid("names no figure of the settings" + Hcl.near(v.key(), names.keySet()));
+                        throw v.invalid("is not the name of a numeric setting" + Hcl.near(v.key(), names.keySet()));
                     }
                     figures.add(
                             new Expectation.Figure(figure, quantity.range(v), v.place(), v.key() + " = " + v.value()));
@@ -366,7 +370,7 @@
                 Hcl.Value of = f.value("of");
                 Hcl.Value per = f.value("per");
                 if (of == null || per == null) {
-                    throw f.invalid("wants the keys of and per");
+                    throw f.invalid("needs the keys of and per");
                 }
                 double least = figure(f, "at_least", 0, 0, 1e9);
                 double most = figure(f, "at_most", Double.POSITIVE_INFINITY, 0, Double.POSITIVE_INFINITY);
@@ -380,29 +384,29 @@
         }
     }
 
-    /** An expectation speaks of attempts or of answers: a test of the one says nothing of the other. */
+    /** Rejects an expectation that tests both attempts and answers, since no event has the fields of both. */
     private static void kinds(Hcl.Block b, Expectation e) throws Hcl.Invalid {
         Set<String> spoken = new HashSet<>();
-        tests(e.given(), spoken);
-        tests(e.form().that(), spoken);
+        collectBlockTypes(e.given(), spoken);
+        collectBlockTypes(e.form().that(), spoken);
         boolean attempts = spoken.contains("attempt")
                 || spoken.contains("target")
                 || spoken.contains("source")
                 || e.form() instanceof Expectation.Count;
         if (attempts && spoken.contains("answer")) {
-            throw b.invalid("\"" + b.label() + "\" speaks of attempts and of answers: they are different moments");
+            throw b.invalid("\"" + b.label() + "\" tests both attempts and answers, which are different events");
         }
     }
 
-    private static void tests(Condition c, Set<String> blocks) {
+    private static void collectBlockTypes(Condition c, Set<String> blocks) {
         if (c instanceof Condition.Test t) {
             blocks.add(t.field().block());
         } else if (c instanceof Condition.All all) {
-            all.parts().forEach(p -> tests(p, blocks));
+            all.parts().forEach(p -> collectBlockTypes(p, blocks));
         } else if (c instanceof Condition.Either either) {
-            either.parts().forEach(p -> tests(p, blocks));
+            either.parts().forEach(p -> collectBlockTypes(p, blocks));
         } else if (c instanceof Condition.Not not) {
-            tests(not.part(), blocks);
+            collectBlockTypes(not.part(), blocks);
         }
     }
 
@@ -425,7 +429,7 @@
             parts.add(new Condition.Either(either));
         }
         if (parts.isEmpty()) {
-            throw b.invalid("asks for nothing");
+            throw b.invalid("has no conditions");
         }
         return new Condition.All(parts);
     }
@@ -447,7 +451,7 @@
         }
         b.close(List.of());
         if (tests.isEmpty()) {
-            throw b.invalid("asks for nothing");
+            throw b.invalid("has no conditions");
         }
         return tests;
     }
@@ -466,7 +470,7 @@
                 Collection<String> known = words(field);
                 for (String w : wanted) {
                     if (known != null && !known.contains(w)) {
-                        throw v.invalid("names " + w + ", which is none" + Hcl.near(w, known));
+                        throw v.invalid("names " + w + ", which is not a known value" + Hcl.near(w, known));
                     }
                 }
                 yield new Condition.Words(wanted, not);
@@ -474,7 +478,7 @@
         };
     }
 
-    /** The words that a field can have; null where they can't be known. */
+    /** Returns the allowed values of a field, or null if they aren't known in advance. */
     private Collection<String> words(Field field) {
         return switch (field) {
             case CLASS -> site.classes();
@@ -533,10 +537,10 @@
         double by = within == null ? Double.POSITIVE_INFINITY : quantity.of(within);
         b.close(List.of());
         if (told.isEmpty() && !started && happens.isEmpty()) {
-            throw b.invalid("wants a key told or happens");
+            throw b.invalid("needs a key told or happens");
         }
         if (by <= from) {
-            throw b.invalid("ends before it begins: within must be more than from");
+            throw b.invalid("ends before it begins: within must be greater than from");
         }
         return new Expectation.After(told, started, happens, roles, ownOnly, from, by, until);
     }
@@ -556,7 +560,7 @@
         Hcl.Value v = b.value(key);
         String word = v == null ? otherwise : v.text();
         if (known != null && !known.contains(word)) {
-            throw v.invalid("names " + word + ", which is none" + Hcl.near(word, known));
+            throw v.invalid("names " + word + ", which is not a known value" + Hcl.near(word, known));
         }
         return word;
     }
@@ -583,7 +587,7 @@
     private static <T> T find(Hcl.Value v, String text, T[] all, Word<T> word, String what) throws Hcl.Invalid {
         T found = find(text, all, word);
         if (found == null) {
-            throw v.invalid("names " + text + ", which is no " + what + near(text, all, word));
+            throw v.invalid("names " + text + ", which is not a value of " + what + near(text, all, word));
         }
         return found;
     }
@@ -591,7 +595,7 @@
     private static <T> T find(Hcl.Block b, String text, T[] all, Word<T> word, String what) throws Hcl.Invalid {
         T found = find(text, all, word);
         if (found == null) {
-            throw b.invalid("\"" + text + "\" is no " + what + near(text, all, word));
+            throw b.invalid("\"" + text + "\" is not a value of " + what + near(text, all, word));
         }
         return found;
     }
--- a/doorman/src/main/java/barleyspur/config/FleetSettings.java
+++ b/doorman/src/main/java/barleyspur/config/FleetSettings.java
@@ -12,17 +12,18 @@
 import java.util.List;
 
 /**
- * A doorman's place in its fleet: the block {@code fleet "NAME"}.
+ * Settings of the block {@code fleet "NAME"}: how a doorman joins the fleet and exchanges datagrams with it.
  *
- * @param name          of the fleet: others' datagrams are not taken
- * @param listen        where datagrams come in
- * @param advertise     where others are to send them, as {@code 10.0.0.4:7101}; the same where nothing stands between
- * @param seeds         addresses to look for others at
- * @param key           what the key file holds, which all of the fleet have
- * @param periodMs      between two probes, 100 to 10,000
- * @param rememberMs    how long the dead are remembered and tried again, 10 s to 1 day
- * @param format        the newest format of datagrams to speak: lower while older programs are being replaced
- * @param clockOffsetMs added to the wall clock when this life is numbered: to rehearse a clock that was stepped
+ * @param name          name of the fleet; datagrams of other fleets are rejected
+ * @param listen        local address for datagrams
+ * @param advertise     address that other members send to, such as {@code 10.0.0.4:7101}; the local address by default
+ * @param seeds         addresses of members to contact in order to join
+ * @param key           content of the key file, the secret that all members of the fleet share
+ * @param periodMs      interval between two probes, 100 to 10,000
+ * @param rememberMs    how long dead members are kept and contacted again, 10 s to 1 day
+ * @param format        newest datagram format to use; lower than the newest known one during a rolling upgrade
+ * @param clockOffsetMs offset that is added to the wall clock when the process derives its incarnation number; for
+ *     tests of a clock that was stepped
  */
 public record FleetSettings(
         String name,
@@ -49,8 +50,8 @@
         Hcl.Value told = b.value("advertise");
         String advertise = told == null ? listen.text() : told.text();
         addressOf(told == null ? listen : told, advertise);
-        List<String> seeds = seeds(b, listen.text(), advertise);
-        byte[] key = key(file, required(b, "key_file"));
+        List<String> seeds = readSeeds(b, listen.text(), advertise);
+        byte[] key = readKey(file, required(b, "key_file"));
         double period = time(b, "period", 500, 100, 10 * SECOND);
         double remember = time(b, "remember", 600 * SECOND, 10 * SECOND, 86_400 * SECOND);
         int format = (int) b.number("format", MemberMetadata.NEWEST_FORMAT, 1, MemberMetadata.NEWEST_FORMAT);
@@ -59,7 +60,7 @@
         return new FleetSettings(name, at, advertise, seeds, key, period, remember, format, offset);
     }
 
-    /** Whether nothing of it differs. */
+    /** Returns whether all values are equal, including the content of the key. */
     boolean sameAs(FleetSettings o) {
         return name.equals(o.name)
                 && listen.equals(o.listen)
@@ -80,7 +81,7 @@
         return value;
     }
 
-    private static List<String> seeds(Hcl.Block b, String listen, String advertise) throws Hcl.Invalid {
+    private static List<String> readSeeds(Hcl.Block b, String listen, String advertise) throws Hcl.Invalid {
         Hcl.Value v = b.value("seeds");
         List<String> seeds = v == null ? List.of() : v.texts();
         for (int i = 0; i < seeds.size(); i++) {
@@ -104,7 +105,7 @@
         return address;
     }
 
-    /** The address that a text names, as {@code 10.0.0.4:7101}; null where it names none. */
+    /** Parses an address such as {@code 10.0.0.4:7101}; returns null if it isn't one. */
     public static InetSocketAddress address(String text) {
         try {
             InetSocketAddress address = Configuration.address("", text);
@@ -114,7 +115,7 @@
         }
     }
 
-    private static byte[] key(Path settings, Hcl.Value v) throws Hcl.Invalid {
+    private static byte[] readKey(Path settings, Hcl.Value v) throws Hcl.Invalid {
         Path file = settings.resolveSibling(v.text());
         String key;
         try {
--- a/doorman/src/main/java/barleyspur/config/Hcl.java
+++ b/doorman/src/main/java/barleyspur/config/Hcl.java
@@ -16,53 +16,57 @@
 import org.apache.commons.text.similarity.LevenshteinDistance;
 
 /**
- * Our own settings' form: HCL, read by hcl4j. That library takes much for good that is not (a block that never ends,
- * a sum that it cuts short) and tells no lines, so a first pass over the text keeps the places and lets through
- * only what is meant here: blocks with quoted labels, and keys whose values are strings, numbers, true or false, or
- * lists of these.
+ * Parser for the HCL files of this program, based on hcl4j. That library accepts malformed input (a block without an
+ * end, a sum of which it keeps only a part) and reports no line numbers. Therefore a first pass over the text records
+ * the line of each key and block, and accepts only the supported subset: blocks with quoted labels, and keys whose
+ * values are strings, numbers, booleans, or lists of these.
  */
 public final class Hcl {
 
-    /** Text that can't be used; the message begins with {@code FILE:LINE:} and names the key. */
+    /** Signals an invalid file; the message begins with {@code FILE:LINE:} and names the key or block. */
     public static final class Invalid extends Exception {
         private static final long serialVersionUID = 1L;
 
-        /** A fault on a line of a file. */
+        /** Creates an exception for an error on a line of a file. */
         public Invalid(String file, int line, String message) {
             super(file + ":" + line + ": " + message);
         }
     }
 
-    /** A value and where it stands: a {@link String}, {@link Double}, {@link Boolean} or a {@link List} of them. */
+    /**
+     * A value with its location in the file.
+     *
+     * @param value a {@link String}, {@link Double}, {@link Boolean} or a {@link List} of these
+     */
     public record Value(String file, int line, String key, Object value) {
 
-        /** A fault of this place. */
+        /** Creates an exception whose message begins with this location. */
         public Invalid invalid(String message) {
             return new Invalid(file, line, "key " + key + " " + message);
         }
 
-        /** {@code FILE:LINE}. */
+        /** Returns the location as {@code FILE:LINE}. */
         public String place() {
             return file + ":" + line;
         }
 
-        /** The value as a text; a fault where it is none. */
+        /** Returns the value if it is a string; throws if it is not. */
         public String text() throws Invalid {
             if (value instanceof String s) {
                 return s;
             }
-            throw invalid("is no string: " + value);
+            throw invalid("is not a string: " + value);
         }
 
-        /** The value as a number; a fault where it is none. */
+        /** Returns the value if it is a number; throws if it is not. */
         public double number() throws Invalid {
             if (value instanceof Double d) {
                 return d;
             }
-            throw invalid("is no number: " + value);
+            throw invalid("is not a number: " + value);
         }
 
-        /** The value as true or false; a fault where it is neither. */
+        /** Returns the value if it is a boolean; throws if it is not. */
         public boolean flag() throws Invalid {
             if (value instanceof Boolean b) {
                 return b;
@@ -70,12 +74,12 @@
             throw invalid("is neither true nor false: " + value);
         }
 
-        /** A list of strings, or one of them by itself. */
+        /** Returns the value as a list of strings; a single string counts as a list of one. */
         public List<String> texts() throws Invalid {
             List<String> texts = new ArrayList<>();
             for (Object item : value instanceof List<?> list ? list : List.of(value)) {
                 if (!(item instanceof String s)) {
-                    throw invalid("holds something else than strings: " + item);
+                    throw invalid("contains an item that is not a string: " + item);
                 }
                 texts.add(s);
             }
@@ -83,7 +87,7 @@
         }
     }
 
-    /** A block, or a whole file, whose {@code type} is empty. */
+    /** A block, or the root of a file, whose {@code type} is empty. */
     public static final class Block {
         private final String file;
         private final int line;
@@ -100,41 +104,41 @@
             this.labels = labels;
         }
 
-        /** The word that the block begins with. */
+        /** Returns the identifier that the block begins with. */
         public String type() {
             return type;
         }
 
-        /** The line on which the block begins. */
+        /** Returns the line on which the block begins. */
         public int line() {
             return line;
         }
 
-        /** {@code FILE:LINE}. */
+        /** Returns the location as {@code FILE:LINE}. */
         public String place() {
             return file + ":" + line;
         }
 
-        /** A fault of this place. */
+        /** Creates an exception whose message begins with this location. */
         public Invalid invalid(String message) {
             return new Invalid(file, line, (type.isEmpty() ? "" : "block " + type + " ") + message);
         }
 
-        /** Its only label. */
+        /** Returns the label of the block; throws if it has none or several. */
         public String label() throws Invalid {
             if (labels.size() != 1) {
-                throw invalid("wants one label in quotes, as in " + type + " \"name\" { ... }");
+                throw invalid("needs one label in quotes, as in " + type + " \"name\" { ... }");
             }
             return labels.get(0);
         }
 
-        /** The value of a key, or null where it is not given. */
+        /** Returns the value of a key, or null if the block doesn't have it; marks the key as known. */
         public Value value(String key) {
             asked.add(key);
             return values.get(key);
         }
 
-        /** A number within bounds, or {@code otherwise} where it is not given. */
+        /** Returns the number of a key, or {@code defaultValue} if it is missing; throws if it is out of range. */
         public double number(String key, double otherwise, double least, double most) throws Invalid {
             Value v = value(key);
             double number = v == null ? otherwise : v.number();
@@ -144,23 +148,23 @@
             return number;
         }
 
-        /** All keys with their values, in the order of the file. */
+        /** Returns all values in the order of the file, and marks their keys as known. */
         public Collection<Value> values() {
             asked.addAll(values.keySet());
             return values.values();
         }
 
-        /** The blocks within this one, in their order. */
+        /** Returns the blocks inside this one, in the order of the file. */
         public List<Block> blocks() {
             return blocks;
         }
 
-        /** The blocks of a type. */
+        /** Returns the blocks of a type inside this one. */
         public List<Block> blocks(String wanted) {
             return blocks.stream().filter(b -> b.type.equals(wanted)).toList();
         }
 
-        /** Turns down keys that nobody has asked for and blocks of other types than these. */
+        /** Rejects keys that the caller has not asked for, and blocks of other than these types. */
         public void close(Collection<String> types) throws Invalid {
             for (Value v : values.values()) {
                 if (!asked.contains(v.key)) {
@@ -185,7 +189,7 @@
 
     private static final Pattern TIME = Pattern.compile("(-?[0-9]+(?:\\.[0-9]+)?)(ms|s|min|h)");
 
-    /** A time such as {@code 500ms}, {@code 2s} or {@code 10min}, in ms; not a number where the text is none. */
+    /** Parses a duration such as {@code 500ms}, {@code 2s} or {@code 10min} to ms; returns NaN if it isn't one. */
     public static double millis(String text) {
         Matcher m = TIME.matcher(text.strip());
         if (!m.matches()) {
@@ -200,7 +204,7 @@
                 };
     }
 
-    /** What a wrong name may have been meant for, as the end of a message. */
+    /** Returns the end of an error message: the known name closest to an unknown one, or else all known names. */
     public static String near(String name, Collection<String> known) {
         LevenshteinDistance distance = new LevenshteinDistance(Math.max(2, name.length() / 3));
         String best = null;
@@ -227,7 +231,7 @@
         this.text = text;
     }
 
-    /** Reads {@code text}; {@code file} is named in messages. */
+    /** Parses {@code text} and returns its root; {@code file} is the name for error messages. */
     public static Block read(String file, String text) throws Invalid {
         Block root = new Block(file, 1, "", List.of());
         Hcl hcl = new Hcl(file, text);
@@ -235,12 +239,12 @@
         try {
             fill(root, new HCLParser().parse(text, false));
         } catch (HCLParserException | IOException | RuntimeException e) {
-            throw new Invalid(file, 1, "is no HCL: " + e.getMessage());
+            throw new Invalid(file, 1, "is not valid HCL: " + e.getMessage());
         }
         return root;
     }
 
-    // ---- places ----------------------------------------------------------------------------------------
+    // ---- first pass: syntax and lines ------------------------------------------------------------------
 
     private Invalid wrong(String message) {
         return new Invalid(file, line, message);
@@ -282,7 +286,7 @@
             skip(false);
         }
         if (peek() != '{') {
-            throw wrong("after " + name + " comes neither = nor a block");
+            throw wrong("expected = or a block after " + name);
         }
         at++;
         Block block = new Block(file, start, name, List.copyOf(labels));
@@ -297,7 +301,7 @@
             at++;
         }
         if (from == at) {
-            throw wrong("a name was wanted, not " + peek());
+            throw wrong("expected a name, not " + peek());
         }
         return text.substring(from, at);
     }
@@ -347,7 +351,7 @@
         at++;
     }
 
-    /** A value is alone on its line, but for the end of its block and a comment. */
+    /** Rejects anything but a comment or the end of the block between a value and the end of its line. */
     private void end(String key) throws Invalid {
         skip(false);
         if (at < text.length() && peek() != '\n' && peek() != '}') {
@@ -377,7 +381,7 @@
         }
     }
 
-    // ---- values ----------------------------------------------------------------------------------------
+    // ---- second pass: values from hcl4j ----------------------------------------------------------------
 
     private static void fill(Block block, Map<?, ?> parsed) throws Invalid {
         for (Map.Entry<String, Value> e : block.values.entrySet()) {
@@ -398,7 +402,7 @@
                 at = list.get(place);
             }
             if (!(at instanceof Map<?, ?> map)) {
-                throw b.invalid("can't be read: blocks of this type have labels here and none there");
+                throw b.invalid("can't be read: some blocks of this type have labels and others have none");
             }
             fill(b, map);
         }
--- a/doorman/src/main/java/barleyspur/config/JsonLines.java
+++ b/doorman/src/main/java/barleyspur/config/JsonLines.java
@@ -6,19 +6,19 @@
 import org.json.JSONTokener;
 
 /**
- * Finds the line of a JSON text on which a key stands, so that an error that names a key can name its line too. The
- * text is walked by org.json's tokenizer, down the path only: what is beside it is read whole and passed over.
+ * Finds the line of a key in a JSON text, for error messages. It uses org.json's tokenizer and descends only along the
+ * path of the key; other values are parsed and skipped.
  */
 final class JsonLines {
 
-    /** Where org.json's tokenizer stands, as its {@code toString} says it: {@code " at 12 [character 3 line 1]"}. */
+    /** The position in the {@code toString} of org.json's tokenizer: {@code " at 12 [character 3 line 1]"}. */
     private static final Pattern AT = Pattern.compile(" at (\\d+) \\[");
 
     private JsonLines() {}
 
     /**
-     * The line, from 1, on which the key at the end of a dotted {@code path} stands, as in {@code settings.grades.0.name}
-     * where numbers are places in lists; 0 where the text has no such key or is no JSON.
+     * Returns the line, from 1, of the key at the end of a dotted path such as {@code settings.grades.0.name}, in which
+     * numbers are list indexes; 0 if the text has no such key or isn't valid JSON.
      */
     static int lineOf(String text, String path) {
         JSONTokener tokens = new JSONTokener(text);
--- a/doorman/src/main/java/barleyspur/config/OwnSettings.java
+++ b/doorman/src/main/java/barleyspur/config/OwnSettings.java
@@ -7,30 +7,32 @@
 import java.util.List;
 
 /**
- * Our own settings, beside what the platform tells in {@code RELAY_CONFIG}: one HCL file with a block for each
- * subsystem, read, checked and defaulted here. A subsystem whose block is missing is off.
+ * The program's own settings, in addition to the platform's configuration in {@code RELAY_CONFIG}: one HCL file with a
+ * block for each optional component, parsed and validated here. A component without a block is off.
  *
- * @param expectations what a configuration must keep to before a reload takes it, or null
- * @param fleet        where the other doormans are, or null
- * @param budgets      what they may use together, or null
+ * @param expectations routing expectations that a configuration has to satisfy before a reload applies it, or null
+ * @param fleet        membership of a fleet of doormans, or null
+ * @param budgets      limits on what the doormans of the fleet use together, or null
  */
 public record OwnSettings(Expectations expectations, FleetSettings fleet, BudgetSettings budgets) {
 
     /**
-     * @param files     files of routing expectations, as paths from the settings' folder
-     * @param scenarios how many scenarios are played for each check
-     * @param seed      of the scenarios
+     * The block {@code expectations}.
+     *
+     * @param files     files with routing expectations, resolved against the directory of the settings file
+     * @param scenarios number of scenarios to simulate for each check
+     * @param seed      random seed of the scenarios
      */
     public record Expectations(List<Path> files, int scenarios, long seed) {}
 
     private static final double MOST_SCENARIOS = 100_000;
 
-    /** With nothing switched on. */
+    /** Returns settings with every component off. */
     public static OwnSettings none() {
         return new OwnSettings(null, null, null);
     }
 
-    /** Reads the file; a fault names its line. */
+    /** Reads the file; errors name file and line. */
     public static OwnSettings load(Path file) throws Hcl.Invalid {
         String text;
         try {
@@ -49,7 +51,7 @@
             if (expectations != null) {
                 throw b.invalid("stands twice");
             }
-            expectations = expectations(file, b);
+            expectations = readExpectations(file, b);
         }
         FleetSettings fleet = null;
         for (Hcl.Block b : root.blocks("fleet")) {
@@ -58,17 +60,17 @@
             }
             fleet = FleetSettings.read(file, b);
         }
-        return new OwnSettings(expectations, fleet, budgets(root, fleet));
+        return new OwnSettings(expectations, fleet, readBudgets(root, fleet));
     }
 
-    /** Turns down what doesn't go with the platform's configuration. */
+    /** Rejects settings that contradict the platform's configuration. */
     public void check(Configuration configuration) throws Hcl.Invalid {
         if (budgets != null) {
             budgets.check(configuration.names().kinds());
         }
     }
 
-    /** What differs from these settings and counts from the next start on only. */
+    /** Returns the blocks and keys that differ in {@code next} and need a restart to take effect. */
     public List<String> fixedChanges(OwnSettings next) {
         List<String> fixed = new ArrayList<>();
         if ((fleet == null) != (next.fleet == null) || fleet != null && !fleet.sameAs(next.fleet)) {
@@ -82,7 +84,7 @@
         return fixed;
     }
 
-    private static BudgetSettings budgets(Hcl.Block root, FleetSettings fleet) throws Hcl.Invalid {
+    private static BudgetSettings readBudgets(Hcl.Block root, FleetSettings fleet) throws Hcl.Invalid {
         List<Hcl.Block> common = root.blocks("budgets");
         List<Hcl.Block> each = root.blocks("budget");
         if (common.isEmpty()) {
@@ -100,7 +102,7 @@
         return BudgetSettings.read(common.get(0), each);
     }
 
-    private static Expectations expectations(Path file, Hcl.Block b) throws Hcl.Invalid {
+    private static Expectations readExpectations(Path file, Hcl.Block b) throws Hcl.Invalid {
         Hcl.Value files = b.value("files");
         if (files == null) {
             throw b.invalid("has no key files");
--- a/doorman/src/main/java/barleyspur/config/Quantity.java
+++ b/doorman/src/main/java/barleyspur/config/Quantity.java
@@ -6,8 +6,9 @@
 import java.util.regex.Pattern;
 
 /**
- * Times and numbers as expectations write them: {@code "2s"}, {@code "drain_grace + 50ms"}, {@code "> 3"},
- * {@code "1s..3s"}. Names stand for the settings' figures and for what {@code let} blocks define. Times are in ms.
+ * Parser of the durations, numbers and ranges of expectations: {@code "2s"}, {@code "drain_grace + 50ms"},
+ * {@code "> 3"}, {@code "1s..3s"}. Names refer to numeric settings and to the definitions of {@code let} blocks.
+ * Durations are in ms.
  */
 final class Quantity {
 
@@ -20,12 +21,12 @@
         this.names = names;
     }
 
-    /** One figure. */
+    /** Parses a single number or duration. */
     double of(Hcl.Value value) throws Hcl.Invalid {
         return value.value() instanceof Double d ? d : sum(value, value.text());
     }
 
-    /** A comparison: with nothing in front it is for the figure itself. */
+    /** Parses a range or a comparison; without an operator it matches exactly that number. */
     Condition.Range range(Hcl.Value value) throws Hcl.Invalid {
         if (value.value() instanceof Double d) {
             return new Condition.Range(d, false, d, false);
--- a/doorman/src/main/java/barleyspur/config/SettingsReader.java
+++ b/doorman/src/main/java/barleyspur/config/SettingsReader.java
@@ -9,9 +9,9 @@
 import org.json.JSONObject;
 
 /**
- * Reads {@link RoutingPolicy.Settings} from flat {@code path -> value} entries. The simulator's text and the
- * node's JSON both come down to that form, so each key is checked and defaulted in one place. Unknown keys
- * are passed over; a missing or unreadable one is named.
+ * Reads {@link RoutingPolicy.Settings} from flat {@code path -> value} entries. Both the simulator's text and the
+ * doorman's JSON are converted to that form, so that each key is validated and defaulted in one place. Unknown keys are
+ * ignored; errors name the key that is missing or invalid.
  */
 public final class SettingsReader {
 
@@ -21,12 +21,12 @@
         this.values = values;
     }
 
-    /** The settings in {@code values}; throws {@link IllegalArgumentException} naming the faulty key. */
+    /** Reads the settings in {@code values}; throws {@link IllegalArgumentException} that names the invalid key. */
     public static RoutingPolicy.Settings read(Map<String, String> values) {
         return new SettingsReader(values).settings();
     }
 
-    /** The simulator's form: one {@code path=value} a line. */
+    /** Parses the simulator's format, one {@code path=value} per line. */
     public static Map<String, String> lines(String text) {
         Map<String, String> values = new HashMap<>();
         for (String line : text.split("\n")) {
@@ -38,7 +38,7 @@
         return values;
     }
 
-    /** The node's form: the same object as nested JSON. */
+    /** Flattens the doorman's format, the same settings as nested JSON. */
     static Map<String, String> flatten(JSONObject json) {
         Map<String, String> values = new HashMap<>();
         flatten("", json, values);
@@ -113,7 +113,7 @@
                 flag("limits.retryAfter") ? number("limits.maxRetryAfterMs", 0) : 0);
     }
 
-    /** Live weights vary with load, so they are no measure of size. */
+    /** Returns whether weights are a measure of size; weights of the other kinds vary with load. */
     private boolean stableSizes() {
         return List.of("nominal", "rough").contains(word("weights", "silent"));
     }
@@ -187,7 +187,7 @@
         return list(path).stream().map(v -> (int) toNumber(path, v)).toList();
     }
 
-    /** Item {@code i} of a list by class; empty where the list is shorter or missing. */
+    /** Returns item {@code i} of a list with one item per class; empty if the list is shorter or missing. */
     private String item(String path, int i) {
         List<String> items = list(path);
         return i < items.size() ? items.get(i) : "";
@@ -223,8 +223,8 @@
     }
 
     /**
-     * A number above 0: a deadline, an aim or a cap on attempts that is none would refuse every request, so a file
-     * that has one is turned down whole.
+     * Returns a number that must be greater than 0. A deadline, a target latency or a limit on attempts of 0 or less
+     * would refuse every request, so such a file is rejected as a whole.
      */
     private double positive(String path) {
         double value = number(path);
--- a/doorman/src/main/java/barleyspur/config/Sites.java
+++ b/doorman/src/main/java/barleyspur/config/Sites.java
@@ -14,7 +14,7 @@
 import org.json.JSONException;
 import org.json.JSONObject;
 
-/** The fleet that a doorman's configuration tells of, and described ones with the same settings. */
+/** Creates the fleets that expectations are checked on, from a doorman's configuration or from a definition. */
 public final class Sites {
 
     private static final String OWN = "configuration";
@@ -23,9 +23,9 @@
     private Sites() {}
 
     /**
-     * Reads the fleet of a configuration in the form of {@code RELAY_CONFIG}: its settings, and of {@code known} the
-     * boxes that are in service at its end, with the numbers that doormans give them. Where it knows of none, a small fleet is made up, with the stations and
-     * doormans that the settings count.
+     * Reads the fleet of a configuration in the format of {@code RELAY_CONFIG}: its settings, and the boxes that are in
+     * service after all commands in {@code known}, with the node numbers that doormans assign to them. Without such
+     * boxes it creates a small default fleet with the stations and doormans of the settings.
      */
     public static Site read(JSONObject json) throws Configuration.Invalid {
         Configuration configuration = Configuration.read(json, Map.of());
@@ -110,7 +110,7 @@
         return boxes;
     }
 
-    /** A described fleet with the settings of another. */
+    /** Creates a fleet of the given zones, doormans and boxes with the settings of another fleet. */
     static Site described(
             String name,
             Site like,
--- a/doorman/src/main/java/barleyspur/config/Traces.java
+++ b/doorman/src/main/java/barleyspur/config/Traces.java
@@ -15,17 +15,17 @@
 import org.json.JSONException;
 import org.json.JSONObject;
 
-/** Counterexamples as files: whole in themselves, with the settings and the expectations that they were found by. */
+/** Reads and writes trace files: counterexamples together with the settings and expectation files they depend on. */
 public final class Traces {
 
     private static final int VERSION = 1;
 
-    /** A counterexample as it was read back. */
+    /** A counterexample that was read from a trace file. */
     public record Trace(Scenario scenario, Expectation expectation) {}
 
     private Traces() {}
 
-    /** The file's text. */
+    /** Returns the content of a trace file. */
     public static String write(Checker.Counterexample c, List<String> files, Map<String, String> texts) {
         Scenario s = c.scenario();
         Site site = s.site();
@@ -76,15 +76,13 @@
         return json.toString(1);
     }
 
-    /** Reads what {@link #write} wrote; {@code file} is named in messages. */
+    /** Parses the output of {@link #write}; {@code file} is the name for error messages. */
     public static Trace read(String file, String text) throws Hcl.Invalid {
         try {
             JSONObject json = new JSONObject(text);
             if (json.optInt("barleyspur_trace") != VERSION) {
                 throw new Hcl.Invalid(
-                        file,
-                        1,
-                        "key barleyspur_trace is not " + VERSION + ": this is no trace, or one of another version");
+                        file, 1, "key barleyspur_trace is not " + VERSION + ": not a trace, or one of another version");
             }
             JSONObject fleet = json.getJSONObject("fleet");
             Map<String, String> told = new HashMap<>();
@@ -142,7 +140,7 @@
                     asks);
             return new Trace(scenario, expectation(file, json, site));
         } catch (JSONException | IllegalArgumentException | ClassCastException e) {
-            throw new Hcl.Invalid(file, 1, "is no trace: " + e.getMessage());
+            throw new Hcl.Invalid(file, 1, "is not a valid trace: " + e.getMessage());
         }
     }
 
@@ -152,7 +150,7 @@
                 texts(json.getJSONArray("files")),
                 (from, name) -> {
                     if (!texts.has(name)) {
-                        throw new Hcl.Invalid(file, 1, "key texts has no " + name);
+                        throw new Hcl.Invalid(file, 1, "key texts does not contain " + name);
                     }
                     return texts.getString(name);
                 },
@@ -162,7 +160,7 @@
                 .filter(e -> e.name().equals(name))
                 .findFirst()
                 .orElseThrow(
-                        () -> new Hcl.Invalid(file, 1, "key expectation names " + name + ", which its files lack"));
+                        () -> new Hcl.Invalid(file, 1, "key expectation names " + name + ", which no file defines"));
     }
 
     private static Fault.Kind kind(String word) {
@@ -171,7 +169,7 @@
                 return kind;
             }
         }
-        throw new IllegalArgumentException("no event is called " + word);
+        throw new IllegalArgumentException("unknown event: " + word);
     }
 
     private static List<String> texts(JSONArray array) {
--- a/doorman/src/test/java/barleyspur/config/BudgetSettingsTest.java
+++ b/doorman/src/test/java/barleyspur/config/BudgetSettingsTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The blocks budgets and budget: what they come to, and that what is wrong is named by file, key and line. */
+/** Tests of the blocks budgets and budget: values, defaults, and errors that name file, line and key. */
 class BudgetSettingsTest {
 
     private static final String VOTERS = "voters = [\"127.0.0.1:7101\"]";
@@ -99,7 +99,7 @@
                 said);
     }
 
-    /** Guards: only wholes, bursts and weights count while a doorman runs; what else differs is named. */
+    /** Only changed capacities, bursts and weights apply without a restart; other changes are named. */
     @Test
     void whatCountsFromTheNextStartIsNamed() throws Hcl.Invalid {
         OwnSettings before = read(budget("kind = \"rate\"\nwhole = 50\nat = \"cache\""));
--- a/doorman/src/test/java/barleyspur/config/ConfigurationTest.java
+++ b/doorman/src/test/java/barleyspur/config/ConfigurationTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The node's configuration: what it comes to, and which key is named where it is faulty. */
+/** Tests of the platform's configuration: values, defaults, and errors that name the invalid key. */
 class ConfigurationTest {
 
     private static final String CONFIG =
@@ -50,7 +50,7 @@
         assertEquals(new Configuration.Limits(1024, 192, 20_000, 16, 400, 15_000), c.limits());
     }
 
-    /** All that a running doorman takes over is the command channel; what else was changed must not pass unsaid. */
+    /** Changes that a reload can't apply must be named. The address of the command channel can be applied. */
     @Test
     void aReloadNamesWhatOnlyCountsFromTheNextStart() throws Configuration.Invalid {
         Configuration before = Configuration.read(new JSONObject(CONFIG), Map.of());
@@ -94,8 +94,8 @@
     }
 
     /**
-     * Guards a retune that would break every request: a deadline, an aim or a cap on attempts that is not a number above
-     * 0 turns the file down whole, as a missing key does.
+     * Guards against a reload that makes every request fail: a deadline, a target latency or a limit on attempts that
+     * is not a number greater than 0 is rejected like a missing key.
      */
     @Test
     void aDeadlineOrCapThatIsNoNumberAbove0IsTurnedDown() {
@@ -107,7 +107,7 @@
         assertEquals("setting grades.1.name is the name of grades.0", fault("\"record\"", "\"parts\""));
     }
 
-    /** Guards the operators' search: the log names the file, the line and the key of what is wrong. */
+    /** Error messages name the file, the line and the key, which operators search the log for. */
     @Test
     void aFaultyFileIsNamedWithItsLineAndKey(@TempDir Path folder) throws IOException {
         Path file = folder.resolve("config.json");
--- a/doorman/src/test/java/barleyspur/config/FleetSettingsTest.java
+++ b/doorman/src/test/java/barleyspur/config/FleetSettingsTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The block fleet: what it comes to, and that what is wrong is named by file, key and line. */
+/** Tests of the block fleet: values, defaults, and errors that name file, line and key. */
 class FleetSettingsTest {
 
     @TempDir
--- a/doorman/src/test/java/barleyspur/config/HclPropertiesTest.java
+++ b/doorman/src/test/java/barleyspur/config/HclPropertiesTest.java
@@ -12,7 +12,7 @@
 import net.jqwik.api.constraints.StringLength;
 import org.junit.jupiter.api.Test;
 
-/** Reading HCL: bad text gets a message with file, line and key, never a wrong value or another exception. */
+/** Tests of the HCL parser: malformed text causes an error with file and line, not a wrong value or other exception. */
 class HclPropertiesTest {
 
     private static final String GOOD =
@@ -36,7 +36,7 @@
         return assertThrows(Hcl.Invalid.class, () -> Hcl.read("f.hcl", text)).getMessage();
     }
 
-    /** Guards: values are found at their places, also where blocks of a type come several times. */
+    /** Values have the right location, also if several blocks have the same type. */
     @Test
     void valuesAndPlaces() throws Hcl.Invalid {
         Hcl.Block root = Hcl.read("f.hcl", GOOD);
@@ -51,7 +51,7 @@
         assertEquals(false, musts.get(0).blocks().get(0).value("cold").flag());
     }
 
-    /** Guards: what hcl4j passes over or cuts short is turned down, with the line. */
+    /** Malformed input that hcl4j ignores or truncates is rejected with the line. */
     @Test
     void whatTheLibraryLetsThrough() {
         assertEquals("f.hcl:1: block a has no end: a } is missing", failure("a {\n b = 1\n"));
@@ -69,26 +69,26 @@
         assertEquals("f.hcl:1: key b: between items of a list comes a comma", failure("b = [1 2]"));
     }
 
-    /** Guards: a wrong name is told with its line and the near one. */
+    /** The message for an unknown name suggests the closest known one, or lists all if none is close. */
     @Test
     void nearNames() {
         assertEquals(": did you mean in_service?", Hcl.near("in_servce", List.of("in_service", "terminating")));
         assertEquals(": known are a, b", Hcl.near("something", List.of("b", "a")));
     }
 
-    /** Guards: text cut anywhere is read or turned down, nothing else. */
+    /** Text that is truncated at any position is either read or rejected. */
     @Property(seed = "11")
     void cuts(@ForAll @IntRange(max = 330) int at) {
         readOrInvalid(GOOD.substring(0, Math.min(at, GOOD.length())));
     }
 
-    /** Guards: garbage is read or turned down, nothing else. */
+    /** Random text is either read or rejected. */
     @Property(seed = "11")
     void garbage(@ForAll @StringLength(max = 60) String text) {
         readOrInvalid(text);
     }
 
-    /** Guards: garbage amid what is good is read or turned down, nothing else. */
+    /** Valid text with random text inserted is either read or rejected. */
     @Property(seed = "11")
     void garbageAmidGood(@ForAll @IntRange(max = 250) int at, @ForAll @StringLength(max = 4) String text) {
         readOrInvalid(GOOD.substring(0, at) + text + GOOD.substring(at));
@@ -106,7 +106,7 @@
         return new Quantity(Map.of("drain_grace", 2_000.0, "let_go", 7.0)).of(new Hcl.Value("f.hcl", 3, "k", text));
     }
 
-    /** Guards: units, names, sums and products. */
+    /** Units, names, sums and products are evaluated; unknown names are reported. */
     @Test
     void quantities() throws Hcl.Invalid {
         assertEquals(2_000, of("2s"));
--- a/doorman/src/test/java/barleyspur/config/JsonLinesPropertiesTest.java
+++ b/doorman/src/test/java/barleyspur/config/JsonLinesPropertiesTest.java
@@ -13,10 +13,10 @@
 import net.jqwik.api.constraints.Size;
 import net.jqwik.api.constraints.StringLength;
 
-/** The line of a key in JSON, for errors that name one: right on any layout, and no fault on garbage. */
+/** Tests that the line of a key in JSON is right for any layout, and that malformed text causes no exception. */
 class JsonLinesPropertiesTest {
 
-    /** Guards the line in an error: one key a line, with lists of objects between, each key is found on its own. */
+    /** With one key per line, and lists of objects and blank lines in between, each key is found on its line. */
     @Property(seed = "51")
     void eachKeyIsFoundOnItsLine(
             @ForAll @Size(min = 1, max = 8) List<@AlphaChars @StringLength(min = 1, max = 6) String> keys,
@@ -40,7 +40,7 @@
         assertEquals(0, JsonLines.lineOf(text, "top.nowhere"));
     }
 
-    /** Guards the error path itself: text that is no JSON gives no line, and no fault of its own. */
+    /** Malformed JSON has no line but causes no exception, which would hide the original error. */
     @Property(seed = "52")
     void garbageHasNoLineAndNoFault(
             @ForAll @StringLength(max = 80) String garbage,
--- a/doorman/src/test/java/barleyspur/config/OwnSettingsTest.java
+++ b/doorman/src/test/java/barleyspur/config/OwnSettingsTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Our own settings: what is not named is off, and what is wrong is named. */
+/** Tests of the program's own settings: components without a block are off, and errors name the line and the key. */
 class OwnSettingsTest {
 
     private static final Path EXAMPLES = Path.of("../examples/expectations");
@@ -45,7 +45,7 @@
                 failure("expectations {\n files = [\"a\"]\n scenario = 1\n}"));
     }
 
-    /** Guards: a reload takes no configuration that breaks an expectation, and says which; a good one passes. */
+    /** A configuration that violates an expectation is refused with its name; one that satisfies all is accepted. */
     @Test
     void aReloadIsRefusedByABrokenExpectation() throws Configuration.Invalid {
         OwnSettings.Expectations wanted = new OwnSettings.Expectations(List.of(EXAMPLES.resolve("station.hcl")), 12, 1);
