--- a/doorman/src/main/java/barleyspur/DoormanServer.java
+++ b/doorman/src/main/java/barleyspur/DoormanServer.java
@@ -76,13 +76,13 @@
     /** Reads the platform's configuration. */
     public interface ConfigurationSource {
         /** Returns the current configuration; an error names the invalid key. */
-        Configuration read() throws Configuration.Invalid;
+        Configuration read() throws Configuration.InvalidConfigurationException;
     }
 
     /** Reads the program's own settings. */
     public interface OwnSettingsSource {
         /** Returns the current settings; an error names the invalid line. */
-        OwnSettings read() throws Configuration.Invalid;
+        OwnSettings read() throws Configuration.InvalidConfigurationException;
     }
 
     private Configuration configuration;
@@ -138,7 +138,10 @@
         DepotClient depots = new DepotClient(
                 Connector.tcp(eventLoops, limits.connectTimeoutMs()),
                 clock,
-                new DepotClient.Limits(limits.streams(), limits.idleMs(), limits.sockets() / SOCKET_SHARES),
+                new DepotClient.Limits(
+                        limits.maxStreamsPerConnection(),
+                        limits.connectionIdleMs(),
+                        limits.maxSockets() / SOCKET_SHARES),
                 settings.reportFields());
         RoutingPolicy director = new LeastRecentlyLostPolicy(settings, configuration.seed());
         // The configuration's seed is not used here: several doormans, and successive processes of one, may share it
@@ -154,17 +157,17 @@
                         configuration.name(),
                         configuration.names().zones().get(settings.zone()),
                         version(),
-                        configuration.digest(),
+                        configuration.settingsDigest(),
                         System.currentTimeMillis(),
                         incarnation);
         fleet = fleetPort;
         budgets = ownSettings.budgets() == null
                 ? null
                 : new BudgetService(
-                        fleetPort, clock, ownSettings.budgets().terms(), configuration.name(), incarnation + 1);
+                        fleetPort, clock, ownSettings.budgets().config(), configuration.name(), incarnation + 1);
         doorman = new Doorman(
                 settings,
-                limits.maxOpen(),
+                limits.maxOpenRequests(),
                 director,
                 clock,
                 budgets == null
@@ -173,15 +176,16 @@
                                 depots,
                                 budgets,
                                 clock,
-                                ownSettings.budgets().terms(),
+                                ownSettings.budgets().config(),
                                 ownSettings
                                         .budgets()
-                                        .guarded(configuration.names().kinds())));
+                                        .guardedModelIndexes(
+                                                configuration.names().kinds())));
         commandReader = new CommandReader(
                 configuration.names().zones(), configuration.names().kinds(), doorman);
         commandChannel = new CommandChannel(
                 Connector.tcp(eventLoops, CommandChannel.CONNECT_TIMEOUT_MS),
-                configuration.channel(),
+                configuration.channelAddress(),
                 clock,
                 commandReader);
         requestClasses = RequestClassRegistry.of(configuration.names().classes(), settings.classes());
@@ -191,13 +195,13 @@
                 clock,
                 requestClasses,
                 Math.max(
-                        limits.sockets() / SOCKET_SHARES + 1,
-                        limits.sockets() - limits.sockets() / SOCKET_SHARES - RESERVED_SOCKETS),
+                        limits.maxSockets() / SOCKET_SHARES + 1,
+                        limits.maxSockets() - limits.maxSockets() / SOCKET_SHARES - RESERVED_SOCKETS),
                 limits.memoryMb() * MEGABYTE / UNREAD_MEMORY_DIVISOR,
                 depots::pauseReading,
                 lifecycle,
-                configuration.mgmt() != null);
-        if (configuration.mgmt() == null) {
+                configuration.managementAddress() != null);
+        if (configuration.managementAddress() == null) {
             admin = null;
             listenerPidFile = null;
         } else {
@@ -211,7 +215,7 @@
                 budgets.addRoutes(routes);
             }
             admin = new AdminServer(eventLoops, clock, routes.build());
-            listenerPidFile = new ListenerPidFile(configuration.scratch(), configuration.listen());
+            listenerPidFile = new ListenerPidFile(configuration.tempDirectory(), configuration.listenAddress());
         }
     }
 
@@ -235,11 +239,11 @@
         LogEvent.log(LOG.atInfo(), "rehearsed", "requests", WARM_UP_REQUESTS, "bytes", answerBytes);
         eventLoops
                 .submit(() -> {
-                    commandReader.readInitial(configuration.known());
+                    commandReader.readInitial(configuration.initialCommands());
                     commandChannel.connect();
                 })
                 .sync();
-        awaitBound(front.listen(configuration.listen()), configuration.listen());
+        awaitBound(front.listen(configuration.listenAddress()), configuration.listenAddress());
         eventLoops
                 .submit(() -> {
                     lifecycle.startServing(clock.nowMs());
@@ -249,7 +253,7 @@
                 })
                 .sync();
         if (admin != null) {
-            awaitBound(admin.listen(configuration.mgmt()), configuration.mgmt());
+            awaitBound(admin.listen(configuration.managementAddress()), configuration.managementAddress());
             listenerPidFile.write(ProcessHandle.current().pid());
         }
         LogEvent.log(
@@ -258,9 +262,9 @@
                 "name",
                 configuration.name(),
                 "address",
-                configuration.listen(),
+                configuration.listenAddress(),
                 "mgmt",
-                configuration.mgmt());
+                configuration.managementAddress());
     }
 
     private void awaitBound(ChannelFuture future, InetSocketAddress address) throws IOException, InterruptedException {
@@ -285,7 +289,7 @@
                 eventLoops.execute(() -> apply(nextOwnSettings));
             } catch (RejectedExecutionException e) {
                 // The event loop has shut down meanwhile, so there is nothing left to update.
-            } catch (Configuration.Invalid e) {
+            } catch (Configuration.InvalidConfigurationException e) {
                 LogEvent.log(LOG.atError(), "reload: the configuration before stays", "cause", e.getMessage());
             }
         });
@@ -293,7 +297,7 @@
 
     /** Applies changed own settings. Only the amounts and weights of budgets take effect without a restart. */
     private void apply(OwnSettings next) {
-        List<String> restartKeys = ownSettings.fixedChanges(next);
+        List<String> restartKeys = ownSettings.changesRequiringRestart(next);
         if (!restartKeys.isEmpty()) {
             LogEvent.log(
                     LOG.atWarn(),
@@ -302,12 +306,12 @@
                     String.join(",", restartKeys));
         }
         if (budgets != null && next.budgets() != null) {
-            budgets.reconfigure(next.budgets().terms());
+            budgets.reconfigure(next.budgets().config());
         }
     }
 
     private void apply(Configuration next) {
-        List<String> restartKeys = configuration.fixedChanges(next);
+        List<String> restartKeys = configuration.changesRequiringRestart(next);
         if (!restartKeys.isEmpty()) {
             LogEvent.log(
                     LOG.atWarn(),
@@ -335,8 +339,8 @@
                     attempts);
         }
         LOG.info("reload: done");
-        configuration = configuration.retuned(next);
-        commandChannel.reconnectTo(next.channel());
+        configuration = configuration.withRuntimeChanges(next);
+        commandChannel.reconnectTo(next.channelAddress());
     }
 
     /**
--- a/doorman/src/main/java/barleyspur/WarmUp.java
+++ b/doorman/src/main/java/barleyspur/WarmUp.java
@@ -76,7 +76,8 @@
                     return depot.newSucceededFuture();
                 },
                 this,
-                new DepotClient.Limits(configuration.limits().streams(), Integer.MAX_VALUE, CACHE_COUNT * 8),
+                new DepotClient.Limits(
+                        configuration.limits().maxStreamsPerConnection(), Integer.MAX_VALUE, CACHE_COUNT * 8),
                 settings.reportFields());
         Doorman doorman = new Doorman(settings, requests, new LeastRecentlyLostPolicy(settings, 1), this, client);
         doorman.onNodeList(true, listings(settings));
--- a/doorman/src/main/java/barleyspur/channel/CommandReader.java
+++ b/doorman/src/main/java/barleyspur/channel/CommandReader.java
@@ -116,7 +116,7 @@
                 };
         return new NodeListing(
                 target.getString("uid"),
-                Configuration.address("endpoint", target.getString("endpoint")),
+                Configuration.parseAddress("endpoint", target.getString("endpoint")),
                 indexOf("az", zones, target.getString("az")),
                 indexOf("model", kinds, target.getString("model")),
                 target.optInt("pod_group"),
--- a/doorman/src/main/java/barleyspur/cli/AdminClient.java
+++ b/doorman/src/main/java/barleyspur/cli/AdminClient.java
@@ -31,7 +31,7 @@
     static URI uri(CommandLine line, String path) throws Command.InvalidInputException {
         String address = line.getOptionValue("admin", System.getenv().getOrDefault("RELAY_MGMT", ""));
         try {
-            Configuration.address("--admin", address);
+            Configuration.parseAddress("--admin", address);
         } catch (IllegalArgumentException e) {
             throw Command.InvalidInputException.commandLine(
                     "neither --admin nor the variable RELAY_MGMT is an address with a port: '" + address + "'");
--- a/doorman/src/main/java/barleyspur/cli/Cli.java
+++ b/doorman/src/main/java/barleyspur/cli/Cli.java
@@ -118,7 +118,7 @@
             return line.hasOption("settings")
                     ? OwnSettings.load(Path.of(line.getOptionValue("settings")))
                     : OwnSettings.none();
-        } catch (Hcl.Invalid e) {
+        } catch (Hcl.InvalidHclException e) {
             throw Command.InvalidInputException.input("settings: " + e.getMessage());
         }
     }
@@ -126,8 +126,8 @@
     private static void checkSettings(OwnSettings settings, Configuration configuration)
             throws Command.InvalidInputException {
         try {
-            settings.check(configuration);
-        } catch (Hcl.Invalid e) {
+            settings.validateAgainst(configuration);
+        } catch (Hcl.InvalidHclException e) {
             throw Command.InvalidInputException.input("settings: " + e.getMessage());
         }
     }
@@ -138,10 +138,10 @@
         if (line.hasOption("expect")) {
             List<String> violations;
             try {
-                violations = ExpectationCheck.broken(
+                violations = ExpectationCheck.findViolations(
                         Path.of(System.getenv("RELAY_CONFIG")),
                         new OwnSettings.Expectations(List.of(Path.of(line.getOptionValue("expect"))), 200, 1));
-            } catch (Configuration.Invalid | Hcl.Invalid e) {
+            } catch (Configuration.InvalidConfigurationException | Hcl.InvalidHclException e) {
                 throw Command.InvalidInputException.input(e.getMessage());
             }
             if (!violations.isEmpty()) {
@@ -157,7 +157,7 @@
     private static Configuration loadConfiguration() throws Command.InvalidInputException {
         try {
             return Configuration.load(System.getenv());
-        } catch (Configuration.Invalid e) {
+        } catch (Configuration.InvalidConfigurationException e) {
             throw Command.InvalidInputException.input("configuration: " + e.getMessage());
         }
     }
@@ -169,7 +169,7 @@
             node.drain();
             node.awaitEnd();
             return Command.OK;
-        } catch (Configuration.Invalid e) {
+        } catch (Configuration.InvalidConfigurationException e) {
             throw Command.InvalidInputException.input("configuration: " + e.getMessage());
         } catch (ExecutionException e) {
             throw new IOException(e.getMessage(), e);
@@ -180,25 +180,27 @@
     }
 
     /** Loads the configuration for a reload; rejects it if it violates the routing expectations of the settings. */
-    private static Configuration reloadConfiguration(OwnSettings settings) throws Configuration.Invalid {
+    private static Configuration reloadConfiguration(OwnSettings settings)
+            throws Configuration.InvalidConfigurationException {
         Configuration reloaded = Configuration.load(System.getenv());
         if (settings.expectations() != null) {
-            ExpectationCheck.require(Path.of(System.getenv("RELAY_CONFIG")), settings.expectations());
+            ExpectationCheck.requireNoViolations(Path.of(System.getenv("RELAY_CONFIG")), settings.expectations());
         }
         return reloaded;
     }
 
     /** Loads barleyspur's own settings for a reload; a file with any error is rejected as a whole. */
-    private static OwnSettings reloadSettings(CommandLine line, OwnSettings current) throws Configuration.Invalid {
+    private static OwnSettings reloadSettings(CommandLine line, OwnSettings current)
+            throws Configuration.InvalidConfigurationException {
         if (!line.hasOption("settings")) {
             return current;
         }
         try {
             OwnSettings reloaded = OwnSettings.load(Path.of(line.getOptionValue("settings")));
-            reloaded.check(Configuration.load(System.getenv()));
+            reloaded.validateAgainst(Configuration.load(System.getenv()));
             return reloaded;
-        } catch (Hcl.Invalid e) {
-            throw new Configuration.Invalid("settings: " + e.getMessage());
+        } catch (Hcl.InvalidHclException e) {
+            throw new Configuration.InvalidConfigurationException("settings: " + e.getMessage());
         }
     }
 
--- a/doorman/src/main/java/barleyspur/cli/ExpectCommand.java
+++ b/doorman/src/main/java/barleyspur/cli/ExpectCommand.java
@@ -103,21 +103,21 @@
             if (line.hasOption("diff")) {
                 return diff(line, files);
             }
-            Site site = ExpectationCheck.site(configurationPath(line));
+            Site site = ExpectationCheck.readDeployment(configurationPath(line));
             if (line.hasOption("fleet")) {
                 files.add(line.getOptionValue("fleet"));
             }
             ExpectationCheck check = ExpectationCheck.of(site, files, line.hasOption("fleet"));
             String only = line.getOptionValue("only", "");
-            if (!only.isEmpty() && !check.names().contains(only)) {
+            if (!only.isEmpty() && !check.expectationNames().contains(only)) {
                 throw Command.InvalidInputException.commandLine(
-                        "--only: no expectation is named " + only + Hcl.near(only, check.names()));
+                        "--only: no expectation is named " + only + Hcl.suggestion(only, check.expectationNames()));
             }
-            if (check.names().isEmpty()) {
+            if (check.expectationNames().isEmpty()) {
                 throw Command.InvalidInputException.input(files.get(0) + ":1: contains no block expectation");
             }
             return check(line, check, only);
-        } catch (Configuration.Invalid | Hcl.Invalid e) {
+        } catch (Configuration.InvalidConfigurationException | Hcl.InvalidHclException e) {
             throw Command.InvalidInputException.input(e.getMessage());
         }
     }
@@ -125,7 +125,7 @@
     private static int check(CommandLine line, ExpectationCheck check, String only)
             throws Command.InvalidInputException, IOException {
         long startNanos = System.nanoTime();
-        Checker.Book book = check.book(only, (int) Command.integer(line, "depth", 0, 1, 6));
+        Checker.Book book = check.suite(only, (int) Command.integer(line, "depth", 0, 1, 6));
         Checker.Result result = Checker.of(book, progress(startNanos))
                 .run(Command.integer(line, "seed", 1, 0, Long.MAX_VALUE / 64), runLimit(line));
         double seconds = (System.nanoTime() - startNanos) / 1e9;
@@ -248,7 +248,7 @@
         }
         Path file = folder.resolve(finding.expectation().name().replaceAll("[^A-Za-z0-9_-]+", "-") + ".trace.json");
         Files.createDirectories(folder);
-        Files.writeString(file, check.trace(counterexample));
+        Files.writeString(file, check.traceText(counterexample));
         System.out.println("  replay it: barleyspur explain " + file);
         return json.put("trace", file.toString())
                 .put("scenario", finding.refutedAtScenario())
@@ -258,10 +258,10 @@
     }
 
     private static int diff(CommandLine line, List<String> files)
-            throws Command.InvalidInputException, Hcl.Invalid, Configuration.Invalid {
+            throws Command.InvalidInputException, Hcl.InvalidHclException, Configuration.InvalidConfigurationException {
         String[] configs = line.getOptionValues("diff");
-        Site before = ExpectationCheck.site(Path.of(configs[0]));
-        Site after = ExpectationCheck.site(Path.of(configs[1]));
+        Site before = ExpectationCheck.readDeployment(Path.of(configs[0]));
+        Site after = ExpectationCheck.readDeployment(Path.of(configs[1]));
         ExpectationCheck check = ExpectationCheck.of(before, files, false);
         if (!before.classes().equals(after.classes()) || !before.zones().equals(after.zones())) {
             throw Command.InvalidInputException.input(configs[1] + ": key settings."
@@ -274,10 +274,10 @@
         Comparison.Result comparison = Comparison.of(
                 before,
                 after,
-                check.loads(),
-                check.cases(),
+                check.workloads(),
+                check.faultScripts(),
                 Command.integer(line, "seed", 1, 0, Long.MAX_VALUE / 64),
-                check.book("", 0).depth(),
+                check.suite("", 0).depth(),
                 runLimit(line));
         for (Comparison.Difference difference : comparison.first()) {
             System.out.printf(
@@ -308,7 +308,7 @@
             trace = Traces.read(file, Files.readString(Path.of(file)));
         } catch (IOException e) {
             throw Command.InvalidInputException.input(file + " can't be read: " + e.getMessage());
-        } catch (Hcl.Invalid e) {
+        } catch (Hcl.InvalidHclException e) {
             throw Command.InvalidInputException.input(e.getMessage());
         }
         System.out.println(Story.fleet(trace.scenario().site()));
--- a/doorman/src/main/java/barleyspur/config/ExpectationCheck.java
+++ b/doorman/src/main/java/barleyspur/config/ExpectationCheck.java
@@ -16,32 +16,33 @@
 /** Checks a configuration against files with routing expectations. */
 public final class ExpectationCheck {
 
-    private final ExpectationFiles.Read read;
+    private final ExpectationFiles.Definitions definitions;
     private final List<String> files;
-    private final Site site;
-    private final List<Site> fleets;
+    private final Site deployment;
+    private final List<Site> deployments;
 
-    private ExpectationCheck(ExpectationFiles.Read read, List<String> files, Site site, boolean describedOnly) {
-        this.read = read;
+    private ExpectationCheck(
+            ExpectationFiles.Definitions definitions, List<String> files, Site deployment, boolean describedOnly) {
+        this.definitions = definitions;
         this.files = files;
-        this.site = site;
-        List<Site> all = new ArrayList<>(read.fleets());
-        if (!describedOnly || all.isEmpty()) {
-            all.add(0, site);
+        this.deployment = deployment;
+        List<Site> deployments = new ArrayList<>(definitions.deployments());
+        if (!describedOnly || deployments.isEmpty()) {
+            deployments.add(0, deployment);
         }
-        this.fleets = all;
+        this.deployments = deployments;
     }
 
     /** Reads the fleet of a configuration file. */
-    public static Site site(Path config) throws Configuration.Invalid {
+    public static Site readDeployment(Path config) throws Configuration.InvalidConfigurationException {
         try {
-            return Sites.read(new JSONObject(Files.readString(config)));
+            return Deployments.read(new JSONObject(Files.readString(config)));
         } catch (IOException e) {
-            throw new Configuration.Invalid(config + " can't be read: " + e.getMessage());
+            throw new Configuration.InvalidConfigurationException(config + " can't be read: " + e.getMessage());
         } catch (JSONException e) {
-            throw new Configuration.Invalid(config + " is not valid JSON: " + e.getMessage());
-        } catch (Configuration.Invalid e) {
-            throw new Configuration.Invalid(config + ": " + e.getMessage());
+            throw new Configuration.InvalidConfigurationException(config + " is not valid JSON: " + e.getMessage());
+        } catch (Configuration.InvalidConfigurationException e) {
+            throw new Configuration.InvalidConfigurationException(config + ": " + e.getMessage());
         }
     }
 
@@ -50,85 +51,90 @@
      *
      * @param describedOnly whether the fleets that the files define, if any, replace the one of the configuration
      */
-    public static ExpectationCheck of(Site site, List<String> files, boolean describedOnly) throws Hcl.Invalid {
+    public static ExpectationCheck of(Site deployment, List<String> files, boolean describedOnly)
+            throws Hcl.InvalidHclException {
         return new ExpectationCheck(
-                ExpectationFiles.read(files, ExpectationCheck::text, site), files, site, describedOnly);
+                ExpectationFiles.read(files, ExpectationCheck::readText, deployment), files, deployment, describedOnly);
     }
 
-    private static String text(String from, String name) throws Hcl.Invalid {
+    private static String readText(String from, String name) throws Hcl.InvalidHclException {
         try {
             return Files.readString(Path.of(name));
         } catch (IOException e) {
-            throw new Hcl.Invalid(
+            throw new Hcl.InvalidHclException(
                     from.replaceFirst(":\\d+$", ""), 1, "file " + name + " can't be read: " + e.getMessage());
         }
     }
 
     /** Returns the names of the expectations in the order of the files. */
-    public List<String> names() {
-        return read.expectations().stream().map(e -> e.name()).toList();
+    public List<String> expectationNames() {
+        return definitions.expectations().stream().map(e -> e.name()).toList();
     }
 
     /**
      * Returns the input of the checker.
      *
      * @param only  the name of the only expectation to check, or empty for all
-     * @param depth length up to which all sequences of events are simulated, or 0 for the value of the files
+     * @param maxSequenceLength length up to which all sequences of events are simulated, or 0 for the value of the files
      */
-    public Checker.Book book(String only, int depth) {
+    public Checker.Book suite(String only, int maxSequenceLength) {
         return new Checker.Book(
-                read.expectations().stream()
+                definitions.expectations().stream()
                         .filter(e -> only.isEmpty() || e.name().equals(only))
                         .toList(),
-                fleets,
-                loads(),
-                read.cases(),
-                depth > 0 ? depth : Math.max(1, read.depth()));
+                deployments,
+                workloads(),
+                definitions.faultScripts(),
+                maxSequenceLength > 0 ? maxSequenceLength : Math.max(1, definitions.maxSequenceLength()));
     }
 
     /** Returns the workloads that the files define, or the default one. */
-    public List<Load> loads() {
-        return read.loads().isEmpty() ? List.of(Load.usual(site.any())) : read.loads();
+    public List<Load> workloads() {
+        return definitions.workloads().isEmpty() ? List.of(Load.usual(deployment.any())) : definitions.workloads();
     }
 
     /** Returns the cases that the files define. */
-    public List<Case> cases() {
-        return read.cases();
+    public List<Case> faultScripts() {
+        return definitions.faultScripts();
     }
 
     /** Returns the content of a trace file for a counterexample. */
-    public String trace(Checker.Counterexample counterexample) {
-        return Traces.write(counterexample, files, read.texts());
+    public String traceText(Checker.Counterexample counterexample) {
+        return Traces.write(counterexample, files, definitions.fileTexts());
     }
 
     /** Returns a message for each expectation that a configuration violates; throws if either can't be read. */
-    public static List<String> broken(Path config, OwnSettings.Expectations wanted)
-            throws Configuration.Invalid, Hcl.Invalid {
-        ExpectationCheck check =
-                of(site(config), wanted.files().stream().map(Path::toString).toList(), false);
-        int[] left = {wanted.scenarios()};
-        BooleanSupplier more = () -> left[0]-- > 0;
-        List<String> broken = new ArrayList<>();
-        for (Checker.Finding f : Checker.of(check.book("", 0), Checker.Progress.NONE)
-                .run(wanted.seed(), more)
+    public static List<String> findViolations(Path config, OwnSettings.Expectations expectations)
+            throws Configuration.InvalidConfigurationException, Hcl.InvalidHclException {
+        ExpectationCheck check = of(
+                readDeployment(config),
+                expectations.files().stream().map(Path::toString).toList(),
+                false);
+        int[] remaining = {expectations.scenarios()};
+        BooleanSupplier continueRunning = () -> remaining[0]-- > 0;
+        List<String> violations = new ArrayList<>();
+        for (Checker.Finding result : Checker.of(check.suite("", 0), Checker.Progress.NONE)
+                .run(expectations.seed(), continueRunning)
                 .findings()) {
-            if (f.verdict() == Checker.Verdict.REFUTED) {
-                broken.add("expectation \"" + f.expectation().name() + "\" ("
-                        + f.expectation().place() + ") is refuted: it held in " + f.held() + " of " + f.judged());
+            if (result.verdict() == Checker.Verdict.REFUTED) {
+                violations.add("expectation \"" + result.expectation().name() + "\" ("
+                        + result.expectation().place() + ") is refuted: it held in " + result.held() + " of "
+                        + result.judged());
             }
         }
-        return broken;
+        return violations;
     }
 
     /** Throws if a configuration violates an expectation, or if the expectations can't be read. */
-    public static void require(Path config, OwnSettings.Expectations wanted) throws Configuration.Invalid {
+    public static void requireNoViolations(Path config, OwnSettings.Expectations expectations)
+            throws Configuration.InvalidConfigurationException {
         try {
-            List<String> broken = broken(config, wanted);
-            if (!broken.isEmpty()) {
-                throw new Configuration.Invalid(String.join("; ", broken));
+            List<String> violations = findViolations(config, expectations);
+            if (!violations.isEmpty()) {
+                throw new Configuration.InvalidConfigurationException(String.join("; ", violations));
             }
-        } catch (Hcl.Invalid e) {
-            throw new Configuration.Invalid(e.getMessage());
+        } catch (Hcl.InvalidHclException e) {
+            throw new Configuration.InvalidConfigurationException(e.getMessage());
         }
     }
 }
--- a/doorman/src/main/java/barleyspur/config/ExpectationFiles.java
+++ b/doorman/src/main/java/barleyspur/config/ExpectationFiles.java
@@ -24,9 +24,9 @@
 public final class ExpectationFiles {
 
     /** Source of the files' texts: the file system, or a trace that contains them. */
-    public interface Texts {
+    public interface SourceLoader {
         /** Returns the text of the file {@code name}, which {@code from} refers to; throws if there is none. */
-        String read(String from, String name) throws Hcl.Invalid;
+        String read(String from, String name) throws Hcl.InvalidHclException;
 
         /** Resolves the name of an included file relative to the file {@code from} that includes it. */
         default String resolve(String from, String included) {
@@ -38,94 +38,95 @@
     /**
      * The definitions and expectations of a set of files.
      *
-     * @param fleets fleets defined in the files, to be checked in addition to the one of the configuration
-     * @param loads  the workloads to simulate, in turn
-     * @param depth  length up to which all sequences of events are simulated; 0 if not set
-     * @param texts  the texts of the files by name, to be stored in traces
+     * @param deployments fleets defined in the files, to be checked in addition to the one of the configuration
+     * @param workloads  the workloads to simulate, in turn
+     * @param maxSequenceLength  length up to which all sequences of events are simulated; 0 if not set
+     * @param fileTexts  the texts of the files by name, to be stored in traces
      */
-    public record Read(
+    public record Definitions(
             List<Expectation> expectations,
-            List<Site> fleets,
-            List<Load> loads,
-            List<Case> cases,
-            int depth,
-            Map<String, String> texts) {}
-
-    private final Texts texts;
-    private final Site site;
-    private final Map<String, String> read = new LinkedHashMap<>();
-    private final List<Hcl.Block> files = new ArrayList<>();
-    private final Map<String, Double> names = new HashMap<>();
-    private final Quantity quantity = new Quantity(names);
-    private final List<Site> fleets = new ArrayList<>();
-    private final List<Case> cases = new ArrayList<>();
+            List<Site> deployments,
+            List<Load> workloads,
+            List<Case> faultScripts,
+            int maxSequenceLength,
+            Map<String, String> fileTexts) {}
+
+    private final SourceLoader sourceLoader;
+    private final Site deployment;
+    private final Map<String, String> fileTexts = new LinkedHashMap<>();
+    private final List<Hcl.Block> rootBlocks = new ArrayList<>();
+    private final Map<String, Double> namedValues = new HashMap<>();
+    private final QuantityParser quantityParser = new QuantityParser(namedValues);
+    private final List<Site> deployments = new ArrayList<>();
+    private final List<Case> faultScripts = new ArrayList<>();
     private final List<Expectation> expectations = new ArrayList<>();
-    private final List<Load> loads = new ArrayList<>();
-    private int depth;
+    private final List<Load> workloads = new ArrayList<>();
+    private int maxSequenceLength;
 
-    private ExpectationFiles(Texts texts, Site site) {
-        this.texts = texts;
-        this.site = site;
+    private ExpectationFiles(SourceLoader sourceLoader, Site deployment) {
+        this.sourceLoader = sourceLoader;
+        this.deployment = deployment;
     }
 
     /**
      * Reads files and the files that they include.
      *
-     * @param site the fleet of the configuration; its settings define the values that expectations can refer to
+     * @param deployment the fleet of the configuration; its settings define the values that expectations can refer to
      */
-    public static Read read(List<String> names, Texts texts, Site site) throws Hcl.Invalid {
-        ExpectationFiles reader = new ExpectationFiles(texts, site);
-        reader.names.putAll(figures(site));
-        for (String name : names) {
-            reader.file(name, name);
-        }
-        reader.understand();
-        return new Read(
+    public static Definitions read(List<String> fileNames, SourceLoader sourceLoader, Site deployment)
+            throws Hcl.InvalidHclException {
+        ExpectationFiles reader = new ExpectationFiles(sourceLoader, deployment);
+        reader.namedValues.putAll(numericSettings(deployment));
+        for (String name : fileNames) {
+            reader.readFile(name, name);
+        }
+        reader.parseDefinitions();
+        return new Definitions(
                 List.copyOf(reader.expectations),
-                List.copyOf(reader.fleets),
-                List.copyOf(reader.loads),
-                List.copyOf(reader.cases),
-                reader.depth,
-                reader.read);
+                List.copyOf(reader.deployments),
+                List.copyOf(reader.workloads),
+                List.copyOf(reader.faultScripts),
+                reader.maxSequenceLength,
+                reader.fileTexts);
     }
 
     /** Returns the numeric settings by the names that expectations use for them. */
-    static Map<String, Double> figures(Site site) {
-        RoutingPolicy.Settings s = site.any();
-        Map<String, Double> figures = new LinkedHashMap<>();
-        figures.put("drain_grace", s.drainGraceMs());
-        figures.put("purge_grace", s.purgeGraceMs());
-        figures.put("purge_done", s.purgeCompleteMs());
-        figures.put("answer_slack", s.answerSlackMs());
-        figures.put("tick", s.tickMs());
-        figures.put("fall_span", s.overloadSpanMs());
-        figures.put("cache_warm", s.coldCache().warmAfterMs());
-        figures.put("parent_warm", s.coldParent().warmAfterMs());
-        figures.put("longest_w", s.maxRetryAfterMs());
-        figures.put("most_attempts", (double) s.maxAttempts());
-        figures.put("doormans", (double) site.settings().size());
-        for (int i = 0; i < site.classes().size(); i++) {
-            RoutingPolicy.RequestClass c = s.classes().get(i);
-            figures.put("aim." + site.classes().get(i), c.aimMs());
-            figures.put("deadline." + site.classes().get(i), c.deadlineMs());
-            figures.put("fresh." + site.classes().get(i), c.freshMs());
-            figures.put("stale." + site.classes().get(i), c.freshMs() + c.graceMs());
-        }
-        return figures;
+    static Map<String, Double> numericSettings(Site deployment) {
+        RoutingPolicy.Settings settings = deployment.any();
+        Map<String, Double> values = new LinkedHashMap<>();
+        values.put("drain_grace", settings.drainGraceMs());
+        values.put("purge_grace", settings.purgeGraceMs());
+        values.put("purge_done", settings.purgeCompleteMs());
+        values.put("answer_slack", settings.answerSlackMs());
+        values.put("tick", settings.tickMs());
+        values.put("fall_span", settings.overloadSpanMs());
+        values.put("cache_warm", settings.coldCache().warmAfterMs());
+        values.put("parent_warm", settings.coldParent().warmAfterMs());
+        values.put("longest_w", settings.maxRetryAfterMs());
+        values.put("most_attempts", (double) settings.maxAttempts());
+        values.put("doormans", (double) deployment.settings().size());
+        for (int i = 0; i < deployment.classes().size(); i++) {
+            RoutingPolicy.RequestClass requestClass = settings.classes().get(i);
+            values.put("aim." + deployment.classes().get(i), requestClass.aimMs());
+            values.put("deadline." + deployment.classes().get(i), requestClass.deadlineMs());
+            values.put("fresh." + deployment.classes().get(i), requestClass.freshMs());
+            values.put("stale." + deployment.classes().get(i), requestClass.freshMs() + requestClass.graceMs());
+        }
+        return values;
     }
 
-    private void file(String from, String name) throws Hcl.Invalid {
-        if (read.containsKey(name)) {
+    private void readFile(String from, String name) throws Hcl.InvalidHclException {
+        if (fileTexts.containsKey(name)) {
             return;
         }
-        String text = texts.read(from, name);
-        read.put(name, text);
+        String text = sourceLoader.read(from, name);
+        fileTexts.put(name, text);
         Hcl.Block root = Hcl.read(name, text);
-        files.add(root);
+        rootBlocks.add(root);
         Hcl.Value include = root.value("include");
         if (include != null) {
-            for (String other : include.texts()) {
-                file(include.place(), texts.resolve(name, other));
+            for (String other : include.asStrings()) {
+                readFile(include.location(), sourceLoader.resolve(name, other));
             }
         }
     }
@@ -134,354 +135,391 @@
      * Parses the shared definitions of all files first and then the expectations, since an expectation may refer to a
      * definition in any file.
      */
-    private void understand() throws Hcl.Invalid {
-        for (Hcl.Block root : files) {
-            root.close(List.of("let", "fleet", "load", "case", "explore", "expectation"));
+    private void parseDefinitions() throws Hcl.InvalidHclException {
+        for (Hcl.Block root : rootBlocks) {
+            root.rejectUnknown(List.of("let", "fleet", "load", "case", "explore", "expectation"));
             for (Hcl.Block let : root.blocks("let")) {
-                for (Hcl.Value v : let.values()) {
-                    if (names.put(v.key(), quantity.of(v)) != null) {
-                        throw v.invalid("is already defined");
+                for (Hcl.Value value : let.values()) {
+                    if (namedValues.put(value.key(), quantityParser.parse(value)) != null) {
+                        throw value.invalid("is already defined");
                     }
                 }
-                let.close(List.of());
+                let.rejectUnknown(List.of());
             }
         }
-        Set<String> seen = new HashSet<>();
-        for (Hcl.Block root : files) {
-            for (Hcl.Block b : root.blocks()) {
-                if (!b.type().equals("let") && !b.type().equals("explore") && !seen.add(b.type() + b.label())) {
-                    throw b.invalid("\"" + b.label() + "\" is defined twice");
+        Set<String> definedNames = new HashSet<>();
+        for (Hcl.Block root : rootBlocks) {
+            for (Hcl.Block block : root.blocks()) {
+                if (!block.type().equals("let")
+                        && !block.type().equals("explore")
+                        && !definedNames.add(block.type() + block.label())) {
+                    throw block.invalid("\"" + block.label() + "\" is defined twice");
                 }
             }
-            for (Hcl.Block b : root.blocks("fleet")) {
-                fleets.add(fleet(b));
+            for (Hcl.Block block : root.blocks("fleet")) {
+                deployments.add(parseDeployment(block));
             }
-            for (Hcl.Block b : root.blocks("case")) {
-                cases.add(aCase(b));
+            for (Hcl.Block block : root.blocks("case")) {
+                faultScripts.add(parseFaultScript(block));
             }
-            for (Hcl.Block b : root.blocks("load")) {
-                loads.add(load(b));
+            for (Hcl.Block block : root.blocks("load")) {
+                workloads.add(parseWorkload(block));
             }
-            for (Hcl.Block b : root.blocks("explore")) {
-                depth = (int) figure(b, "depth", 1, 1, 6);
-                b.close(List.of());
+            for (Hcl.Block block : root.blocks("explore")) {
+                maxSequenceLength = (int) parseNumber(block, "depth", 1, 1, 6);
+                block.rejectUnknown(List.of());
             }
         }
-        for (Hcl.Block root : files) {
-            for (Hcl.Block b : root.blocks("expectation")) {
-                expectations.add(expectation(b));
+        for (Hcl.Block root : rootBlocks) {
+            for (Hcl.Block block : root.blocks("expectation")) {
+                expectations.add(parseExpectation(block));
             }
         }
     }
 
     // ---- shared definitions ----------------------------------------------------------------------------
 
-    private Site fleet(Hcl.Block b) throws Hcl.Invalid {
-        int stations = (int) figure(b, "stations", 1, 1, 10_000);
-        int caches = (int) figure(b, "caches", 3, 1, 10_000);
-        int districts = (int) figure(b, "district_caches", 2, 0, 10_000);
-        int offices = (int) figure(b, "head_offices", 1, 0, 8);
-        int doormans = (int) figure(b, "doormans", 2, 1, 1_000);
-        double size = figure(b, "size", 8, 0.1, 1e6);
-        String cacheModel = word(b, "model", modelOf(Site.Role.CACHE), site.kinds());
-        b.close(List.of());
+    private Site parseDeployment(Hcl.Block block) throws Hcl.InvalidHclException {
+        int stations = (int) parseNumber(block, "stations", 1, 1, 10_000);
+        int caches = (int) parseNumber(block, "caches", 3, 1, 10_000);
+        int districts = (int) parseNumber(block, "district_caches", 2, 0, 10_000);
+        int headOffices = (int) parseNumber(block, "head_offices", 1, 0, 8);
+        int doormans = (int) parseNumber(block, "doormans", 2, 1, 1_000);
+        double size = parseNumber(block, "size", 8, 0.1, 1e6);
+        String cacheModel = parseText(block, "model", defaultModel(Site.Role.CACHE), deployment.kinds());
+        block.rejectUnknown(List.of());
         List<String> zones = new ArrayList<>(List.of("central"));
-        List<Box> boxes = new ArrayList<>();
+        List<BoxDefinition> boxes = new ArrayList<>();
         List<Integer> doormanZones = new ArrayList<>();
-        for (int z = 1; z <= stations; z++) {
-            zones.add("station-" + z);
+        for (int zone = 1; zone <= stations; zone++) {
+            zones.add("station-" + zone);
             for (int i = 1; i <= caches; i++) {
-                boxes.add(new Box("cache-" + z + "-" + i, z, site.kinds().indexOf(cacheModel), size));
+                boxes.add(new BoxDefinition(
+                        "cache-" + zone + "-" + i, zone, deployment.kinds().indexOf(cacheModel), size));
             }
             for (int i = 0; i < doormans; i++) {
-                doormanZones.add(z);
+                doormanZones.add(zone);
             }
         }
         for (int i = 1; i <= districts; i++) {
-            boxes.add(new Box("district-" + i, 0, site.any().parentKind(), size * caches * stations / districts));
+            boxes.add(new BoxDefinition(
+                    "district-" + i, 0, deployment.any().parentKind(), size * caches * stations / districts));
         }
-        for (int i = 1; i <= offices; i++) {
-            boxes.add(new Box("head-office-" + i, 0, site.any().originKind(), size * caches * stations * 4));
+        for (int i = 1; i <= headOffices; i++) {
+            boxes.add(new BoxDefinition(
+                    "head-office-" + i, 0, deployment.any().originKind(), size * caches * stations * 4));
         }
-        return Sites.described(b.label(), site, zones, doormanZones, boxes);
+        return Deployments.withSettingsOf(block.label(), deployment, zones, doormanZones, boxes);
     }
 
     /** A box of a fleet defined in a file, before it is assigned a node number. */
-    record Box(String uid, int zone, int kind, double size) {}
+    record BoxDefinition(String uid, int zone, int kind, double size) {}
 
-    private String modelOf(Site.Role role) {
-        for (int kind = 0; kind < site.kinds().size(); kind++) {
-            boolean fits = kind != site.any().parentKind() && kind != site.any().originKind();
+    private String defaultModel(Site.Role role) {
+        for (int kind = 0; kind < deployment.kinds().size(); kind++) {
+            boolean fits = kind != deployment.any().parentKind()
+                    && kind != deployment.any().originKind();
             if (fits == (role == Site.Role.CACHE)) {
-                return site.kinds().get(kind);
+                return deployment.kinds().get(kind);
             }
         }
-        return site.kinds().get(0);
+        return deployment.kinds().get(0);
     }
 
-    private Load load(Hcl.Block b) throws Hcl.Invalid {
-        Load usual = Load.usual(site.any());
-        List<Load.OfClass> classes = new ArrayList<>(usual.classes());
-        for (Hcl.Block c : b.blocks("class")) {
-            int place = site.classes().indexOf(c.label());
-            if (place < 0) {
-                throw c.invalid("\"" + c.label() + "\" is not a class" + Hcl.near(c.label(), site.classes()));
+    private Load parseWorkload(Hcl.Block block) throws Hcl.InvalidHclException {
+        Load defaultWorkload = Load.usual(deployment.any());
+        List<Load.OfClass> classes = new ArrayList<>(defaultWorkload.classes());
+        for (Hcl.Block classBlock : block.blocks("class")) {
+            int classIndex = deployment.classes().indexOf(classBlock.label());
+            if (classIndex < 0) {
+                throw classBlock.invalid("\"" + classBlock.label() + "\" is not a class"
+                        + Hcl.suggestion(classBlock.label(), deployment.classes()));
             }
             classes.set(
-                    place,
+                    classIndex,
                     new Load.OfClass(
-                            figure(c, "share", classes.get(place).share(), 0, 1e6),
-                            figure(c, "work", classes.get(place).workMs(), 0.01, 1e6)));
-            c.close(List.of());
-        }
-        Hcl.Value marks = b.value("marks_retries");
-        int objects = (int) figure(b, "objects", usual.objects(), 1, 1 << 19);
-        Load read = new Load(
-                b.label(),
-                figure(b, "utilisation", usual.utilisation(), 0.01, 10),
-                figure(b, "length", usual.lengthMs(), 100, 600_000),
-                (int) figure(b, "requests", usual.most(), 1, 1e6),
+                            parseNumber(
+                                    classBlock, "share", classes.get(classIndex).share(), 0, 1e6),
+                            parseNumber(
+                                    classBlock, "work", classes.get(classIndex).workMs(), 0.01, 1e6)));
+            classBlock.rejectUnknown(List.of());
+        }
+        Hcl.Value marksRetries = block.value("marks_retries");
+        int objects = (int) parseNumber(block, "objects", defaultWorkload.objects(), 1, 1 << 19);
+        Load workload = new Load(
+                block.label(),
+                parseNumber(block, "utilisation", defaultWorkload.utilisation(), 0.01, 10),
+                parseNumber(block, "length", defaultWorkload.lengthMs(), 100, 600_000),
+                (int) parseNumber(block, "requests", defaultWorkload.most(), 1, 1e6),
                 objects,
-                (int) figure(b, "hot", Math.min(objects, usual.hot()), 0, objects),
-                figure(b, "once", usual.onceShare(), 0, 1),
-                (int) figure(b, "retries", usual.retries(), 0, 10),
-                marks != null && marks.flag(),
+                (int) parseNumber(block, "hot", Math.min(objects, defaultWorkload.hot()), 0, objects),
+                parseNumber(block, "once", defaultWorkload.onceShare(), 0, 1),
+                (int) parseNumber(block, "retries", defaultWorkload.retries(), 0, 10),
+                marksRetries != null && marksRetries.asBoolean(),
                 classes);
-        b.close(List.of("class"));
+        block.rejectUnknown(List.of("class"));
         if (classes.stream().allMatch(entry -> entry.share() == 0)) {
-            throw b.invalid("has no requests: every class has share 0");
+            throw block.invalid("has no requests: every class has share 0");
         }
-        return read;
+        return workload;
     }
 
-    private Case aCase(Hcl.Block b) throws Hcl.Invalid {
+    private Case parseFaultScript(Hcl.Block block) throws Hcl.InvalidHclException {
         List<Case.Step> steps = new ArrayList<>();
-        for (Hcl.Block e : b.blocks("event")) {
-            Fault.Kind kind = find(e, e.label(), Fault.Kind.values(), Fault.Kind::word, "event");
-            Hcl.Value at = e.value("at");
+        for (Hcl.Block event : block.blocks("event")) {
+            Fault.Kind kind = findByKeyword(event, event.label(), Fault.Kind.values(), Fault.Kind::word, "event");
+            Hcl.Value at = event.value("at");
             if (at == null) {
-                throw e.invalid("has no key at");
+                throw event.invalid("has no key at");
             }
-            Hcl.Value told = e.value("told");
-            Condition.Range delay = told == null ? new Condition.Range(300, false, 300, false) : quantity.range(told);
-            Hcl.Value boxes = e.value("boxes");
-            boolean all = boxes != null && "all".equals(boxes.value());
-            Hcl.Value role = e.value("kind");
+            Hcl.Value listDelay = event.value("told");
+            Condition.Range delay = listDelay == null
+                    ? new Condition.Range(300, false, 300, false)
+                    : quantityParser.parseRange(listDelay);
+            Hcl.Value boxes = event.value("boxes");
+            boolean allBoxes = boxes != null && "all".equals(boxes.value());
+            Hcl.Value role = event.value("kind");
             steps.add(new Case.Step(
                     kind,
-                    role == null ? null : find(role, Site.Role.values(), Site.Role::word, "kind"),
-                    word(e, "station", "", null),
-                    word(e, "box", "", null),
-                    all ? Integer.MAX_VALUE : (int) figure(e, "boxes", 1, 1, 1e6),
-                    quantity.of(at),
+                    role == null ? null : findByKeyword(role, Site.Role.values(), Site.Role::word, "kind"),
+                    parseText(event, "station", "", null),
+                    parseText(event, "box", "", null),
+                    allBoxes ? Integer.MAX_VALUE : (int) parseNumber(event, "boxes", 1, 1, 1e6),
+                    quantityParser.parse(at),
                     delay.least(),
                     delay.most(),
-                    figure(e, "lasts", 5_000, 0, 1e9),
-                    figure(e, "size", kind.usualSize(), 0, 1e12)));
-            e.close(List.of());
+                    parseNumber(event, "lasts", 5_000, 0, 1e9),
+                    parseNumber(event, "size", kind.usualSize(), 0, 1e12)));
+            event.rejectUnknown(List.of());
         }
-        b.close(List.of("event"));
-        return new Case(b.label(), steps);
+        block.rejectUnknown(List.of("event"));
+        return new Case(block.label(), steps);
     }
 
     // ---- expectations ----------------------------------------------------------------------------------
 
-    private static final List<String> FORMS = List.of("must", "never", "share", "eventually", "count", "settings");
+    private static final List<String> REQUIREMENT_TYPES =
+            List.of("must", "never", "share", "eventually", "count", "settings");
 
-    private Expectation expectation(Hcl.Block b) throws Hcl.Invalid {
-        String about = word(b, "about", "", null);
+    private Expectation parseExpectation(Hcl.Block block) throws Hcl.InvalidHclException {
+        String description = parseText(block, "about", "", null);
         Set<String> fleetNames =
-                new LinkedHashSet<>(fleets.stream().map(Site::name).toList());
-        fleetNames.add(site.name());
-        Set<String> inFleets = namesOf(b, "fleets", fleetNames);
-        Set<String> inCases = namesOf(b, "cases", cases.stream().map(Case::name).toList());
-        Set<String> atLoads = namesOf(b, "loads", loads.stream().map(Load::name).toList());
+                new LinkedHashSet<>(deployments.stream().map(Site::name).toList());
+        fleetNames.add(deployment.name());
+        Set<String> inFleets = parseNames(block, "fleets", fleetNames);
+        Set<String> inCases =
+                parseNames(block, "cases", faultScripts.stream().map(Case::name).toList());
+        Set<String> atLoads =
+                parseNames(block, "loads", workloads.stream().map(Load::name).toList());
         List<Condition> given = new ArrayList<>();
-        for (Hcl.Block g : b.blocks("given")) {
-            given.add(condition(g));
-        }
-        List<Hcl.Block> forms =
-                b.blocks().stream().filter(f -> FORMS.contains(f.type())).toList();
-        Set<String> types = new HashSet<>(forms.stream().map(Hcl.Block::type).toList());
-        Expectation.After after = null;
-        for (Hcl.Block a : b.blocks("after")) {
-            after = after(a);
-        }
-        List<String> known = new ArrayList<>(FORMS);
-        known.addAll(List.of("given", "after"));
-        b.close(known);
+        for (Hcl.Block givenBlock : block.blocks("given")) {
+            given.add(parseCondition(givenBlock));
+        }
+        List<Hcl.Block> requirementBlocks = block.blocks().stream()
+                .filter(f -> REQUIREMENT_TYPES.contains(f.type()))
+                .toList();
+        Set<String> types =
+                new HashSet<>(requirementBlocks.stream().map(Hcl.Block::type).toList());
+        Expectation.After window = null;
+        for (Hcl.Block afterBlock : block.blocks("after")) {
+            window = parseWindow(afterBlock);
+        }
+        List<String> knownTypes = new ArrayList<>(REQUIREMENT_TYPES);
+        knownTypes.addAll(List.of("given", "after"));
+        block.rejectUnknown(knownTypes);
         if (types.size() != 1) {
-            throw b.invalid("\"" + b.label() + "\" needs blocks of exactly one of the types must, never, share, "
-                    + "eventually, count and settings");
-        }
-        if (b.blocks("after").size() > 1 || forms.size() > 1 && !types.contains("must")) {
-            throw b.invalid(
-                    "\"" + b.label() + "\" may have several given and must blocks, but only one of any other type");
-        }
-        Expectation.Form form = form(b, forms);
-        if (form instanceof Expectation.Eventually && after == null) {
-            throw b.invalid("\"" + b.label() + "\" needs a block after, which defines when eventually starts");
-        }
-        Expectation e = new Expectation(
-                b.label(), about, b.place(), inFleets, inCases, atLoads, new Condition.All(given), form, after);
-        kinds(b, e);
-        return e;
+            throw block.invalid(
+                    "\"" + block.label() + "\" needs blocks of exactly one of the types must, never, share, "
+                            + "eventually, count and settings");
+        }
+        if (block.blocks("after").size() > 1 || requirementBlocks.size() > 1 && !types.contains("must")) {
+            throw block.invalid(
+                    "\"" + block.label() + "\" may have several given and must blocks, but only one of any other type");
+        }
+        Expectation.Form requirement = parseRequirement(block, requirementBlocks);
+        if (requirement instanceof Expectation.Eventually && window == null) {
+            throw block.invalid("\"" + block.label() + "\" needs a block after, which defines when eventually starts");
+        }
+        Expectation expectation = new Expectation(
+                block.label(),
+                description,
+                block.location(),
+                inFleets,
+                inCases,
+                atLoads,
+                new Condition.All(given),
+                requirement,
+                window);
+        rejectMixedEventKinds(block, expectation);
+        return expectation;
     }
 
-    private Expectation.Form form(Hcl.Block b, List<Hcl.Block> forms) throws Hcl.Invalid {
-        Hcl.Block f = forms.get(0);
-        switch (f.type()) {
+    private Expectation.Form parseRequirement(Hcl.Block block, List<Hcl.Block> requirementBlocks)
+            throws Hcl.InvalidHclException {
+        Hcl.Block first = requirementBlocks.get(0);
+        switch (first.type()) {
             case "must" -> {
                 List<Condition> parts = new ArrayList<>();
-                for (Hcl.Block must : forms) {
-                    parts.add(condition(must));
+                for (Hcl.Block must : requirementBlocks) {
+                    parts.add(parseCondition(must));
                 }
                 return new Expectation.Must(new Condition.All(parts));
             }
             case "never" -> {
-                return new Expectation.Never(condition(f));
+                return new Expectation.Never(parseCondition(first));
             }
             case "share" -> {
-                double least = figure(f, "at_least", 0, 0, 1);
-                double most = figure(f, "at_most", 1, 0, 1);
-                if (f.value("at_least") == null && f.value("at_most") == null) {
-                    throw f.invalid("needs a key at_least or at_most");
+                double least = parseNumber(first, "at_least", 0, 0, 1);
+                double most = parseNumber(first, "at_most", 1, 0, 1);
+                if (first.value("at_least") == null && first.value("at_most") == null) {
+                    throw first.invalid("needs a key at_least or at_most");
                 }
-                return new Expectation.Share(condition(f), least, most);
+                return new Expectation.Share(parseCondition(first), least, most);
             }
             case "settings" -> {
-                List<Expectation.Figure> figures = new ArrayList<>();
-                for (Hcl.Value v : f.values()) {
-                    Double figure = names.get(v.key());
-                    if (figure == null) {
-                        throw v.invalid("is not the name of a numeric setting" + Hcl.near(v.key(), names.keySet()));
+                List<Expectation.Figure> ranges = new ArrayList<>();
+                for (Hcl.Value value : first.values()) {
+                    Double number = namedValues.get(value.key());
+                    if (number == null) {
+                        throw value.invalid("is not the name of a numeric setting"
+                                + Hcl.suggestion(value.key(), namedValues.keySet()));
                     }
-                    figures.add(
-                            new Expectation.Figure(figure, quantity.range(v), v.place(), v.key() + " = " + v.value()));
+                    ranges.add(new Expectation.Figure(
+                            number,
+                            quantityParser.parseRange(value),
+                            value.location(),
+                            value.key() + " = " + value.value()));
                 }
-                f.close(List.of());
-                return new Expectation.Figures(figures);
+                first.rejectUnknown(List.of());
+                return new Expectation.Figures(ranges);
             }
             case "eventually" -> {
-                int chances = (int) figure(f, "chances", 20, 1, 1e6);
-                return new Expectation.Eventually(condition(f), chances);
+                int chances = (int) parseNumber(first, "chances", 20, 1, 1e6);
+                return new Expectation.Eventually(parseCondition(first), chances);
             }
             default -> {
-                Hcl.Value of = f.value("of");
-                Hcl.Value per = f.value("per");
+                Hcl.Value of = first.value("of");
+                Hcl.Value per = first.value("per");
                 if (of == null || per == null) {
-                    throw f.invalid("needs the keys of and per");
+                    throw first.invalid("needs the keys of and per");
                 }
-                double least = figure(f, "at_least", 0, 0, 1e9);
-                double most = figure(f, "at_most", Double.POSITIVE_INFINITY, 0, Double.POSITIVE_INFINITY);
+                double least = parseNumber(first, "at_least", 0, 0, 1e9);
+                double most = parseNumber(first, "at_most", Double.POSITIVE_INFINITY, 0, Double.POSITIVE_INFINITY);
                 return new Expectation.Count(
-                        find(of, Expectation.Of.values(), o -> o.name().toLowerCase(), "of"),
-                        find(per, Expectation.Per.values(), p -> p.name().toLowerCase(), "per"),
+                        findByKeyword(of, Expectation.Of.values(), o -> o.name().toLowerCase(), "of"),
+                        findByKeyword(
+                                per, Expectation.Per.values(), p -> p.name().toLowerCase(), "per"),
                         least,
                         most,
-                        condition(f));
+                        parseCondition(first));
             }
         }
     }
 
     /** Rejects an expectation that tests both attempts and answers, since no event has the fields of both. */
-    private static void kinds(Hcl.Block b, Expectation e) throws Hcl.Invalid {
-        Set<String> spoken = new HashSet<>();
-        collectBlockTypes(e.given(), spoken);
-        collectBlockTypes(e.form().that(), spoken);
-        boolean attempts = spoken.contains("attempt")
-                || spoken.contains("target")
-                || spoken.contains("source")
-                || e.form() instanceof Expectation.Count;
-        if (attempts && spoken.contains("answer")) {
-            throw b.invalid("\"" + b.label() + "\" tests both attempts and answers, which are different events");
+    private static void rejectMixedEventKinds(Hcl.Block block, Expectation expectation) throws Hcl.InvalidHclException {
+        Set<String> testedBlocks = new HashSet<>();
+        collectBlockTypes(expectation.given(), testedBlocks);
+        collectBlockTypes(expectation.form().that(), testedBlocks);
+        boolean testsAttempts = testedBlocks.contains("attempt")
+                || testedBlocks.contains("target")
+                || testedBlocks.contains("source")
+                || expectation.form() instanceof Expectation.Count;
+        if (testsAttempts && testedBlocks.contains("answer")) {
+            throw block.invalid(
+                    "\"" + block.label() + "\" tests both attempts and answers, which are different events");
         }
     }
 
-    private static void collectBlockTypes(Condition c, Set<String> blocks) {
-        if (c instanceof Condition.Test t) {
-            blocks.add(t.field().block());
-        } else if (c instanceof Condition.All all) {
+    private static void collectBlockTypes(Condition condition, Set<String> blocks) {
+        if (condition instanceof Condition.Test test) {
+            blocks.add(test.field().block());
+        } else if (condition instanceof Condition.All all) {
             all.parts().forEach(p -> collectBlockTypes(p, blocks));
-        } else if (c instanceof Condition.Either either) {
+        } else if (condition instanceof Condition.Either either) {
             either.parts().forEach(p -> collectBlockTypes(p, blocks));
-        } else if (c instanceof Condition.Not not) {
+        } else if (condition instanceof Condition.Not not) {
             collectBlockTypes(not.part(), blocks);
         }
     }
 
-    private Condition condition(Hcl.Block b) throws Hcl.Invalid {
+    private Condition parseCondition(Hcl.Block block) throws Hcl.InvalidHclException {
         List<Condition> parts = new ArrayList<>();
         List<Condition> either = new ArrayList<>();
         List<String> known = new ArrayList<>(Field.blocks());
         known.addAll(List.of("either", "not"));
-        for (Hcl.Block inner : b.blocks()) {
+        for (Hcl.Block inner : block.blocks()) {
             if (Field.blocks().contains(inner.type())) {
-                parts.addAll(tests(inner));
+                parts.addAll(parseFieldTests(inner));
             } else if (inner.type().equals("either")) {
-                either.add(condition(inner));
+                either.add(parseCondition(inner));
             } else if (inner.type().equals("not")) {
-                parts.add(new Condition.Not(condition(inner)));
+                parts.add(new Condition.Not(parseCondition(inner)));
             }
         }
-        b.close(known);
+        block.rejectUnknown(known);
         if (!either.isEmpty()) {
             parts.add(new Condition.Either(either));
         }
         if (parts.isEmpty()) {
-            throw b.invalid("has no conditions");
+            throw block.invalid("has no conditions");
         }
         return new Condition.All(parts);
     }
 
-    private List<Condition> tests(Hcl.Block b) throws Hcl.Invalid {
+    private List<Condition> parseFieldTests(Hcl.Block block) throws Hcl.InvalidHclException {
         List<Condition> tests = new ArrayList<>();
-        List<Field> fields = Field.in(b.type());
-        for (Hcl.Value v : b.values()) {
+        List<Field> fields = Field.in(block.type());
+        for (Hcl.Value value : block.values()) {
             Field field = fields.stream()
-                    .filter(f -> f.key().equals(v.key()))
+                    .filter(f -> f.key().equals(value.key()))
                     .findFirst()
                     .orElse(null);
             if (field == null) {
-                throw v.invalid("is unknown in block " + b.type()
-                        + Hcl.near(v.key(), fields.stream().map(Field::key).toList()));
+                throw value.invalid("is unknown in block " + block.type()
+                        + Hcl.suggestion(
+                                value.key(), fields.stream().map(Field::key).toList()));
             }
             tests.add(new Condition.Test(
-                    field, matcher(field, v), v.place(), b.type() + "." + v.key() + " = " + v.value()));
+                    field,
+                    parseMatcher(field, value),
+                    value.location(),
+                    block.type() + "." + value.key() + " = " + value.value()));
         }
-        b.close(List.of());
+        block.rejectUnknown(List.of());
         if (tests.isEmpty()) {
-            throw b.invalid("has no conditions");
+            throw block.invalid("has no conditions");
         }
         return tests;
     }
 
-    private Condition.Matcher matcher(Field field, Hcl.Value v) throws Hcl.Invalid {
+    private Condition.Matcher parseMatcher(Field field, Hcl.Value value) throws Hcl.InvalidHclException {
         return switch (field.type()) {
-            case FLAG -> new Condition.Flag(v.flag());
-            case NUMBER, TIME -> quantity.range(v);
+            case FLAG -> new Condition.Flag(value.asBoolean());
+            case NUMBER, TIME -> quantityParser.parseRange(value);
             case WORD -> {
-                List<String> words = v.texts();
-                boolean not = !words.isEmpty() && words.stream().allMatch(w -> w.startsWith("!"));
+                List<String> words = value.asStrings();
+                boolean negated = !words.isEmpty() && words.stream().allMatch(word -> word.startsWith("!"));
                 Set<String> wanted = new LinkedHashSet<>();
-                for (String w : words) {
-                    wanted.add(not ? w.substring(1) : w);
+                for (String word : words) {
+                    wanted.add(negated ? word.substring(1) : word);
                 }
-                Collection<String> known = words(field);
-                for (String w : wanted) {
-                    if (known != null && !known.contains(w)) {
-                        throw v.invalid("names " + w + ", which is not a known value" + Hcl.near(w, known));
+                Collection<String> known = allowedWords(field);
+                for (String word : wanted) {
+                    if (known != null && !known.contains(word)) {
+                        throw value.invalid(
+                                "names " + word + ", which is not a known value" + Hcl.suggestion(word, known));
                     }
                 }
-                yield new Condition.Words(wanted, not);
+                yield new Condition.Words(wanted, negated);
             }
         };
     }
 
     /** Returns the allowed values of a field, or null if they aren't known in advance. */
-    private Collection<String> words(Field field) {
+    private Collection<String> allowedWords(Field field) {
         return switch (field) {
-            case CLASS -> site.classes();
+            case CLASS -> deployment.classes();
             case EFFECT ->
                 Arrays.stream(RoutingPolicy.Effect.values())
                         .map(e -> e.name().toLowerCase())
@@ -489,125 +527,135 @@
             case OBJECTS -> List.of("hot", "ordinary", "once");
             case TARGET_ROLE, SOURCE_ROLE ->
                 Arrays.stream(Site.Role.values()).map(Site.Role::word).toList();
-            case TARGET_MODEL, SOURCE_MODEL -> site.kinds();
+            case TARGET_MODEL, SOURCE_MODEL -> deployment.kinds();
             case TARGET_STATE, SOURCE_STATE, TARGET_ACTUAL, SOURCE_ACTUAL ->
                 Arrays.stream(Moment.Told.values()).map(Moment.Told::word).toList();
             case TARGET_FAULT, SOURCE_FAULT -> List.of("none", "hang", "slow", "full", "fail");
             case OUTCOME ->
                 Arrays.stream(Moment.Ending.values()).map(Moment.Ending::word).toList();
             case REQUEST_STATION, TARGET_STATION, SOURCE_STATION -> {
-                Set<String> stations = new LinkedHashSet<>(site.zones());
-                fleets.forEach(f -> stations.addAll(f.zones()));
+                Set<String> stations = new LinkedHashSet<>(deployment.zones());
+                deployments.forEach(f -> stations.addAll(f.zones()));
                 yield stations;
             }
             default -> null;
         };
     }
 
-    private Expectation.After after(Hcl.Block b) throws Hcl.Invalid {
+    private Expectation.After parseWindow(Hcl.Block block) throws Hcl.InvalidHclException {
         Set<Moment.Told> told = new LinkedHashSet<>();
         boolean started = false;
-        Hcl.Value toldOf = b.value("told");
-        for (String w : toldOf == null ? List.<String>of() : toldOf.texts()) {
-            if (w.equals("started")) {
+        Hcl.Value toldOf = block.value("told");
+        for (String word : toldOf == null ? List.<String>of() : toldOf.asStrings()) {
+            if (word.equals("started")) {
                 started = true;
             } else {
-                told.add(find(toldOf, w, Moment.Told.values(), Moment.Told::word, "told"));
+                told.add(findByKeyword(toldOf, word, Moment.Told.values(), Moment.Told::word, "told"));
             }
         }
         Set<Fault.Kind> happens = new LinkedHashSet<>();
-        Hcl.Value happensOf = b.value("happens");
-        for (String w : happensOf == null ? List.<String>of() : happensOf.texts()) {
-            happens.add(find(happensOf, w, Fault.Kind.values(), Fault.Kind::word, "happens"));
+        Hcl.Value happensOf = block.value("happens");
+        for (String word : happensOf == null ? List.<String>of() : happensOf.asStrings()) {
+            happens.add(findByKeyword(happensOf, word, Fault.Kind.values(), Fault.Kind::word, "happens"));
         }
         Set<Site.Role> roles = new LinkedHashSet<>();
-        Hcl.Value kind = b.value("kind");
-        for (String w : kind == null ? List.<String>of() : kind.texts()) {
-            roles.add(find(kind, w, Site.Role.values(), Site.Role::word, "kind"));
+        Hcl.Value kind = block.value("kind");
+        for (String word : kind == null ? List.<String>of() : kind.asStrings()) {
+            roles.add(findByKeyword(kind, word, Site.Role.values(), Site.Role::word, "kind"));
         }
         Set<Moment.Told> until = new LinkedHashSet<>();
-        Hcl.Value untilOf = b.value("until");
-        for (String w : untilOf == null ? List.<String>of() : untilOf.texts()) {
-            until.add(find(untilOf, w, Moment.Told.values(), Moment.Told::word, "until"));
-        }
-        Hcl.Value own = b.value("own");
-        boolean ownOnly = own != null && own.flag();
-        Hcl.Value within = b.value("within");
-        double from = figure(b, "from", 0, 0, 1e9);
-        double by = within == null ? Double.POSITIVE_INFINITY : quantity.of(within);
-        b.close(List.of());
+        Hcl.Value untilOf = block.value("until");
+        for (String word : untilOf == null ? List.<String>of() : untilOf.asStrings()) {
+            until.add(findByKeyword(untilOf, word, Moment.Told.values(), Moment.Told::word, "until"));
+        }
+        Hcl.Value own = block.value("own");
+        boolean ownOnly = own != null && own.asBoolean();
+        Hcl.Value within = block.value("within");
+        double fromMs = parseNumber(block, "from", 0, 0, 1e9);
+        double withinMs = within == null ? Double.POSITIVE_INFINITY : quantityParser.parse(within);
+        block.rejectUnknown(List.of());
         if (told.isEmpty() && !started && happens.isEmpty()) {
-            throw b.invalid("needs a key told or happens");
+            throw block.invalid("needs a key told or happens");
         }
-        if (by <= from) {
-            throw b.invalid("ends before it begins: within must be greater than from");
+        if (withinMs <= fromMs) {
+            throw block.invalid("ends before it begins: within must be greater than from");
         }
-        return new Expectation.After(told, started, happens, roles, ownOnly, from, by, until);
+        return new Expectation.After(told, started, happens, roles, ownOnly, fromMs, withinMs, until);
     }
 
     // ---- values ----------------------------------------------------------------------------------------
 
-    private double figure(Hcl.Block b, String key, double otherwise, double least, double most) throws Hcl.Invalid {
-        Hcl.Value v = b.value(key);
-        double figure = v == null ? otherwise : quantity.of(v);
-        if (!(figure >= least && figure <= most)) {
-            throw v.invalid("is out of range: " + figure + " is not from " + least + " to " + most);
+    private double parseNumber(Hcl.Block block, String key, double defaultValue, double min, double max)
+            throws Hcl.InvalidHclException {
+        Hcl.Value value = block.value(key);
+        double number = value == null ? defaultValue : quantityParser.parse(value);
+        if (!(number >= min && number <= max)) {
+            throw value.invalid("is out of range: " + number + " is not from " + min + " to " + max);
         }
-        return figure;
+        return number;
     }
 
-    private static String word(Hcl.Block b, String key, String otherwise, Collection<String> known) throws Hcl.Invalid {
-        Hcl.Value v = b.value(key);
-        String word = v == null ? otherwise : v.text();
+    private static String parseText(Hcl.Block block, String key, String defaultValue, Collection<String> known)
+            throws Hcl.InvalidHclException {
+        Hcl.Value value = block.value(key);
+        String word = value == null ? defaultValue : value.asString();
         if (known != null && !known.contains(word)) {
-            throw v.invalid("names " + word + ", which is not a known value" + Hcl.near(word, known));
+            throw value.invalid("names " + word + ", which is not a known value" + Hcl.suggestion(word, known));
         }
         return word;
     }
 
-    private static Set<String> namesOf(Hcl.Block b, String key, Collection<String> known) throws Hcl.Invalid {
-        Hcl.Value v = b.value(key);
-        Set<String> names = new LinkedHashSet<>(v == null ? List.of() : v.texts());
+    private static Set<String> parseNames(Hcl.Block block, String key, Collection<String> known)
+            throws Hcl.InvalidHclException {
+        Hcl.Value value = block.value(key);
+        Set<String> names = new LinkedHashSet<>(value == null ? List.of() : value.asStrings());
         for (String name : names) {
             if (!known.contains(name)) {
-                throw v.invalid("names " + name + ", which nothing defines" + Hcl.near(name, known));
+                throw value.invalid("names " + name + ", which nothing defines" + Hcl.suggestion(name, known));
             }
         }
         return names;
     }
 
-    private interface Word<T> {
-        String of(T value);
+    private interface KeywordGetter<T> {
+        String getKeyword(T value);
     }
 
-    private static <T> T find(Hcl.Value v, T[] all, Word<T> word, String what) throws Hcl.Invalid {
-        return find(v, v.text(), all, word, what);
+    private static <T> T findByKeyword(Hcl.Value value, T[] all, KeywordGetter<T> keywordGetter, String what)
+            throws Hcl.InvalidHclException {
+        return findByKeyword(value, value.asString(), all, keywordGetter, what);
     }
 
-    private static <T> T find(Hcl.Value v, String text, T[] all, Word<T> word, String what) throws Hcl.Invalid {
-        T found = find(text, all, word);
+    private static <T> T findByKeyword(
+            Hcl.Value value, String text, T[] all, KeywordGetter<T> keywordGetter, String what)
+            throws Hcl.InvalidHclException {
+        T found = findByKeyword(text, all, keywordGetter);
         if (found == null) {
-            throw v.invalid("names " + text + ", which is not a value of " + what + near(text, all, word));
+            throw value.invalid(
+                    "names " + text + ", which is not a value of " + what + suggestion(text, all, keywordGetter));
         }
         return found;
     }
 
-    private static <T> T find(Hcl.Block b, String text, T[] all, Word<T> word, String what) throws Hcl.Invalid {
-        T found = find(text, all, word);
+    private static <T> T findByKeyword(
+            Hcl.Block block, String text, T[] all, KeywordGetter<T> keywordGetter, String what)
+            throws Hcl.InvalidHclException {
+        T found = findByKeyword(text, all, keywordGetter);
         if (found == null) {
-            throw b.invalid("\"" + text + "\" is not a value of " + what + near(text, all, word));
+            throw block.invalid("\"" + text + "\" is not a value of " + what + suggestion(text, all, keywordGetter));
         }
         return found;
     }
 
-    private static <T> T find(String text, T[] all, Word<T> word) {
+    private static <T> T findByKeyword(String text, T[] all, KeywordGetter<T> keywordGetter) {
         return Arrays.stream(all)
-                .filter(t -> word.of(t).equals(text))
+                .filter(t -> keywordGetter.getKeyword(t).equals(text))
                 .findFirst()
                 .orElse(null);
     }
 
-    private static <T> String near(String text, T[] all, Word<T> word) {
-        return Hcl.near(text, Arrays.stream(all).map(word::of).toList());
+    private static <T> String suggestion(String text, T[] all, KeywordGetter<T> keywordGetter) {
+        return Hcl.suggestion(
+                text, Arrays.stream(all).map(keywordGetter::getKeyword).toList());
     }
 }
--- a/doorman/src/main/java/barleyspur/config/Hcl.java
+++ b/doorman/src/main/java/barleyspur/config/Hcl.java
@@ -24,11 +24,11 @@
 public final class Hcl {
 
     /** Signals an invalid file; the message begins with {@code FILE:LINE:} and names the key or block. */
-    public static final class Invalid extends Exception {
+    public static final class InvalidHclException extends Exception {
         private static final long serialVersionUID = 1L;
 
         /** Creates an exception for an error on a line of a file. */
-        public Invalid(String file, int line, String message) {
+        public InvalidHclException(String file, int line, String message) {
             super(file + ":" + line + ": " + message);
         }
     }
@@ -41,49 +41,49 @@
     public record Value(String file, int line, String key, Object value) {
 
         /** Creates an exception whose message begins with this location. */
-        public Invalid invalid(String message) {
-            return new Invalid(file, line, "key " + key + " " + message);
+        public InvalidHclException invalid(String message) {
+            return new InvalidHclException(file, line, "key " + key + " " + message);
         }
 
         /** Returns the location as {@code FILE:LINE}. */
-        public String place() {
+        public String location() {
             return file + ":" + line;
         }
 
         /** Returns the value if it is a string; throws if it is not. */
-        public String text() throws Invalid {
-            if (value instanceof String s) {
-                return s;
+        public String asString() throws InvalidHclException {
+            if (value instanceof String string) {
+                return string;
             }
             throw invalid("is not a string: " + value);
         }
 
         /** Returns the value if it is a number; throws if it is not. */
-        public double number() throws Invalid {
-            if (value instanceof Double d) {
-                return d;
+        public double asNumber() throws InvalidHclException {
+            if (value instanceof Double number) {
+                return number;
             }
             throw invalid("is not a number: " + value);
         }
 
         /** Returns the value if it is a boolean; throws if it is not. */
-        public boolean flag() throws Invalid {
-            if (value instanceof Boolean b) {
-                return b;
+        public boolean asBoolean() throws InvalidHclException {
+            if (value instanceof Boolean flag) {
+                return flag;
             }
             throw invalid("is neither true nor false: " + value);
         }
 
         /** Returns the value as a list of strings; a single string counts as a list of one. */
-        public List<String> texts() throws Invalid {
-            List<String> texts = new ArrayList<>();
+        public List<String> asStrings() throws InvalidHclException {
+            List<String> strings = new ArrayList<>();
             for (Object item : value instanceof List<?> list ? list : List.of(value)) {
-                if (!(item instanceof String s)) {
+                if (!(item instanceof String string)) {
                     throw invalid("contains an item that is not a string: " + item);
                 }
-                texts.add(s);
+                strings.add(string);
             }
-            return texts;
+            return strings;
         }
     }
 
@@ -95,7 +95,7 @@
         private final List<String> labels;
         private final Map<String, Value> values = new LinkedHashMap<>();
         private final List<Block> blocks = new ArrayList<>();
-        private final Set<String> asked = new HashSet<>();
+        private final Set<String> knownKeys = new HashSet<>();
 
         private Block(String file, int line, String type, List<String> labels) {
             this.file = file;
@@ -115,17 +115,17 @@
         }
 
         /** Returns the location as {@code FILE:LINE}. */
-        public String place() {
+        public String location() {
             return file + ":" + line;
         }
 
         /** Creates an exception whose message begins with this location. */
-        public Invalid invalid(String message) {
-            return new Invalid(file, line, (type.isEmpty() ? "" : "block " + type + " ") + message);
+        public InvalidHclException invalid(String message) {
+            return new InvalidHclException(file, line, (type.isEmpty() ? "" : "block " + type + " ") + message);
         }
 
         /** Returns the label of the block; throws if it has none or several. */
-        public String label() throws Invalid {
+        public String label() throws InvalidHclException {
             if (labels.size() != 1) {
                 throw invalid("needs one label in quotes, as in " + type + " \"name\" { ... }");
             }
@@ -134,23 +134,23 @@
 
         /** Returns the value of a key, or null if the block doesn't have it; marks the key as known. */
         public Value value(String key) {
-            asked.add(key);
+            knownKeys.add(key);
             return values.get(key);
         }
 
         /** Returns the number of a key, or {@code defaultValue} if it is missing; throws if it is out of range. */
-        public double number(String key, double otherwise, double least, double most) throws Invalid {
-            Value v = value(key);
-            double number = v == null ? otherwise : v.number();
-            if (!(number >= least && number <= most)) {
-                throw v.invalid("is out of range: " + number + " is not from " + least + " to " + most);
+        public double number(String key, double defaultValue, double min, double max) throws InvalidHclException {
+            Value value = value(key);
+            double number = value == null ? defaultValue : value.asNumber();
+            if (!(number >= min && number <= max)) {
+                throw value.invalid("is out of range: " + number + " is not from " + min + " to " + max);
             }
             return number;
         }
 
         /** Returns all values in the order of the file, and marks their keys as known. */
         public Collection<Value> values() {
-            asked.addAll(values.keySet());
+            knownKeys.addAll(values.keySet());
             return values.values();
         }
 
@@ -165,38 +165,38 @@
         }
 
         /** Rejects keys that the caller has not asked for, and blocks of other than these types. */
-        public void close(Collection<String> types) throws Invalid {
-            for (Value v : values.values()) {
-                if (!asked.contains(v.key)) {
-                    throw new Invalid(
+        public void rejectUnknown(Collection<String> types) throws InvalidHclException {
+            for (Value value : values.values()) {
+                if (!knownKeys.contains(value.key)) {
+                    throw new InvalidHclException(
                             file,
-                            v.line,
-                            "key " + v.key + " is unknown" + (type.isEmpty() ? "" : " in block " + type)
-                                    + near(v.key, asked));
+                            value.line,
+                            "key " + value.key + " is unknown" + (type.isEmpty() ? "" : " in block " + type)
+                                    + suggestion(value.key, knownKeys));
                 }
             }
-            for (Block b : blocks) {
-                if (!types.contains(b.type)) {
-                    throw new Invalid(
+            for (Block block : blocks) {
+                if (!types.contains(block.type)) {
+                    throw new InvalidHclException(
                             file,
-                            b.line,
-                            "block " + b.type + " is unknown" + (type.isEmpty() ? "" : " in block " + type)
-                                    + near(b.type, types));
+                            block.line,
+                            "block " + block.type + " is unknown" + (type.isEmpty() ? "" : " in block " + type)
+                                    + suggestion(block.type, types));
                 }
             }
         }
     }
 
-    private static final Pattern TIME = Pattern.compile("(-?[0-9]+(?:\\.[0-9]+)?)(ms|s|min|h)");
+    private static final Pattern DURATION = Pattern.compile("(-?[0-9]+(?:\\.[0-9]+)?)(ms|s|min|h)");
 
     /** Parses a duration such as {@code 500ms}, {@code 2s} or {@code 10min} to ms; returns NaN if it isn't one. */
-    public static double millis(String text) {
-        Matcher m = TIME.matcher(text.strip());
-        if (!m.matches()) {
+    public static double parseMillis(String text) {
+        Matcher matcher = DURATION.matcher(text.strip());
+        if (!matcher.matches()) {
             return Double.NaN;
         }
-        return Double.parseDouble(m.group(1))
-                * switch (m.group(2)) {
+        return Double.parseDouble(matcher.group(1))
+                * switch (matcher.group(2)) {
                     case "ms" -> 1;
                     case "s" -> 1_000;
                     case "min" -> 60_000;
@@ -205,25 +205,25 @@
     }
 
     /** Returns the end of an error message: the known name closest to an unknown one, or else all known names. */
-    public static String near(String name, Collection<String> known) {
+    public static String suggestion(String name, Collection<String> known) {
         LevenshteinDistance distance = new LevenshteinDistance(Math.max(2, name.length() / 3));
-        String best = null;
-        int least = Integer.MAX_VALUE;
+        String closest = null;
+        int smallest = Integer.MAX_VALUE;
         for (String candidate : known) {
-            int d = distance.apply(name, candidate);
-            if (d >= 0 && d < least) {
-                least = d;
-                best = candidate;
+            int candidateDistance = distance.apply(name, candidate);
+            if (candidateDistance >= 0 && candidateDistance < smallest) {
+                smallest = candidateDistance;
+                closest = candidate;
             }
         }
-        return best != null
-                ? ": did you mean " + best + "?"
+        return closest != null
+                ? ": did you mean " + closest + "?"
                 : ": known are " + known.stream().sorted().collect(Collectors.joining(", "));
     }
 
     private final String file;
     private final String text;
-    private int at;
+    private int position;
     private int line = 1;
 
     private Hcl(String file, String text) {
@@ -232,149 +232,149 @@
     }
 
     /** Parses {@code text} and returns its root; {@code file} is the name for error messages. */
-    public static Block read(String file, String text) throws Invalid {
+    public static Block read(String file, String text) throws InvalidHclException {
         Block root = new Block(file, 1, "", List.of());
         Hcl hcl = new Hcl(file, text);
-        hcl.body(root, 0);
+        hcl.parseBody(root, 0);
         try {
-            fill(root, new HCLParser().parse(text, false));
+            fillValues(root, new HCLParser().parse(text, false));
         } catch (HCLParserException | IOException | RuntimeException e) {
-            throw new Invalid(file, 1, "is not valid HCL: " + e.getMessage());
+            throw new InvalidHclException(file, 1, "is not valid HCL: " + e.getMessage());
         }
         return root;
     }
 
     // ---- first pass: syntax and lines ------------------------------------------------------------------
 
-    private Invalid wrong(String message) {
-        return new Invalid(file, line, message);
+    private InvalidHclException error(String message) {
+        return new InvalidHclException(file, line, message);
     }
 
-    private void body(Block into, int depth) throws Invalid {
-        for (skip(true); at < text.length() && text.charAt(at) != '}'; skip(true)) {
-            int start = line;
-            String name = word();
-            skip(false);
+    private void parseBody(Block parent, int depth) throws InvalidHclException {
+        for (skipBlanks(true); position < text.length() && text.charAt(position) != '}'; skipBlanks(true)) {
+            int startLine = line;
+            String name = parseName();
+            skipBlanks(false);
             if (peek() == '=') {
-                at++;
-                skip(false);
-                if (into.values.containsKey(name)) {
-                    throw wrong("key " + name + " stands twice");
+                position++;
+                skipBlanks(false);
+                if (parent.values.containsKey(name)) {
+                    throw error("key " + name + " stands twice");
                 }
-                int from = at;
-                expression(name);
-                into.values.put(name, new Value(file, start, name, text.substring(from, at)));
-                end(name);
+                int from = position;
+                scanExpression(name);
+                parent.values.put(name, new Value(file, startLine, name, text.substring(from, position)));
+                checkRestOfLine(name);
             } else {
-                block(into, name, start, depth);
+                parseBlock(parent, name, startLine, depth);
             }
         }
-        if (depth > 0 && at >= text.length()) {
-            throw new Invalid(file, into.line, "block " + into.type + " has no end: a } is missing");
+        if (depth > 0 && position >= text.length()) {
+            throw new InvalidHclException(file, parent.line, "block " + parent.type + " has no end: a } is missing");
         }
-        if (depth == 0 && at < text.length()) {
-            throw wrong("a } without a {");
+        if (depth == 0 && position < text.length()) {
+            throw error("a } without a {");
         }
     }
 
-    private void block(Block into, String name, int start, int depth) throws Invalid {
+    private void parseBlock(Block parent, String name, int startLine, int depth) throws InvalidHclException {
         List<String> labels = new ArrayList<>();
         while (peek() == '"') {
-            int from = at;
-            string(name);
-            labels.add(text.substring(from + 1, at - 1));
-            skip(false);
+            int from = position;
+            scanString(name);
+            labels.add(text.substring(from + 1, position - 1));
+            skipBlanks(false);
         }
         if (peek() != '{') {
-            throw wrong("expected = or a block after " + name);
+            throw error("expected = or a block after " + name);
         }
-        at++;
-        Block block = new Block(file, start, name, List.copyOf(labels));
-        into.blocks.add(block);
-        body(block, depth + 1);
-        at++;
+        position++;
+        Block block = new Block(file, startLine, name, List.copyOf(labels));
+        parent.blocks.add(block);
+        parseBody(block, depth + 1);
+        position++;
     }
 
-    private String word() throws Invalid {
-        int from = at;
-        while (at < text.length() && (Character.isLetterOrDigit(peek()) || peek() == '_' || peek() == '-')) {
-            at++;
+    private String parseName() throws InvalidHclException {
+        int from = position;
+        while (position < text.length() && (Character.isLetterOrDigit(peek()) || peek() == '_' || peek() == '-')) {
+            position++;
         }
-        if (from == at) {
-            throw wrong("expected a name, not " + peek());
+        if (from == position) {
+            throw error("expected a name, not " + peek());
         }
-        return text.substring(from, at);
+        return text.substring(from, position);
     }
 
-    private void expression(String key) throws Invalid {
+    private void scanExpression(String key) throws InvalidHclException {
         if (peek() == '"') {
-            string(key);
+            scanString(key);
         } else if (peek() == '[') {
-            at++;
-            for (skip(true); peek() != ']'; skip(true)) {
-                if (at >= text.length()) {
-                    throw wrong("key " + key + ": a list has no end");
+            position++;
+            for (skipBlanks(true); peek() != ']'; skipBlanks(true)) {
+                if (position >= text.length()) {
+                    throw error("key " + key + ": a list has no end");
                 }
-                expression(key);
-                skip(true);
+                scanExpression(key);
+                skipBlanks(true);
                 if (peek() == ',') {
-                    at++;
+                    position++;
                 } else if (peek() != ']') {
-                    throw wrong("key " + key + ": between items of a list comes a comma");
+                    throw error("key " + key + ": between items of a list comes a comma");
                 }
             }
-            at++;
+            position++;
         } else {
-            int from = at;
-            while (at < text.length() && " \t\r\n,]}#".indexOf(peek()) < 0) {
-                at++;
+            int from = position;
+            while (position < text.length() && " \t\r\n,]}#".indexOf(peek()) < 0) {
+                position++;
             }
-            String plain = text.substring(from, at);
+            String plain = text.substring(from, position);
             if (!plain.matches("-?[0-9]+(\\.[0-9]+)?|true|false")) {
-                throw wrong(
+                throw error(
                         "key " + key + " is neither a number, true, false, a string in quotes nor a list: " + plain);
             }
         }
     }
 
-    private void string(String key) throws Invalid {
-        at++;
+    private void scanString(String key) throws InvalidHclException {
+        position++;
         while (peek() != '"') {
-            if (at >= text.length() || peek() == '\n') {
-                throw wrong("key " + key + ": a string has no end");
+            if (position >= text.length() || peek() == '\n') {
+                throw error("key " + key + ": a string has no end");
             }
-            if (peek() == '$' && text.startsWith("${", at)) {
-                throw wrong("key " + key + ": strings are taken as they are, without ${...}");
+            if (peek() == '$' && text.startsWith("${", position)) {
+                throw error("key " + key + ": strings are taken as they are, without ${...}");
             }
-            at += peek() == '\\' ? 2 : 1;
+            position += peek() == '\\' ? 2 : 1;
         }
-        at++;
+        position++;
     }
 
     /** Rejects anything but a comment or the end of the block between a value and the end of its line. */
-    private void end(String key) throws Invalid {
-        skip(false);
-        if (at < text.length() && peek() != '\n' && peek() != '}') {
-            throw wrong("key " + key + ": after its value comes " + peek());
+    private void checkRestOfLine(String key) throws InvalidHclException {
+        skipBlanks(false);
+        if (position < text.length() && peek() != '\n' && peek() != '}') {
+            throw error("key " + key + ": after its value comes " + peek());
         }
     }
 
     private char peek() {
-        return at < text.length() ? text.charAt(at) : 0;
+        return position < text.length() ? text.charAt(position) : 0;
     }
 
-    private void skip(boolean lines) {
-        while (at < text.length()) {
-            char c = peek();
-            if (c == '#' || text.startsWith("//", at)) {
-                while (at < text.length() && peek() != '\n') {
-                    at++;
+    private void skipBlanks(boolean includingLineEnds) {
+        while (position < text.length()) {
+            char character = peek();
+            if (character == '#' || text.startsWith("//", position)) {
+                while (position < text.length() && peek() != '\n') {
+                    position++;
                 }
-            } else if (c == '\n' && lines) {
+            } else if (character == '\n' && includingLineEnds) {
                 line++;
-                at++;
-            } else if (c == ' ' || c == '\t' || c == '\r') {
-                at++;
+                position++;
+            } else if (character == ' ' || character == '\t' || character == '\r') {
+                position++;
             } else {
                 return;
             }
@@ -383,45 +383,45 @@
 
     // ---- second pass: values from hcl4j ----------------------------------------------------------------
 
-    private static void fill(Block block, Map<?, ?> parsed) throws Invalid {
-        for (Map.Entry<String, Value> e : block.values.entrySet()) {
-            Value v = e.getValue();
-            e.setValue(new Value(v.file, v.line, v.key, value(parsed.get(v.key), v)));
+    private static void fillValues(Block block, Map<?, ?> parsed) throws InvalidHclException {
+        for (Map.Entry<String, Value> entry : block.values.entrySet()) {
+            Value value = entry.getValue();
+            entry.setValue(new Value(value.file, value.line, value.key, convertValue(parsed.get(value.key), value)));
         }
         for (int i = 0; i < block.blocks.size(); i++) {
-            Block b = block.blocks.get(i);
-            Object at = parsed.get(b.type);
-            for (String label : b.labels) {
-                at = at instanceof Map<?, ?> map ? map.get(label) : null;
+            Block child = block.blocks.get(i);
+            Object node = parsed.get(child.type);
+            for (String label : child.labels) {
+                node = node instanceof Map<?, ?> map ? map.get(label) : null;
             }
-            if (at instanceof List<?> list) {
-                int place = 0;
-                for (Block before : block.blocks.subList(0, i)) {
-                    place += before.type.equals(b.type) && before.labels.equals(b.labels) ? 1 : 0;
+            if (node instanceof List<?> list) {
+                int index = 0;
+                for (Block previous : block.blocks.subList(0, i)) {
+                    index += previous.type.equals(child.type) && previous.labels.equals(child.labels) ? 1 : 0;
                 }
-                at = list.get(place);
+                node = list.get(index);
             }
-            if (!(at instanceof Map<?, ?> map)) {
-                throw b.invalid("can't be read: some blocks of this type have labels and others have none");
+            if (!(node instanceof Map<?, ?> map)) {
+                throw child.invalid("can't be read: some blocks of this type have labels and others have none");
             }
-            fill(b, map);
+            fillValues(child, map);
         }
     }
 
-    private static Object value(Object parsed, Value of) throws Invalid {
+    private static Object convertValue(Object parsed, Value source) throws InvalidHclException {
         if (parsed instanceof String || parsed instanceof Boolean) {
             return parsed;
         }
-        if (parsed instanceof Number n) {
-            return n.doubleValue();
+        if (parsed instanceof Number number) {
+            return number.doubleValue();
         }
         if (parsed instanceof List<?> list) {
             List<Object> items = new ArrayList<>();
             for (Object item : list) {
-                items.add(value(item, of));
+                items.add(convertValue(item, source));
             }
             return List.copyOf(items);
         }
-        throw of.invalid("can't be read: " + of.value);
+        throw source.invalid("can't be read: " + source.value);
     }
 }
--- a/doorman/src/main/java/barleyspur/config/JsonLines.java
+++ b/doorman/src/main/java/barleyspur/config/JsonLines.java
@@ -12,7 +12,7 @@
 final class JsonLines {
 
     /** The position in the {@code toString} of org.json's tokenizer: {@code " at 12 [character 3 line 1]"}. */
-    private static final Pattern AT = Pattern.compile(" at (\\d+) \\[");
+    private static final Pattern POSITION = Pattern.compile(" at (\\d+) \\[");
 
     private JsonLines() {}
 
@@ -23,27 +23,27 @@
     static int lineOf(String text, String path) {
         JSONTokener tokens = new JSONTokener(text);
         try {
-            return find(text, tokens, path.split("\\."), 0);
+            return findLine(text, tokens, path.split("\\."), 0);
         } catch (JSONException | NumberFormatException e) {
             return 0;
         }
     }
 
-    private static int find(String text, JSONTokener tokens, String[] path, int depth) {
+    private static int findLine(String text, JSONTokener tokens, String[] path, int depth) {
         char open = tokens.nextClean();
         if (open == '{') {
             while (true) {
-                char c = tokens.nextClean();
-                if (c != '"') {
+                char next = tokens.nextClean();
+                if (next != '"') {
                     return 0;
                 }
-                int line = line(text, tokens);
+                int line = currentLine(text, tokens);
                 String key = tokens.nextString('"');
                 if (tokens.nextClean() != ':') {
                     return 0;
                 }
                 if (key.equals(path[depth])) {
-                    return depth + 1 == path.length ? line : find(text, tokens, path, depth + 1);
+                    return depth + 1 == path.length ? line : findLine(text, tokens, path, depth + 1);
                 }
                 tokens.nextValue();
                 if (tokens.nextClean() != ',') {
@@ -52,12 +52,14 @@
             }
         }
         if (open == '[') {
-            int wanted = Integer.parseInt(path[depth]);
+            int wantedIndex = Integer.parseInt(path[depth]);
             for (int i = 0; ; i++) {
-                if (i == wanted) {
+                if (i == wantedIndex) {
                     tokens.nextClean();
                     tokens.back();
-                    return depth + 1 == path.length ? line(text, tokens) : find(text, tokens, path, depth + 1);
+                    return depth + 1 == path.length
+                            ? currentLine(text, tokens)
+                            : findLine(text, tokens, path, depth + 1);
                 }
                 tokens.nextValue();
                 if (tokens.nextClean() != ',') {
@@ -68,12 +70,12 @@
         return 0;
     }
 
-    private static int line(String text, JSONTokener tokens) {
-        Matcher at = AT.matcher(tokens.toString());
-        if (!at.find()) {
+    private static int currentLine(String text, JSONTokener tokens) {
+        Matcher matcher = POSITION.matcher(tokens.toString());
+        if (!matcher.find()) {
             return 0;
         }
-        int index = Math.min(text.length(), Integer.parseInt(at.group(1)));
+        int index = Math.min(text.length(), Integer.parseInt(matcher.group(1)));
         int line = 1;
         for (int i = 0; i < index; i++) {
             if (text.charAt(i) == '\n') {
--- a/doorman/src/main/java/barleyspur/config/OwnSettings.java
+++ b/doorman/src/main/java/barleyspur/config/OwnSettings.java
@@ -25,7 +25,7 @@
      */
     public record Expectations(List<Path> files, int scenarios, long seed) {}
 
-    private static final double MOST_SCENARIOS = 100_000;
+    private static final double MAX_SCENARIOS = 100_000;
 
     /** Returns settings with every component off. */
     public static OwnSettings none() {
@@ -33,87 +33,87 @@
     }
 
     /** Reads the file; errors name file and line. */
-    public static OwnSettings load(Path file) throws Hcl.Invalid {
+    public static OwnSettings load(Path file) throws Hcl.InvalidHclException {
         String text;
         try {
             text = Files.readString(file);
         } catch (IOException e) {
-            throw new Hcl.Invalid(file.toString(), 1, "can't be read: " + e.getMessage());
+            throw new Hcl.InvalidHclException(file.toString(), 1, "can't be read: " + e.getMessage());
         }
         return read(file, text);
     }
 
-    static OwnSettings read(Path file, String text) throws Hcl.Invalid {
+    static OwnSettings read(Path file, String text) throws Hcl.InvalidHclException {
         Hcl.Block root = Hcl.read(file.toString(), text);
-        root.close(List.of("expectations", "fleet", "budgets", "budget"));
+        root.rejectUnknown(List.of("expectations", "fleet", "budgets", "budget"));
         Expectations expectations = null;
-        for (Hcl.Block b : root.blocks("expectations")) {
+        for (Hcl.Block block : root.blocks("expectations")) {
             if (expectations != null) {
-                throw b.invalid("stands twice");
+                throw block.invalid("stands twice");
             }
-            expectations = readExpectations(file, b);
+            expectations = readExpectations(file, block);
         }
         FleetSettings fleet = null;
-        for (Hcl.Block b : root.blocks("fleet")) {
+        for (Hcl.Block block : root.blocks("fleet")) {
             if (fleet != null) {
-                throw b.invalid("stands twice: a doorman has one fleet");
+                throw block.invalid("stands twice: a doorman has one fleet");
             }
-            fleet = FleetSettings.read(file, b);
+            fleet = FleetSettings.read(file, block);
         }
         return new OwnSettings(expectations, fleet, readBudgets(root, fleet));
     }
 
     /** Rejects settings that contradict the platform's configuration. */
-    public void check(Configuration configuration) throws Hcl.Invalid {
+    public void validateAgainst(Configuration configuration) throws Hcl.InvalidHclException {
         if (budgets != null) {
-            budgets.check(configuration.names().kinds());
+            budgets.validateModels(configuration.names().kinds());
         }
     }
 
     /** Returns the blocks and keys that differ in {@code next} and need a restart to take effect. */
-    public List<String> fixedChanges(OwnSettings next) {
-        List<String> fixed = new ArrayList<>();
-        if ((fleet == null) != (next.fleet == null) || fleet != null && !fleet.sameAs(next.fleet)) {
-            fixed.add("fleet");
+    public List<String> changesRequiringRestart(OwnSettings next) {
+        List<String> changes = new ArrayList<>();
+        if ((fleet == null) != (next.fleet == null) || fleet != null && !fleet.isSameAs(next.fleet)) {
+            changes.add("fleet");
         }
         if (budgets != null) {
-            fixed.addAll(budgets.fixedChanges(next.budgets));
+            changes.addAll(budgets.changesRequiringRestart(next.budgets));
         } else if (next.budgets != null) {
-            fixed.add("budgets");
+            changes.add("budgets");
         }
-        return fixed;
+        return changes;
     }
 
-    private static BudgetSettings readBudgets(Hcl.Block root, FleetSettings fleet) throws Hcl.Invalid {
-        List<Hcl.Block> common = root.blocks("budgets");
-        List<Hcl.Block> each = root.blocks("budget");
-        if (common.isEmpty()) {
-            if (!each.isEmpty()) {
-                throw each.get(0).invalid("stands without a block budgets { voters = [...] }");
+    private static BudgetSettings readBudgets(Hcl.Block root, FleetSettings fleet) throws Hcl.InvalidHclException {
+        List<Hcl.Block> commonBlocks = root.blocks("budgets");
+        List<Hcl.Block> budgetBlocks = root.blocks("budget");
+        if (commonBlocks.isEmpty()) {
+            if (!budgetBlocks.isEmpty()) {
+                throw budgetBlocks.get(0).invalid("stands without a block budgets { voters = [...] }");
             }
             return null;
         }
-        if (common.size() > 1) {
-            throw common.get(1).invalid("stands twice");
+        if (commonBlocks.size() > 1) {
+            throw commonBlocks.get(1).invalid("stands twice");
         }
         if (fleet == null) {
-            throw common.get(0).invalid("stands without a block fleet, whose datagrams budgets need");
+            throw commonBlocks.get(0).invalid("stands without a block fleet, whose datagrams budgets need");
         }
-        return BudgetSettings.read(common.get(0), each);
+        return BudgetSettings.read(commonBlocks.get(0), budgetBlocks);
     }
 
-    private static Expectations readExpectations(Path file, Hcl.Block b) throws Hcl.Invalid {
-        Hcl.Value files = b.value("files");
+    private static Expectations readExpectations(Path file, Hcl.Block block) throws Hcl.InvalidHclException {
+        Hcl.Value files = block.value("files");
         if (files == null) {
-            throw b.invalid("has no key files");
+            throw block.invalid("has no key files");
         }
         List<Path> paths = new ArrayList<>();
-        for (String name : files.texts()) {
+        for (String name : files.asStrings()) {
             paths.add(file.resolveSibling(name));
         }
-        int scenarios = (int) b.number("scenarios", 60, 1, MOST_SCENARIOS);
-        long seed = (long) b.number("seed", 1, 0, 1e15);
-        b.close(List.of());
+        int scenarios = (int) block.number("scenarios", 60, 1, MAX_SCENARIOS);
+        long seed = (long) block.number("seed", 1, 0, 1e15);
+        block.rejectUnknown(List.of());
         return new Expectations(List.copyOf(paths), scenarios, seed);
     }
 }
--- a/doorman/src/main/java/barleyspur/config/SettingsReader.java
+++ b/doorman/src/main/java/barleyspur/config/SettingsReader.java
@@ -27,12 +27,14 @@
     }
 
     /** Parses the simulator's format, one {@code path=value} per line. */
-    public static Map<String, String> lines(String text) {
+    public static Map<String, String> parseLines(String text) {
         Map<String, String> values = new HashMap<>();
         for (String line : text.split("\n")) {
-            int eq = line.indexOf('=');
-            if (eq > 0) {
-                values.put(line.substring(0, eq), line.substring(eq + 1).strip());
+            int separator = line.indexOf('=');
+            if (separator > 0) {
+                values.put(
+                        line.substring(0, separator),
+                        line.substring(separator + 1).strip());
             }
         }
         return values;
@@ -71,8 +73,8 @@
 
     private RoutingPolicy.Settings settings() {
         List<RoutingPolicy.RequestClass> classes = new ArrayList<>();
-        int n = integer("grades.count");
-        for (int i = 0; i < n; i++) {
+        int classCount = integer("grades.count");
+        for (int i = 0; i < classCount; i++) {
             classes.add(requestClass(i));
         }
         return new RoutingPolicy.Settings(
@@ -83,8 +85,8 @@
                 integers("familyInfo.zoneBalancers"),
                 integer("familyInfo.midKind"),
                 integer("familyInfo.masterKind"),
-                stableSizes(),
-                word("discovery", "pushed").equals("on_request"),
+                hasStableSizes(),
+                text("discovery", "pushed").equals("on_request"),
                 number("rules.mustAskInMs", 0),
                 number("resolutionMs"),
                 number("rules.answerSlackMs"),
@@ -98,56 +100,56 @@
                 number("rules.fallMs"),
                 number("familyInfo.obeyAfterMs", 0),
                 number("familyInfo.clearedWithinMs", 0),
-                flag("familyInfo.passThroughOk"),
-                flag("familyInfo.joins"),
+                isEnabled("familyInfo.passThroughOk"),
+                isEnabled("familyInfo.joins"),
                 siblings(),
                 notes(),
                 number("familyInfo.paceKbPerS") / 1000,
                 reports(),
                 list("report.fields"),
-                (int) positive("limits.sendCap"),
-                flag("limits.mayDuplicate"),
-                flag("limits.cancel"),
-                flag("limits.mayProbe"),
-                flag("limits.peers"),
-                flag("limits.retryAfter") ? number("limits.maxRetryAfterMs", 0) : 0);
+                (int) positiveNumber("limits.sendCap"),
+                isEnabled("limits.mayDuplicate"),
+                isEnabled("limits.cancel"),
+                isEnabled("limits.mayProbe"),
+                isEnabled("limits.peers"),
+                isEnabled("limits.retryAfter") ? number("limits.maxRetryAfterMs", 0) : 0);
     }
 
     /** Returns whether weights are a measure of size; weights of the other kinds vary with load. */
-    private boolean stableSizes() {
-        return List.of("nominal", "rough").contains(word("weights", "silent"));
+    private boolean hasStableSizes() {
+        return List.of("nominal", "rough").contains(text("weights", "silent"));
     }
 
-    private RoutingPolicy.RequestClass requestClass(int i) {
-        String at = "grades." + i + ".";
+    private RoutingPolicy.RequestClass requestClass(int classIndex) {
+        String prefix = "grades." + classIndex + ".";
         return new RoutingPolicy.RequestClass(
-                effect(at),
-                scope(at),
-                number(at + "keyTtlMs", 0),
-                positive(at + "promiseMs"),
-                number(at + "aimStretch", 0),
-                positive(at + "hardLimitMs"),
-                number(at + "value", 1),
-                number(at + "lateWorth", 0),
-                flag(at + "stream"),
-                isTrue(item("familyInfo.inParts", i)),
-                isTrue(item("familyInfo.passOn", i)),
-                decimal("familyInfo.goodForMs", i),
-                decimal("familyInfo.staleForMs", i),
-                decimal("familyInfo.worthWhenOld", i));
-    }
-
-    private RoutingPolicy.Effect effect(String at) {
-        return switch (word(at + "repeat", null)) {
+                effect(prefix),
+                scope(prefix),
+                number(prefix + "keyTtlMs", 0),
+                positiveNumber(prefix + "promiseMs"),
+                number(prefix + "aimStretch", 0),
+                positiveNumber(prefix + "hardLimitMs"),
+                number(prefix + "value", 1),
+                number(prefix + "lateWorth", 0),
+                isEnabled(prefix + "stream"),
+                isTrue(item("familyInfo.inParts", classIndex)),
+                isTrue(item("familyInfo.passOn", classIndex)),
+                numberItem("familyInfo.goodForMs", classIndex),
+                numberItem("familyInfo.staleForMs", classIndex),
+                numberItem("familyInfo.worthWhenOld", classIndex));
+    }
+
+    private RoutingPolicy.Effect effect(String prefix) {
+        return switch (text(prefix + "repeat", null)) {
             case "repeatable" -> RoutingPolicy.Effect.SAFE;
             case "by_key" -> RoutingPolicy.Effect.KEYED;
             case "once" -> RoutingPolicy.Effect.UNSAFE;
-            default -> throw bad(at + "repeat", "repeatable, by_key or once");
+            default -> throw invalidSetting(prefix + "repeat", "repeatable, by_key or once");
         };
     }
 
-    private RoutingPolicy.Scope scope(String at) {
-        return switch (word(at + "keyScope", "all")) {
+    private RoutingPolicy.Scope scope(String prefix) {
+        return switch (text(prefix + "keyScope", "all")) {
             case "all" -> RoutingPolicy.Scope.ALL;
             case "zone" -> RoutingPolicy.Scope.ZONE;
             default -> RoutingPolicy.Scope.CELL;
@@ -155,7 +157,7 @@
     }
 
     private RoutingPolicy.Siblings siblings() {
-        return switch (word("familyInfo.lateral", "silent")) {
+        return switch (text("familyInfo.lateral", "silent")) {
             case "location" -> RoutingPolicy.Siblings.LOCATION;
             case "any" -> RoutingPolicy.Siblings.ANY;
             default -> RoutingPolicy.Siblings.NONE;
@@ -163,7 +165,7 @@
     }
 
     private RoutingPolicy.Notes notes() {
-        return switch (word("familyInfo.tells", "silent")) {
+        return switch (text("familyInfo.tells", "silent")) {
             case "all" -> RoutingPolicy.Notes.ALL;
             case "hit" -> RoutingPolicy.Notes.HIT;
             default -> RoutingPolicy.Notes.NONE;
@@ -171,7 +173,7 @@
     }
 
     private RoutingPolicy.Reports reports() {
-        return switch (word("report.how", "silent")) {
+        return switch (text("report.how", "silent")) {
             case "piggyback" -> RoutingPolicy.Reports.WITH_ANSWERS;
             case "pull" -> RoutingPolicy.Reports.WITH_PROBES;
             default -> RoutingPolicy.Reports.NONE;
@@ -184,29 +186,29 @@
     }
 
     private List<Integer> integers(String path) {
-        return list(path).stream().map(v -> (int) toNumber(path, v)).toList();
+        return list(path).stream().map(v -> (int) parseNumber(path, v)).toList();
     }
 
     /** Returns item {@code i} of a list with one item per class; empty if the list is shorter or missing. */
-    private String item(String path, int i) {
+    private String item(String path, int index) {
         List<String> items = list(path);
-        return i < items.size() ? items.get(i) : "";
+        return index < items.size() ? items.get(index) : "";
     }
 
-    private double decimal(String path, int i) {
-        String value = item(path, i);
-        return value.isEmpty() ? 0 : toNumber(path + "." + i, value);
+    private double numberItem(String path, int index) {
+        String value = item(path, index);
+        return value.isEmpty() ? 0 : parseNumber(path + "." + index, value);
     }
 
-    private String word(String path, String otherwise) {
-        String value = values.getOrDefault(path, otherwise);
+    private String text(String path, String defaultValue) {
+        String value = values.getOrDefault(path, defaultValue);
         if (value == null) {
             throw new IllegalArgumentException("setting " + path + " is missing");
         }
         return value;
     }
 
-    private boolean flag(String path) {
+    private boolean isEnabled(String path) {
         return isTrue(values.getOrDefault(path, ""));
     }
 
@@ -219,34 +221,34 @@
     }
 
     private double number(String path) {
-        return toNumber(path, word(path, null));
+        return parseNumber(path, text(path, null));
     }
 
     /**
      * Returns a number that must be greater than 0. A deadline, a target latency or a limit on attempts of 0 or less
      * would refuse every request, so such a file is rejected as a whole.
      */
-    private double positive(String path) {
+    private double positiveNumber(String path) {
         double value = number(path);
         if (!(value > 0) || Double.isInfinite(value)) {
-            throw bad(path, "a number above 0");
+            throw invalidSetting(path, "a number above 0");
         }
         return value;
     }
 
-    private double number(String path, double otherwise) {
-        return values.containsKey(path) ? number(path) : otherwise;
+    private double number(String path, double defaultValue) {
+        return values.containsKey(path) ? number(path) : defaultValue;
     }
 
-    private static double toNumber(String path, String value) {
+    private static double parseNumber(String path, String value) {
         try {
             return Double.parseDouble(value);
         } catch (NumberFormatException e) {
-            throw bad(path, "a number");
+            throw invalidSetting(path, "a number");
         }
     }
 
-    private static IllegalArgumentException bad(String path, String wanted) {
-        return new IllegalArgumentException("setting " + path + " is not " + wanted);
+    private static IllegalArgumentException invalidSetting(String path, String expected) {
+        return new IllegalArgumentException("setting " + path + " is not " + expected);
     }
 }
--- a/doorman/src/main/java/barleyspur/config/Traces.java
+++ b/doorman/src/main/java/barleyspur/config/Traces.java
@@ -26,110 +26,117 @@
     private Traces() {}
 
     /** Returns the content of a trace file. */
-    public static String write(Checker.Counterexample c, List<String> files, Map<String, String> texts) {
-        Scenario s = c.scenario();
-        Site site = s.site();
+    public static String write(Checker.Counterexample counterexample, List<String> files, Map<String, String> texts) {
+        Scenario scenario = counterexample.scenario();
+        Site deployment = scenario.site();
         JSONObject json = new JSONObject();
         json.put("barleyspur_trace", VERSION)
-                .put("expectation", c.expectation())
+                .put("expectation", counterexample.expectation())
                 .put("files", new JSONArray(files))
                 .put("texts", new JSONObject(texts));
         json.put(
                 "fleet",
                 new JSONObject()
-                        .put("name", site.name())
-                        .put("zones", new JSONArray(site.zones()))
-                        .put("kinds", new JSONArray(site.kinds()))
-                        .put("classes", new JSONArray(site.classes()))
-                        .put("doormans", new JSONArray(site.doormanZones()))
-                        .put("settings", new JSONObject(site.told())));
+                        .put("name", deployment.name())
+                        .put("zones", new JSONArray(deployment.zones()))
+                        .put("kinds", new JSONArray(deployment.kinds()))
+                        .put("classes", new JSONArray(deployment.classes()))
+                        .put("doormans", new JSONArray(deployment.doormanZones()))
+                        .put("settings", new JSONObject(deployment.told())));
         JSONArray boxes = new JSONArray();
-        for (Box b : site.boxes()) {
-            boxes.put(new JSONArray(List.of(b.uid(), b.node(), b.zone(), b.kind(), b.cell(), b.size())));
+        for (Box box : deployment.boxes()) {
+            boxes.put(new JSONArray(List.of(box.uid(), box.node(), box.zone(), box.kind(), box.cell(), box.size())));
         }
         JSONArray faults = new JSONArray();
-        for (Fault f : s.faults()) {
-            faults.put(new JSONArray(List.of(f.kind().word(), f.node(), f.atMs(), f.toldMs(), f.forMs(), f.size())));
+        for (Fault fault : scenario.faults()) {
+            faults.put(new JSONArray(List.of(
+                    fault.kind().word(), fault.node(), fault.atMs(), fault.toldMs(), fault.forMs(), fault.size())));
         }
-        JSONArray asks = new JSONArray();
-        for (Ask a : s.asks()) {
-            asks.put(new JSONArray(List.of(
-                    a.number(),
-                    a.atMs(),
-                    a.doorman(),
-                    a.category(),
-                    a.object(),
-                    a.set(),
-                    a.part(),
-                    a.group(),
-                    a.sizeKb(),
-                    a.remainingMs(),
-                    a.leavesMs())));
+        JSONArray requests = new JSONArray();
+        for (Ask request : scenario.asks()) {
+            requests.put(new JSONArray(List.of(
+                    request.number(),
+                    request.atMs(),
+                    request.doorman(),
+                    request.category(),
+                    request.object(),
+                    request.set(),
+                    request.part(),
+                    request.group(),
+                    request.sizeKb(),
+                    request.remainingMs(),
+                    request.leavesMs())));
         }
-        json.put("mean_work", new JSONArray(s.meanWork()))
+        json.put("mean_work", new JSONArray(scenario.meanWork()))
                 .put("boxes", boxes)
                 .put("events", faults)
-                .put("requests", asks)
-                .put("seed", s.seed())
-                .put("retries", s.retries())
-                .put("marked", s.marked());
+                .put("requests", requests)
+                .put("seed", scenario.seed())
+                .put("retries", scenario.retries())
+                .put("marked", scenario.marked());
         return json.toString(1);
     }
 
     /** Parses the output of {@link #write}; {@code file} is the name for error messages. */
-    public static Trace read(String file, String text) throws Hcl.Invalid {
+    public static Trace read(String file, String text) throws Hcl.InvalidHclException {
         try {
             JSONObject json = new JSONObject(text);
             if (json.optInt("barleyspur_trace") != VERSION) {
-                throw new Hcl.Invalid(
+                throw new Hcl.InvalidHclException(
                         file, 1, "key barleyspur_trace is not " + VERSION + ": not a trace, or one of another version");
             }
             JSONObject fleet = json.getJSONObject("fleet");
-            Map<String, String> told = new HashMap<>();
-            fleet.getJSONObject("settings").toMap().forEach((k, v) -> told.put(k, String.valueOf(v)));
+            Map<String, String> flatSettings = new HashMap<>();
+            fleet.getJSONObject("settings").toMap().forEach((k, v) -> flatSettings.put(k, String.valueOf(v)));
             List<Box> boxes = new ArrayList<>();
-            for (Object o : json.getJSONArray("boxes")) {
-                JSONArray b = (JSONArray) o;
-                boxes.add(new Box(b.getString(0), b.getLong(1), b.getInt(2), b.getInt(3), b.getInt(4), b.getDouble(5)));
+            for (Object item : json.getJSONArray("boxes")) {
+                JSONArray boxFields = (JSONArray) item;
+                boxes.add(new Box(
+                        boxFields.getString(0),
+                        boxFields.getLong(1),
+                        boxFields.getInt(2),
+                        boxFields.getInt(3),
+                        boxFields.getInt(4),
+                        boxFields.getDouble(5)));
             }
-            Site site = Site.of(
+            Site deployment = Site.of(
                     fleet.getString("name"),
-                    told,
-                    SettingsReader.read(told),
+                    flatSettings,
+                    SettingsReader.read(flatSettings),
                     integers(fleet.getJSONArray("doormans")),
-                    texts(fleet.getJSONArray("zones")),
-                    texts(fleet.getJSONArray("kinds")),
-                    texts(fleet.getJSONArray("classes")),
+                    strings(fleet.getJSONArray("zones")),
+                    strings(fleet.getJSONArray("kinds")),
+                    strings(fleet.getJSONArray("classes")),
                     boxes);
             List<Fault> faults = new ArrayList<>();
-            for (Object o : json.getJSONArray("events")) {
-                JSONArray f = (JSONArray) o;
+            for (Object item : json.getJSONArray("events")) {
+                JSONArray faultFields = (JSONArray) item;
                 faults.add(new Fault(
-                        kind(f.getString(0)),
-                        f.getLong(1),
-                        f.getDouble(2),
-                        f.getDouble(3),
-                        f.getDouble(4),
-                        f.getDouble(5)));
+                        faultKind(faultFields.getString(0)),
+                        faultFields.getLong(1),
+                        faultFields.getDouble(2),
+                        faultFields.getDouble(3),
+                        faultFields.getDouble(4),
+                        faultFields.getDouble(5)));
             }
-            List<Ask> asks = new ArrayList<>();
-            for (Object o : json.getJSONArray("requests")) {
-                JSONArray a = (JSONArray) o;
-                asks.add(new Ask(
-                        a.getInt(0),
-                        a.getDouble(1),
-                        a.getInt(2),
-                        a.getInt(3),
-                        a.getLong(4),
-                        a.getString(5),
-                        a.getInt(6),
-                        a.getInt(7),
-                        a.getDouble(8),
-                        a.getDouble(9),
-                        a.getDouble(10)));
+            List<Ask> requests = new ArrayList<>();
+            for (Object item : json.getJSONArray("requests")) {
+                JSONArray requestFields = (JSONArray) item;
+                requests.add(new Ask(
+                        requestFields.getInt(0),
+                        requestFields.getDouble(1),
+                        requestFields.getInt(2),
+                        requestFields.getInt(3),
+                        requestFields.getLong(4),
+                        requestFields.getString(5),
+                        requestFields.getInt(6),
+                        requestFields.getInt(7),
+                        requestFields.getDouble(8),
+                        requestFields.getDouble(9),
+                        requestFields.getDouble(10)));
             }
             Scenario scenario = new Scenario(
-                    site,
+                    deployment,
                     json.getLong("seed"),
                     json.getInt("retries"),
                     json.getBoolean("marked"),
@@ -137,42 +144,43 @@
                             .map(w -> ((Number) w).doubleValue())
                             .toList(),
                     faults,
-                    asks);
-            return new Trace(scenario, expectation(file, json, site));
+                    requests);
+            return new Trace(scenario, readExpectation(file, json, deployment));
         } catch (JSONException | IllegalArgumentException | ClassCastException e) {
-            throw new Hcl.Invalid(file, 1, "is not a valid trace: " + e.getMessage());
+            throw new Hcl.InvalidHclException(file, 1, "is not a valid trace: " + e.getMessage());
         }
     }
 
-    private static Expectation expectation(String file, JSONObject json, Site site) throws Hcl.Invalid {
+    private static Expectation readExpectation(String file, JSONObject json, Site deployment)
+            throws Hcl.InvalidHclException {
         JSONObject texts = json.getJSONObject("texts");
-        ExpectationFiles.Read read = ExpectationFiles.read(
-                texts(json.getJSONArray("files")),
+        ExpectationFiles.Definitions definitions = ExpectationFiles.read(
+                strings(json.getJSONArray("files")),
                 (from, name) -> {
                     if (!texts.has(name)) {
-                        throw new Hcl.Invalid(file, 1, "key texts does not contain " + name);
+                        throw new Hcl.InvalidHclException(file, 1, "key texts does not contain " + name);
                     }
                     return texts.getString(name);
                 },
-                site);
+                deployment);
         String name = json.getString("expectation");
-        return read.expectations().stream()
+        return definitions.expectations().stream()
                 .filter(e -> e.name().equals(name))
                 .findFirst()
-                .orElseThrow(
-                        () -> new Hcl.Invalid(file, 1, "key expectation names " + name + ", which no file defines"));
+                .orElseThrow(() -> new Hcl.InvalidHclException(
+                        file, 1, "key expectation names " + name + ", which no file defines"));
     }
 
-    private static Fault.Kind kind(String word) {
+    private static Fault.Kind faultKind(String keyword) {
         for (Fault.Kind kind : Fault.Kind.values()) {
-            if (kind.word().equals(word)) {
+            if (kind.word().equals(keyword)) {
                 return kind;
             }
         }
-        throw new IllegalArgumentException("unknown event: " + word);
+        throw new IllegalArgumentException("unknown event: " + keyword);
     }
 
-    private static List<String> texts(JSONArray array) {
+    private static List<String> strings(JSONArray array) {
         return array.toList().stream().map(String::valueOf).toList();
     }
 
--- a/doorman/src/main/java/barleyspur/fleet/net/FleetService.java
+++ b/doorman/src/main/java/barleyspur/fleet/net/FleetService.java
@@ -98,21 +98,21 @@
         this.clock = clock;
         this.settings = settings;
         this.lifecycle = lifecycle;
-        codec = new DatagramCodec(settings.name(), settings.key());
+        codec = new DatagramCodec(settings.name(), settings.sharedKey());
         cappedLog = new RateLimitedLog(LOG, clock);
         membership = new Membership(
                 name,
                 Math.max(0, wallClockMs + (long) settings.clockOffsetMs()),
                 new MemberMetadata(
-                        settings.advertise(),
+                        settings.advertisedAddress(),
                         zone,
                         lifecycle.phase().label(),
                         programVersion,
                         settingsDigest,
-                        settings.format(),
+                        settings.newestFormat(),
                         encodedExtensions()),
-                new ProtocolTimings(settings.periodMs(), settings.rememberMs()),
-                settings.seeds(),
+                new ProtocolTimings(settings.probePeriodMs(), settings.deadRetentionMs()),
+                settings.seedAddresses(),
                 randomSeed,
                 this::execute);
         metrics.registerGauges(membership, clock);
@@ -120,7 +120,7 @@
 
     /** Returns the encoded counters; null if the configured format has no extensions. */
     private byte[] encodedExtensions() {
-        return settings.format() >= MemberCounters.MIN_FORMAT ? publishedCounters.encode() : null;
+        return settings.newestFormat() >= MemberCounters.MIN_FORMAT ? publishedCounters.encode() : null;
     }
 
     /** Sets the component whose payloads are exchanged over this fleet; must be called before {@link #start}. */
@@ -142,7 +142,7 @@
 
     /** The address at which this member is advertised to others. */
     public String address() {
-        return settings.advertise();
+        return settings.advertisedAddress();
     }
 
     /** The random number that identifies this process among those with its name. */
@@ -185,7 +185,7 @@
                         cappedLog.warn("datagram channel", "cause", cause);
                     }
                 })
-                .bind(settings.listen());
+                .bind(settings.listenAddress());
         bound.addListener(done -> {
             if (closed) {
                 bound.channel().close();
@@ -197,9 +197,9 @@
                         "fleet",
                         settings.name(),
                         "address",
-                        settings.listen(),
+                        settings.listenAddress(),
                         "advertised",
-                        settings.advertise());
+                        settings.advertisedAddress());
                 membership.start(clock.nowMs());
                 if (payloadListener != null) {
                     payloadListener.onStart();
@@ -209,7 +209,7 @@
                 cappedLog.warn(
                         "can't listen for its fleet yet",
                         "address",
-                        settings.listen(),
+                        settings.listenAddress(),
                         "cause",
                         bound.cause().getMessage());
                 clock.schedule(BIND_RETRY_MS, this::bind);
@@ -325,7 +325,7 @@
     private InetSocketAddress socketAddress(String text) {
         InetSocketAddress known = socketAddresses.get(text);
         if (known == null) {
-            known = FleetSettings.address(text);
+            known = FleetSettings.parseAddress(text);
             if (known != null && socketAddresses.size() < 4 * Math.max(64, membership.memberCount())) {
                 socketAddresses.put(text, known);
             }
--- a/doorman/src/main/java/barleyspur/sim/SimulatorProtocol.java
+++ b/doorman/src/main/java/barleyspur/sim/SimulatorProtocol.java
@@ -128,7 +128,7 @@
                 long seed = body.getLong();
                 return new Entry(
                         instance,
-                        new InstanceStart(seed, SettingsReader.read(SettingsReader.lines(text(u32(body))))),
+                        new InstanceStart(seed, SettingsReader.read(SettingsReader.parseLines(text(u32(body))))),
                         null);
             }
             return new Entry(instance, null, code == 10 ? null : event(code));
--- a/doorman/src/test/java/barleyspur/DoormanTestBed.java
+++ b/doorman/src/test/java/barleyspur/DoormanTestBed.java
@@ -126,7 +126,7 @@
         server.start();
     }
 
-    private Configuration read() throws Configuration.Invalid {
+    private Configuration read() throws Configuration.InvalidConfigurationException {
         try {
             Files.writeString(configurationFile, configuration.toString());
         } catch (IOException e) {
--- a/doorman/src/test/java/barleyspur/WarmUpTest.java
+++ b/doorman/src/test/java/barleyspur/WarmUpTest.java
@@ -11,7 +11,7 @@
 class WarmUpTest {
 
     @Test
-    void mostRequestsAreServed() throws Configuration.Invalid {
+    void mostRequestsAreServed() throws Configuration.InvalidConfigurationException {
         var eventLoops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         long answerBytes = new WarmUp(eventLoops, Configuration.example()).run(100);
         eventLoops.shutdownGracefully();
--- a/doorman/src/test/java/barleyspur/config/BudgetSettingsTest.java
+++ b/doorman/src/test/java/barleyspur/config/BudgetSettingsTest.java
@@ -25,21 +25,22 @@
     Path folder;
 
     @BeforeEach
-    void key() throws IOException {
+    void writeKey() throws IOException {
         Files.writeString(folder.resolve("good.key"), "q8Zt1Lw5Vb2Nc7Xs4Kd9Jf6Hg3Ap0Yr1\n");
         Files.setPosixFilePermissions(folder.resolve("good.key"), PosixFilePermissions.fromString("rw-r-----"));
     }
 
-    private OwnSettings read(String text) throws Hcl.Invalid {
+    private OwnSettings read(String text) throws Hcl.InvalidHclException {
         return OwnSettings.read(
                 folder.resolve("own.hcl"),
                 "fleet \"k\" {\nlisten = \"127.0.0.1:7101\"\nkey_file = \"good.key\"\n" + "}\n" + text);
     }
 
     private String failure(String text) {
-        String said = assertThrows(Hcl.Invalid.class, () -> read(text)).getMessage();
-        assertTrue(said.startsWith(folder.resolve("own.hcl") + ":"), said);
-        return said.substring((folder.resolve("own.hcl") + ":").length());
+        String message =
+                assertThrows(Hcl.InvalidHclException.class, () -> read(text)).getMessage();
+        assertTrue(message.startsWith(folder.resolve("own.hcl") + ":"), message);
+        return message.substring((folder.resolve("own.hcl") + ":").length());
     }
 
     private static String budget(String more) {
@@ -47,23 +48,23 @@
     }
 
     @Test
-    void withoutABlockItIsOff() throws Hcl.Invalid {
+    void budgetsAreOffWithoutABlock() throws Hcl.InvalidHclException {
         assertNull(read("").budgets());
     }
 
     @Test
-    void isReadWithDefaults() throws Hcl.Invalid {
-        BudgetSettings s =
+    void blocksAreReadWithDefaults() throws Hcl.InvalidHclException {
+        BudgetSettings settings =
                 read(budget("kind = \"places\"\nwhole = 3\nat = \"cache\"")).budgets();
         assertEquals(
                 new BudgetConfig.Budget("b", BudgetKind.PLACES, 3, 16, 0, 1, 5_000),
-                s.terms().budgetFor("b:s-1"));
-        assertEquals(List.of("127.0.0.1:7101"), s.terms().voters());
-        assertEquals(0, s.guarded(List.of("cache", "parent")).get("b"));
+                settings.config().budgetFor("b:s-1"));
+        assertEquals(List.of("127.0.0.1:7101"), settings.config().voters());
+        assertEquals(0, settings.guardedModelIndexes(List.of("cache", "parent")).get("b"));
     }
 
     @Test
-    void faultsAreNamed() throws Hcl.Invalid {
+    void errorsNameLineAndKey() throws Hcl.InvalidHclException {
         assertEquals(
                 "5: block budgets has no key voters: the advertised addresses of three or five doormans",
                 failure("budgets {\n}\n"));
@@ -92,26 +93,30 @@
                 "11: key leese is unknown in block budget: did you mean lease?",
                 failure(budget("kind = \"rate\"\nwhole = 50\nleese = \"1s\"")));
         OwnSettings other = read(budget("kind = \"rate\"\nwhole = 50\nat = \"cash\""));
-        String said = assertThrows(Hcl.Invalid.class, () -> other.budgets().check(List.of("cache", "parent")))
+        String message = assertThrows(
+                        Hcl.InvalidHclException.class, () -> other.budgets().validateModels(List.of("cache", "parent")))
                 .getMessage();
         assertTrue(
-                said.endsWith("own.hcl:11: key at is no model of the configuration: cash is not among cache, parent"),
-                said);
+                message.endsWith(
+                        "own.hcl:11: key at is no model of the configuration: cash is not among cache, parent"),
+                message);
     }
 
     /** Only changed capacities, bursts and weights apply without a restart; other changes are named. */
     @Test
-    void whatCountsFromTheNextStartIsNamed() throws Hcl.Invalid {
+    void changesThatRequireARestartAreNamed() throws Hcl.InvalidHclException {
         OwnSettings before = read(budget("kind = \"rate\"\nwhole = 50\nat = \"cache\""));
         assertEquals(
                 List.of(),
-                before.fixedChanges(read(budget("kind = \"rate\"\nwhole = 90\nweight = 2\nat = \"cache\""))));
+                before.changesRequiringRestart(
+                        read(budget("kind = \"rate\"\nwhole = 90\nweight = 2\nat = \"cache\""))));
         assertEquals(
                 List.of("budgets"),
-                before.fixedChanges(read(budget("kind = \"rate\"\nwhole = 50\nlease = \"9s\"\nat = " + "\"cache\""))));
+                before.changesRequiringRestart(
+                        read(budget("kind = \"rate\"\nwhole = 50\nlease = \"9s\"\nat = " + "\"cache\""))));
         assertEquals(
                 List.of("budget b at"),
-                before.fixedChanges(read(budget("kind = \"rate\"\nwhole = 50\nat = \"parent\""))));
-        assertEquals(List.of("budgets"), before.fixedChanges(read("")));
+                before.changesRequiringRestart(read(budget("kind = \"rate\"\nwhole = 50\nat = \"parent\""))));
+        assertEquals(List.of("budgets"), before.changesRequiringRestart(read("")));
     }
 }
--- a/doorman/src/test/java/barleyspur/config/FleetSettingsTest.java
+++ b/doorman/src/test/java/barleyspur/config/FleetSettingsTest.java
@@ -21,46 +21,48 @@
     Path folder;
 
     @BeforeEach
-    void key() throws IOException {
-        key("good.key", "q8Zt1Lw5Vb2Nc7Xs4Kd9Jf6Hg3Ap0Yr1", "rw-r-----");
+    void writeKey() throws IOException {
+        writeKey("good.key", "q8Zt1Lw5Vb2Nc7Xs4Kd9Jf6Hg3Ap0Yr1", "rw-r-----");
     }
 
-    private void key(String name, String text, String permissions) throws IOException {
+    private void writeKey(String name, String text, String permissions) throws IOException {
         Files.writeString(folder.resolve(name), text + "\n");
         Files.setPosixFilePermissions(folder.resolve(name), PosixFilePermissions.fromString(permissions));
     }
 
-    private FleetSettings read(String more) throws Hcl.Invalid {
+    private FleetSettings read(String more) throws Hcl.InvalidHclException {
         return OwnSettings.read(folder.resolve("own.hcl"), "fleet \"kartli\" {\n" + more + "\n}\n")
                 .fleet();
     }
 
     private String failure(String more) {
-        String said = assertThrows(Hcl.Invalid.class, () -> read(more)).getMessage();
-        assertTrue(said.startsWith(folder.resolve("own.hcl") + ":"), said);
-        return said.substring((folder.resolve("own.hcl") + ":").length()).replace(folder.toString(), "DIR");
+        String message =
+                assertThrows(Hcl.InvalidHclException.class, () -> read(more)).getMessage();
+        assertTrue(message.startsWith(folder.resolve("own.hcl") + ":"), message);
+        return message.substring((folder.resolve("own.hcl") + ":").length()).replace(folder.toString(), "DIR");
     }
 
     @Test
-    void withoutABlockItIsOff() throws Hcl.Invalid {
+    void fleetIsOffWithoutABlock() throws Hcl.InvalidHclException {
         assertNull(OwnSettings.read(Path.of("own.hcl"), "# nothing").fleet());
     }
 
     @Test
-    void isReadWithDefaults() throws Hcl.Invalid {
-        FleetSettings s = read("listen = \"127.0.0.1:7101\"\nseeds = [\"127.0.0.2:7101\"]\nkey_file = \"good.key\"");
-        assertEquals("127.0.0.1:7101", s.advertise());
-        assertEquals(List.of("127.0.0.2:7101"), s.seeds());
-        assertEquals(500, s.periodMs());
-        assertEquals(2, s.format());
+    void blockIsReadWithDefaults() throws Hcl.InvalidHclException {
+        FleetSettings settings =
+                read("listen = \"127.0.0.1:7101\"\nseeds = [\"127.0.0.2:7101\"]\nkey_file = \"good.key\"");
+        assertEquals("127.0.0.1:7101", settings.advertisedAddress());
+        assertEquals(List.of("127.0.0.2:7101"), settings.seedAddresses());
+        assertEquals(500, settings.probePeriodMs());
+        assertEquals(2, settings.newestFormat());
     }
 
     @Test
-    void faultsAreNamed() throws IOException {
-        String at = "listen = \"127.0.0.1:7101\"\n";
-        String good = at + "key_file = \"good.key\"\n";
+    void errorsNameLineAndKey() throws IOException {
+        String listen = "listen = \"127.0.0.1:7101\"\n";
+        String good = listen + "key_file = \"good.key\"\n";
         assertEquals("1: block fleet has no key listen", failure(""));
-        assertEquals("1: block fleet has no key key_file", failure(at));
+        assertEquals("1: block fleet has no key key_file", failure(listen));
         assertEquals("2: key listen is not an address with a port: 'here'", failure("listen = \"here\""));
         assertEquals(
                 "4: key seeds names this doorman itself: 127.0.0.1:7101",
@@ -71,14 +73,14 @@
                 "4: key period is no time from 100.0 to 10000.0 ms, as \"500ms\" or \"2s\": 1ms",
                 failure(good + "period = \"1ms\""));
         assertEquals("4: key perod is unknown in block fleet: did you mean period?", failure(good + "perod = \"1s\""));
-        assertTrue(failure(at + "key_file = \"none.key\"")
+        assertTrue(failure(listen + "key_file = \"none.key\"")
                 .startsWith("3: key key_file names DIR/none.key, which can't be"));
-        key("weak.key", "1111", "rw-------");
-        assertTrue(failure(at + "key_file = \"weak.key\"").contains("whose key is weak"));
-        key("open.key", "q8Zt1Lw5Vb2Nc7Xs4Kd9Jf6Hg3Ap0Yr1", "rw-r--r--");
-        assertTrue(failure(at + "key_file = \"open.key\"").contains("which everybody may read"));
+        writeKey("weak.key", "1111", "rw-------");
+        assertTrue(failure(listen + "key_file = \"weak.key\"").contains("whose key is weak"));
+        writeKey("open.key", "q8Zt1Lw5Vb2Nc7Xs4Kd9Jf6Hg3Ap0Yr1", "rw-r--r--");
+        assertTrue(failure(listen + "key_file = \"open.key\"").contains("which everybody may read"));
         String twice = assertThrows(
-                        Hcl.Invalid.class,
+                        Hcl.InvalidHclException.class,
                         () -> OwnSettings.read(
                                 folder.resolve("own.hcl"),
                                 "fleet \"a\" {\n" + good + "}\nfleet \"b\" {\n" + good + "}\n"))
--- a/doorman/src/test/java/barleyspur/config/JsonLinesPropertiesTest.java
+++ b/doorman/src/test/java/barleyspur/config/JsonLinesPropertiesTest.java
@@ -42,7 +42,7 @@
 
     /** Malformed JSON has no line but causes no exception, which would hide the original error. */
     @Property(seed = "52")
-    void garbageHasNoLineAndNoFault(
+    void malformedJsonHasNoLineAndCausesNoException(
             @ForAll @StringLength(max = 80) String garbage,
             @ForAll @AlphaChars @StringLength(min = 1, max = 4) String key) {
         assertTrue(JsonLines.lineOf(garbage, key) >= 0);
@@ -50,7 +50,7 @@
     }
 
     @Example
-    void aPlaceBeyondTheListIsNotThere() {
+    void anIndexBeyondTheListHasNoLine() {
         assertEquals(0, JsonLines.lineOf("{\"a\": [1, 2]}", "a.5"));
         assertEquals(1, JsonLines.lineOf("{\"a\": [1, 2]}", "a.1"));
         assertEquals(0, JsonLines.lineOf("{\"a\": [1, 2]}", "a.x"));
--- a/doorman/src/test/java/barleyspur/config/OwnSettingsTest.java
+++ b/doorman/src/test/java/barleyspur/config/OwnSettingsTest.java
@@ -15,25 +15,25 @@
     private static final Path EXAMPLES = Path.of("../examples/expectations");
 
     private static String failure(String text) {
-        return assertThrows(Hcl.Invalid.class, () -> OwnSettings.read(Path.of("own.hcl"), text))
+        return assertThrows(Hcl.InvalidHclException.class, () -> OwnSettings.read(Path.of("own.hcl"), text))
                 .getMessage();
     }
 
     @Test
-    void withoutABlockItIsOff() throws Hcl.Invalid {
+    void expectationsAreOffWithoutABlock() throws Hcl.InvalidHclException {
         assertNull(OwnSettings.read(Path.of("own.hcl"), "# nothing").expectations());
     }
 
     @Test
-    void theDeployedGateIsRead() throws Hcl.Invalid {
-        OwnSettings.Expectations e =
+    void theDeployedSettingsAreRead() throws Hcl.InvalidHclException {
+        OwnSettings.Expectations expectations =
                 OwnSettings.load(Path.of("../deploy/expectations-gate.hcl")).expectations();
-        assertEquals(List.of(Path.of("../deploy/expectations.hcl")), e.files());
-        assertEquals(60, e.scenarios());
+        assertEquals(List.of(Path.of("../deploy/expectations.hcl")), expectations.files());
+        assertEquals(60, expectations.scenarios());
     }
 
     @Test
-    void faultsAreNamed() {
+    void errorsNameLineAndKey() {
         assertEquals(
                 "own.hcl:1: block expectation is unknown: did you mean expectations?", failure("expectation {\n}"));
         assertEquals("own.hcl:1: block expectations has no key files", failure("expectations {\n}"));
@@ -47,17 +47,19 @@
 
     /** A configuration that violates an expectation is refused with its name; one that satisfies all is accepted. */
     @Test
-    void aReloadIsRefusedByABrokenExpectation() throws Configuration.Invalid {
-        OwnSettings.Expectations wanted = new OwnSettings.Expectations(List.of(EXAMPLES.resolve("station.hcl")), 12, 1);
-        ExpectationCheck.require(EXAMPLES.resolve("station.json"), wanted);
-        String said = assertThrows(
-                        Configuration.Invalid.class,
-                        () -> ExpectationCheck.require(EXAMPLES.resolve("wrong-drain-grace.json"), wanted))
+    void aConfigurationThatViolatesAnExpectationIsRefused() throws Configuration.InvalidConfigurationException {
+        OwnSettings.Expectations expectations =
+                new OwnSettings.Expectations(List.of(EXAMPLES.resolve("station.hcl")), 12, 1);
+        ExpectationCheck.requireNoViolations(EXAMPLES.resolve("station.json"), expectations);
+        String message = assertThrows(
+                        Configuration.InvalidConfigurationException.class,
+                        () -> ExpectationCheck.requireNoViolations(
+                                EXAMPLES.resolve("wrong-drain-grace.json"), expectations))
                 .getMessage();
-        assertTrue(said.startsWith("expectation \"settings as agreed\""), said);
+        assertTrue(message.startsWith("expectation \"settings as agreed\""), message);
         String unreadable = assertThrows(
-                        Configuration.Invalid.class,
-                        () -> ExpectationCheck.require(
+                        Configuration.InvalidConfigurationException.class,
+                        () -> ExpectationCheck.requireNoViolations(
                                 EXAMPLES.resolve("station.json"),
                                 new OwnSettings.Expectations(List.of(EXAMPLES.resolve("wrong-name.hcl")), 12, 1)))
                 .getMessage();
--- a/doorman/src/test/java/barleyspur/doorman/DoormanTest.java
+++ b/doorman/src/test/java/barleyspur/doorman/DoormanTest.java
@@ -116,7 +116,7 @@
 
     @BeforeEach
     void start() {
-        RoutingPolicy.Settings settings = SettingsReader.read(SettingsReader.lines(SETTINGS));
+        RoutingPolicy.Settings settings = SettingsReader.read(SettingsReader.parseLines(SETTINGS));
         doorman = new Doorman(
                 settings,
                 1,
@@ -359,8 +359,8 @@
     /** A repeat that was decided in time but delayed must not be sent once its key may be forgotten. */
     @Test
     void keyedRepeatDelayedPastItsWindowIsNotSent() {
-        doorman.applySettings(
-                SettingsReader.read(SettingsReader.lines(SETTINGS + "grades.0.repeat=by_key\ngrades.0.keyTtlMs=300")));
+        doorman.applySettings(SettingsReader.read(
+                SettingsReader.parseLines(SETTINGS + "grades.0.repeat=by_key\ngrades.0.keyTtlMs=300")));
         acceptRequest(event -> sendAll(2, event));
         assertEquals(Result.OK, sentAttempts.get(0).beforeWrite());
         sentAttempts.get(0).onSent();
--- a/doorman/src/test/java/barleyspur/expect/ExplorerTest.java
+++ b/doorman/src/test/java/barleyspur/expect/ExplorerTest.java
@@ -16,7 +16,7 @@
 /** What is said to be exhaustive is: every order is played, or one that differs from it only by which equal box. */
 class ExplorerTest {
 
-    private static Site site() throws Hcl.Invalid {
+    private static Site site() throws Hcl.InvalidHclException {
         return Texts.read(
                         Texts.site(),
                         """
@@ -27,7 +27,7 @@
               doormans        = 1
             }
             """)
-                .fleets()
+                .deployments()
                 .get(0);
     }
 
@@ -58,7 +58,7 @@
 
     /** Guards: symmetry reduction leaves nothing out and plays nothing twice. */
     @Test
-    void allOrdersOfTwoAreThereOnce() throws Hcl.Invalid {
+    void allOrdersOfTwoAreThereOnce() throws Hcl.InvalidHclException {
         Site site = site();
         Explorer explorer = new Explorer(site, List.of(load()), List.of(), 1, 2, true);
         Set<String> played = new HashSet<>();
--- a/doorman/src/test/java/barleyspur/expect/MutantsTest.java
+++ b/doorman/src/test/java/barleyspur/expect/MutantsTest.java
@@ -26,14 +26,16 @@
     @TempDir
     private Path folder;
 
-    private static Checker.Book book(String only) throws Configuration.Invalid, Hcl.Invalid {
-        Site site = ExpectationCheck.site(Path.of("../examples/expectations/station.json"));
+    private static Checker.Book book(String only)
+            throws Configuration.InvalidConfigurationException, Hcl.InvalidHclException {
+        Site site = ExpectationCheck.readDeployment(Path.of("../examples/expectations/station.json"));
         return ExpectationCheck.of(site, List.of("../deploy/expectations.hcl"), false)
-                .book(only, 1);
+                .suite(only, 1);
     }
 
     @Test
-    void theUnchangedModuleMeetsAllExpectationsAndNoneIsVacuous() throws Configuration.Invalid, Hcl.Invalid {
+    void theUnchangedModuleMeetsAllExpectationsAndNoneIsVacuous()
+            throws Configuration.InvalidConfigurationException, Hcl.InvalidHclException {
         int[] remaining = {SCENARIOS};
         Checker.Result result = Checker.of(book(""), Checker.Progress.NONE).run(1, () -> remaining[0]-- > 0);
         assertTrue(
@@ -70,7 +72,7 @@
         losses make no copies | hot_spread | LeastRecentlyLostPolicy.java | private static final int RANK_AFTER_LOSS = 3; | private static final int RANK_AFTER_LOSS = 2;
         """)
     void eachMutantIsRefuted(String what, String expectation, String file, String from, String to)
-            throws IOException, Configuration.Invalid, Hcl.Invalid {
+            throws IOException, Configuration.InvalidConfigurationException, Hcl.InvalidHclException {
         String newline = "\n            ";
         World.Maker mutant = Mutants.mutant(folder, file, from.replace("¶", newline), to.replace("¶", newline));
         int[] remaining = {SCENARIOS};
--- a/doorman/src/test/java/barleyspur/expect/Texts.java
+++ b/doorman/src/test/java/barleyspur/expect/Texts.java
@@ -16,18 +16,18 @@
 
     static Site site() {
         try {
-            return ExpectationCheck.site(STATION);
-        } catch (Configuration.Invalid e) {
+            return ExpectationCheck.readDeployment(STATION);
+        } catch (Configuration.InvalidConfigurationException e) {
             throw new AssertionError(e);
         }
     }
 
-    static ExpectationFiles.Read read(Site site, String text) throws Hcl.Invalid {
+    static ExpectationFiles.Definitions read(Site site, String text) throws Hcl.InvalidHclException {
         return ExpectationFiles.read(
                 List.of("test.hcl"),
                 (from, name) -> {
                     if (!name.equals("test.hcl")) {
-                        throw new Hcl.Invalid("test.hcl", 1, "file " + name + " can't be read");
+                        throw new Hcl.InvalidHclException("test.hcl", 1, "file " + name + " can't be read");
                     }
                     return text;
                 },
@@ -38,17 +38,21 @@
     static Checker.Result check(String text, World.Maker maker, int scenarios) {
         try {
             Site site = site();
-            ExpectationFiles.Read read = read(site, text);
-            List<Site> fleets = read.fleets().isEmpty() ? List.of(site) : read.fleets();
-            List<Load> loads = read.loads().isEmpty() ? List.of(Load.usual(site.any())) : read.loads();
+            ExpectationFiles.Definitions read = read(site, text);
+            List<Site> fleets = read.deployments().isEmpty() ? List.of(site) : read.deployments();
+            List<Load> loads = read.workloads().isEmpty() ? List.of(Load.usual(site.any())) : read.workloads();
             int[] left = {scenarios};
             return new Checker(
                             new Checker.Book(
-                                    read.expectations(), fleets, loads, read.cases(), Math.max(1, read.depth())),
+                                    read.expectations(),
+                                    fleets,
+                                    loads,
+                                    read.faultScripts(),
+                                    Math.max(1, read.maxSequenceLength())),
                             maker,
                             Checker.Progress.NONE)
                     .run(1, () -> left[0]-- > 0);
-        } catch (Hcl.Invalid e) {
+        } catch (Hcl.InvalidHclException e) {
             throw new AssertionError(e);
         }
     }
--- a/doorman/src/test/java/barleyspur/front/thrift/ClientConnectionTest.java
+++ b/doorman/src/test/java/barleyspur/front/thrift/ClientConnectionTest.java
@@ -33,7 +33,7 @@
 class ClientConnectionTest implements Clock {
 
     static final RoutingPolicy.Settings SETTINGS = SettingsReader.read(
-            SettingsReader.lines(
+            SettingsReader.parseLines(
                     """
         groupSize=1\nmyNumber=0\nmyZone=0\nresolutionMs=2\ngrades.count=1\ngrades.0.promiseMs=400
         grades.0.hardLimitMs=5000\ngrades.0.repeat=repeatable\nfamilyInfo.midKind=2\nfamilyInfo.masterKind=3
--- a/doorman/src/test/java/barleyspur/sim/SimulatorProtocolTest.java
+++ b/doorman/src/test/java/barleyspur/sim/SimulatorProtocolTest.java
@@ -208,7 +208,7 @@
 
     @Test
     void readsTheSettingsAndIgnoresUnknownKeys() {
-        RoutingPolicy.Settings settings = SettingsReader.read(SettingsReader.lines(SETUP));
+        RoutingPolicy.Settings settings = SettingsReader.read(SettingsReader.parseLines(SETUP));
         assertEquals(3, settings.doormanCount());
         assertEquals(List.of(0, 3), settings.doormansPerZone());
         assertEquals(8_000, settings.classes().get(0).freshMs());
@@ -223,14 +223,15 @@
                 "setting limits.sendCap is missing",
                 assertThrows(
                                 IllegalArgumentException.class,
-                                () -> SettingsReader.read(SettingsReader.lines(SETUP.replace("limits.sendCap=8", ""))))
+                                () -> SettingsReader.read(
+                                        SettingsReader.parseLines(SETUP.replace("limits.sendCap=8", ""))))
                         .getMessage());
         assertEquals(
                 "setting limits.sendCap is not a number",
                 assertThrows(
                                 IllegalArgumentException.class,
-                                () -> SettingsReader.read(
-                                        SettingsReader.lines(SETUP.replace("limits.sendCap=8", "limits.sendCap=many"))))
+                                () -> SettingsReader.read(SettingsReader.parseLines(
+                                        SETUP.replace("limits.sendCap=8", "limits.sendCap=many"))))
                         .getMessage());
     }
 }
--- a/lab/src/main/java/barleyspur/lab/Lab.java
+++ b/lab/src/main/java/barleyspur/lab/Lab.java
@@ -225,7 +225,7 @@
                             : FleetLab.real(scenario, jar(line), folder))
                     ? OK
                     : FAILED;
-        } catch (Hcl.Invalid e) {
+        } catch (Hcl.InvalidHclException e) {
             System.err.println("barleyspur-lab: " + e.getMessage());
             return USAGE;
         }
@@ -257,7 +257,7 @@
                             : BudgetLab.real(scenario, jar(line), folder))
                     ? OK
                     : FAILED;
-        } catch (Hcl.Invalid e) {
+        } catch (Hcl.InvalidHclException e) {
             System.err.println("barleyspur-lab: " + e.getMessage());
             return USAGE;
         }
--- a/lab/src/main/java/barleyspur/lab/fleet/BudgetLab.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/BudgetLab.java
@@ -26,7 +26,7 @@
     private BudgetLab() {}
 
     /** Plays a scenario with budgets on real processes; whether all promises were kept. */
-    public static boolean real(Path scenario, Path jar, Path folder) throws Hcl.Invalid, IOException {
+    public static boolean real(Path scenario, Path jar, Path folder) throws Hcl.InvalidHclException, IOException {
         Schedule schedule = load(scenario);
         System.out.printf("%s: %d doormans, logs below %s%n", schedule.name(), schedule.started(), folder);
         try {
@@ -59,10 +59,10 @@
         }
     }
 
-    private static Schedule load(Path scenario) throws Hcl.Invalid {
+    private static Schedule load(Path scenario) throws Hcl.InvalidHclException {
         Schedule schedule = ScenarioFile.load(scenario);
         if (schedule.use() == null) {
-            throw new Hcl.Invalid(
+            throw new Hcl.InvalidHclException(
                     scenario.toString(), 1, "has no block load { ... } and no budgets: fleet run plays it");
         }
         return schedule;
@@ -140,7 +140,7 @@
     }
 
     /** Plays a scenario in virtual time from its seed on; the first seed that breaks a promise is shrunk and written. */
-    public static boolean virtual(Path scenario, int seeds, Path folder) throws Hcl.Invalid, IOException {
+    public static boolean virtual(Path scenario, int seeds, Path folder) throws Hcl.InvalidHclException, IOException {
         Schedule schedule = load(scenario);
         long start = System.nanoTime();
         double usable = 0;
--- a/lab/src/main/java/barleyspur/lab/fleet/FleetLab.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/FleetLab.java
@@ -20,9 +20,9 @@
      * Plays a scenario on real processes, and prints what happened.
      *
      * @return whether all promises were kept
-     * @throws Hcl.Invalid where the scenario can't be used
+     * @throws Hcl.InvalidHclException where the scenario can't be used
      */
-    public static boolean real(Path scenario, Path jar, Path folder) throws Hcl.Invalid, IOException {
+    public static boolean real(Path scenario, Path jar, Path folder) throws Hcl.InvalidHclException, IOException {
         Schedule schedule = ScenarioFile.load(scenario);
         Watch watch = new Watch(true);
         System.out.printf("%s: %d doormans, logs below %s%n", schedule.name(), schedule.started(), folder);
@@ -52,7 +52,7 @@
      * Plays a scenario in virtual time from {@code seeds} seeds on; the first seed that breaks a promise is shrunk and
      * written beside as a scenario of its own.
      */
-    public static boolean virtual(Path scenario, int seeds, Path folder) throws Hcl.Invalid, IOException {
+    public static boolean virtual(Path scenario, int seeds, Path folder) throws Hcl.InvalidHclException, IOException {
         Schedule schedule = ScenarioFile.load(scenario);
         List<Double> times = new ArrayList<>();
         long start = System.nanoTime();
--- a/lab/src/main/java/barleyspur/lab/fleet/ScenarioFile.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/ScenarioFile.java
@@ -33,21 +33,21 @@
         this.slots = slots;
     }
 
-    static Schedule load(Path file) throws Hcl.Invalid {
+    static Schedule load(Path file) throws Hcl.InvalidHclException {
         String text;
         try {
             text = Files.readString(file);
         } catch (IOException e) {
-            throw new Hcl.Invalid(file.toString(), 1, "can't be read: " + e.getMessage());
+            throw new Hcl.InvalidHclException(file.toString(), 1, "can't be read: " + e.getMessage());
         }
         return read(file.toString(), text);
     }
 
-    static Schedule read(String file, String text) throws Hcl.Invalid {
+    static Schedule read(String file, String text) throws Hcl.InvalidHclException {
         Hcl.Block root = Hcl.read(file, text);
-        root.close(List.of("scenario"));
+        root.rejectUnknown(List.of("scenario"));
         if (root.blocks().size() != 1) {
-            throw new Hcl.Invalid(
+            throw new Hcl.InvalidHclException(
                     file,
                     1,
                     "wants one block scenario \"NAME\" { ... }, not "
@@ -63,7 +63,7 @@
         long seed = (long) b.number("seed", 1, 0, 1e15);
         Hcl.Value seeds = b.value("seeds");
         List<Integer> at = seeds == null ? List.of(0, Math.min(1, slots - 1)) : List.copyOf(reader.slots(seeds));
-        b.close(List.of("step", "random", "load", "budget"));
+        b.rejectUnknown(List.of("step", "random", "load", "budget"));
         Schedule.Use use = use(b, slots);
         List<Schedule.Step> steps = new ArrayList<>();
         for (Hcl.Block step : b.blocks()) {
@@ -72,7 +72,7 @@
                     throw step.invalid("stands beside other steps");
                 }
                 int faults = (int) step.number("faults", 10, 1, 1_000);
-                step.close(List.of());
+                step.rejectUnknown(List.of());
                 return Schedule.random(doormans, faults, period, settle, seed).with(use);
             } else if (step.type().equals("step")) {
                 steps.add(reader.step(step));
@@ -81,7 +81,7 @@
         return new Schedule(name, slots, doormans, at, period, List.copyOf(steps), settle, seed, 0, use);
     }
 
-    private static Schedule.Use use(Hcl.Block b, int slots) throws Hcl.Invalid {
+    private static Schedule.Use use(Hcl.Block b, int slots) throws Hcl.InvalidHclException {
         if (b.blocks("load").size() != 1) {
             if (b.blocks("load").isEmpty() && b.blocks("budget").isEmpty()) {
                 return null;
@@ -98,11 +98,11 @@
         Map<String, BudgetConfig.Budget> budgets = new TreeMap<>();
         Map<String, String> at = new TreeMap<>();
         for (Hcl.Block each : b.blocks("budget")) {
-            BudgetConfig.Budget budget = BudgetSettings.budget(each, largest, hold + slack);
+            BudgetConfig.Budget budget = BudgetSettings.readBudget(each, largest, hold + slack);
             Hcl.Value model = each.value("at");
-            at.put(budget.name(), model == null ? "cache" : model.text());
+            at.put(budget.name(), model == null ? "cache" : model.asString());
             budgets.put(budget.name(), budget);
-            each.close(List.of());
+            each.rejectUnknown(List.of());
         }
         Schedule.Use use = new Schedule.Use(
                 new BudgetConfig(List.of(), largest, term, hold, slack, budgets),
@@ -113,23 +113,23 @@
                 time(load, "jump", 0, 0, MOST_MS),
                 time(load, "hit", 20, 1, 5_000),
                 time(load, "cold", 0, 0, MOST_MS));
-        load.close(List.of());
+        load.rejectUnknown(List.of());
         return use;
     }
 
-    private Schedule.Step step(Hcl.Block b) throws Hcl.Invalid {
+    private Schedule.Step step(Hcl.Block b) throws Hcl.InvalidHclException {
         Matcher when = WHEN.matcher(b.label());
         if (!when.matches() || b.label().isBlank()) {
             throw b.invalid(
                     "has a time that is none: \"" + b.label() + "\"; as in \"2s\", \"settled\", \"settled + 500ms\"");
         }
-        double after = when.group(2) == null ? 0 : Hcl.millis(when.group(2));
+        double after = when.group(2) == null ? 0 : Hcl.parseMillis(when.group(2));
         Fault fault = fault(b);
-        b.close(FAULTS);
+        b.rejectUnknown(FAULTS);
         return new Schedule.Step(when.group(1) != null, after, fault);
     }
 
-    private Fault fault(Hcl.Block b) throws Hcl.Invalid {
+    private Fault fault(Hcl.Block b) throws Hcl.InvalidHclException {
         List<Fault> found = new ArrayList<>();
         add(found, b.value("kill"), Fault.Kill::new);
         add(found, b.value("freeze"), Fault.Freeze::new);
@@ -139,7 +139,7 @@
         add(found, b.value("resume"), s -> new Fault.Quiesce(s, false));
         Hcl.Value as = b.value("as");
         Hcl.Value clock = b.value("clock");
-        double offset = clock == null ? 0 : Hcl.millis(clock.text());
+        double offset = clock == null ? 0 : Hcl.parseMillis(clock.asString());
         if (Double.isNaN(offset)) {
             throw clock.invalid("is no time: " + clock.value());
         }
@@ -150,10 +150,10 @@
                 s -> new Fault.Start(s, as == null ? "" : String.valueOf(as.value()), offset, format));
         Hcl.Value of = b.value("of");
         if (of != null) {
-            found.add(new Fault.Whole(of.text(), (long) b.number("whole", 0, 1, 1e9)));
+            found.add(new Fault.Whole(of.asString(), (long) b.number("whole", 0, 1, 1e9)));
         }
         Hcl.Value heal = b.value("heal");
-        if (heal != null && heal.flag()) {
+        if (heal != null && heal.asBoolean()) {
             found.add(new Fault.Heal());
         }
         for (Hcl.Block f : b.blocks()) {
@@ -174,7 +174,7 @@
                 case "starve" -> found.add(new Fault.Starve(slots(f, "who"), f.number("share", 0.1, 0.01, 1)));
                 default -> {}
             }
-            f.close(List.of());
+            f.rejectUnknown(List.of());
         }
         if (found.size() != 1) {
             throw b.invalid("wants one fault, not " + found.size());
@@ -186,34 +186,34 @@
         Fault of(Set<Integer> slots);
     }
 
-    private void add(List<Fault> found, Hcl.Value value, Maker maker) throws Hcl.Invalid {
+    private void add(List<Fault> found, Hcl.Value value, Maker maker) throws Hcl.InvalidHclException {
         if (value != null) {
             found.add(maker.of(slots(value)));
         }
     }
 
-    private Fault split(Hcl.Block b) throws Hcl.Invalid {
+    private Fault split(Hcl.Block b) throws Hcl.InvalidHclException {
         Hcl.Value groups = b.value("groups");
         if (groups == null) {
             throw b.invalid("has no key groups, as in [\"d1..d3\", \"d4..d7\"]");
         }
         List<Set<Integer>> sets = new ArrayList<>();
-        for (String group : groups.texts()) {
+        for (String group : groups.asStrings()) {
             sets.add(slots(groups, List.of(group.split(" +"))));
         }
         return new Fault.Split(List.copyOf(sets));
     }
 
-    private Set<Integer> slots(Hcl.Block b, String key) throws Hcl.Invalid {
+    private Set<Integer> slots(Hcl.Block b, String key) throws Hcl.InvalidHclException {
         Hcl.Value value = b.value(key);
         return value == null ? Schedule.range(0, slots) : slots(value);
     }
 
-    private Set<Integer> slots(Hcl.Value value) throws Hcl.Invalid {
-        return slots(value, value.texts());
+    private Set<Integer> slots(Hcl.Value value) throws Hcl.InvalidHclException {
+        return slots(value, value.asStrings());
     }
 
-    private Set<Integer> slots(Hcl.Value value, List<String> names) throws Hcl.Invalid {
+    private Set<Integer> slots(Hcl.Value value, List<String> names) throws Hcl.InvalidHclException {
         Set<Integer> set = new TreeSet<>();
         for (String name : names) {
             Matcher m = RANGE.matcher(name);
@@ -234,9 +234,9 @@
     }
 
     private static double time(Hcl.Block b, String key, double otherwise, double least, double most)
-            throws Hcl.Invalid {
+            throws Hcl.InvalidHclException {
         Hcl.Value v = b.value(key);
-        double ms = v == null ? otherwise : Hcl.millis(v.text());
+        double ms = v == null ? otherwise : Hcl.parseMillis(v.asString());
         if (!(ms >= least && ms <= most)) {
             throw v.invalid("is no time from " + least + " to " + most + " ms: " + v.value());
         }
