--- a/doorman/src/main/java/barleyspur/config/BudgetSettings.java
+++ b/doorman/src/main/java/barleyspur/config/BudgetSettings.java
@@ -19,7 +19,7 @@
      * A budget that limits the attempts at each node of a model. Each such node has a budget of its own, named
      * {@code NAME:UID}.
      *
-     * @param model    the model of the nodes, as the platform's configuration names it
+     * @param model the model of the nodes, as the platform's configuration names it
      * @param modelSetting the key {@code at}, for errors that show only when compared with the platform's configuration
      */
     public record Guard(String model, Hcl.Value modelSetting) {}
@@ -76,7 +76,7 @@
      * Reads one block {@code budget}.
      *
      * @param maxDoormans the maximum number of processes at any time
-     * @param unusableMs  how long before the end of a lease places can no longer be acquired
+     * @param unusableMs how long before the end of a lease places can no longer be acquired
      */
     public static BudgetConfig.Budget readBudget(Hcl.Block block, int maxDoormans, double unusableMs)
             throws Hcl.InvalidHclException {
--- a/doorman/src/main/java/barleyspur/config/Configuration.java
+++ b/doorman/src/main/java/barleyspur/config/Configuration.java
@@ -23,9 +23,9 @@
  * The platform's configuration of one doorman. Only this class parses and validates it and applies defaults.
  *
  * @param channelAddress address of the command channel
- * @param managementAddress    address for management requests, or null if the platform gives none
+ * @param managementAddress address for management requests, or null if the platform gives none
  * @param tempDirectory the directory {@code $TMPDIR}, which the old and the new process share during an upgrade
- * @param initialCommands   the commands up to the start, in the format of the command channel, whose reader parses them
+ * @param initialCommands the commands up to the start, in the format of the command channel, whose reader parses them
  */
 public record Configuration(
         String name,
@@ -46,7 +46,7 @@
      * Resource limits of the process, which the routing decisions don't use.
      *
      * @param maxStreamsPerConnection maximum number of concurrent attempts on one connection to a node
-     * @param connectionIdleMs  time after which an unused connection to a node is closed
+     * @param connectionIdleMs time after which an unused connection to a node is closed
      */
     public record Limits(
             int maxSockets,
--- a/doorman/src/main/java/barleyspur/config/ExpectationFiles.java
+++ b/doorman/src/main/java/barleyspur/config/ExpectationFiles.java
@@ -39,9 +39,9 @@
      * The definitions and expectations of a set of files.
      *
      * @param deployments fleets defined in the files, to be checked in addition to the one of the configuration
-     * @param workloads  the workloads to simulate, in turn
-     * @param maxSequenceLength  length up to which all sequences of events are simulated; 0 if not set
-     * @param fileTexts  the texts of the files by name, to be stored in traces
+     * @param workloads the workloads to simulate, in turn
+     * @param maxSequenceLength length up to which all sequences of events are simulated; 0 if not set
+     * @param fileTexts the texts of the files by name, to be stored in traces
      */
     public record Definitions(
             List<Expectation> expectations,
--- a/doorman/src/main/java/barleyspur/config/FleetSettings.java
+++ b/doorman/src/main/java/barleyspur/config/FleetSettings.java
@@ -14,14 +14,14 @@
 /**
  * Settings of the block {@code fleet "NAME"}: how a doorman joins the fleet and exchanges datagrams with it.
  *
- * @param name          name of the fleet; datagrams of other fleets are rejected
- * @param listenAddress        local address for datagrams
- * @param advertisedAddress     address that other members send to, such as {@code 10.0.0.4:7101}; the local address by default
- * @param seedAddresses         addresses of members to contact in order to join
- * @param sharedKey           content of the key file, the secret that all members of the fleet share
- * @param probePeriodMs      interval between two probes, 100 to 10,000
- * @param deadRetentionMs    how long dead members are kept and contacted again, 10 s to 1 day
- * @param newestFormat        newest datagram format to use; lower than the newest known one during a rolling upgrade
+ * @param name name of the fleet; datagrams of other fleets are rejected
+ * @param listenAddress local address for datagrams
+ * @param advertisedAddress address that other members send to, such as {@code 10.0.0.4:7101}; the local address by default
+ * @param seedAddresses addresses of members to contact in order to join
+ * @param sharedKey content of the key file, the secret that all members of the fleet share
+ * @param probePeriodMs interval between two probes, 100 to 10,000
+ * @param deadRetentionMs how long dead members are kept and contacted again, 10 s to 1 day
+ * @param newestFormat newest datagram format to use; lower than the newest known one during a rolling upgrade
  * @param clockOffsetMs offset that is added to the wall clock when the process derives its incarnation number; for
  *     tests of a clock that was stepped
  */
--- a/doorman/src/main/java/barleyspur/config/Hcl.java
+++ b/doorman/src/main/java/barleyspur/config/Hcl.java
@@ -286,7 +286,7 @@
             skipBlanks(false);
         }
         if (peek() != '{') {
-            throw error("expected = or a block after " + name);
+            throw error("name " + name + " is not followed by = or a block");
         }
         position++;
         Block block = new Block(file, startLine, name, List.copyOf(labels));
--- a/doorman/src/main/java/barleyspur/config/OwnSettings.java
+++ b/doorman/src/main/java/barleyspur/config/OwnSettings.java
@@ -11,17 +11,17 @@
  * block for each optional component, parsed and validated here. A component without a block is off.
  *
  * @param expectations routing expectations that a configuration has to satisfy before a reload applies it, or null
- * @param fleet        membership of a fleet of doormans, or null
- * @param budgets      limits on what the doormans of the fleet use together, or null
+ * @param fleet membership of a fleet of doormans, or null
+ * @param budgets limits on what the doormans of the fleet use together, or null
  */
 public record OwnSettings(Expectations expectations, FleetSettings fleet, BudgetSettings budgets) {
 
     /**
      * The block {@code expectations}.
      *
-     * @param files     files with routing expectations, resolved against the directory of the settings file
+     * @param files files with routing expectations, resolved against the directory of the settings file
      * @param scenarios number of scenarios to simulate for each check
-     * @param seed      random seed of the scenarios
+     * @param seed random seed of the scenarios
      */
     public record Expectations(List<Path> files, int scenarios, long seed) {}
 
