--- a/doorman/src/main/java/barleyspur/config/Configuration.java
+++ b/doorman/src/main/java/barleyspur/config/Configuration.java
@@ -210,7 +210,7 @@
         return LongHashFunction.xx3()
                 .hashChars(settings.retuned(settings.classes(), settings.maxAttempts())
                         .toString()
-                        .replaceFirst("me=[0-9]+", "me"));
+                        .replaceFirst("doormanIndex=[0-9]+", "doormanIndex"));
     }
 
     private static JSONObject requireObject(JSONObject json, String key) throws InvalidConfigurationException {
