--- a/doorman/src/main/java/barleyspur/config/ExpectationCheck.java
+++ b/doorman/src/main/java/barleyspur/config/ExpectationCheck.java
@@ -75,7 +75,7 @@
      * Returns the input of the checker.
      *
      * @param only the name of the only expectation to check, or empty for all
-     * @param maxSequenceLength length up to which all sequences of events are simulated, or 0 for the value of the files
+     * @param maxSequenceLength length up to which all sequences of events are simulated; 0: as in the files
      */
     public Checker.Book suite(String only, int maxSequenceLength) {
         return new Checker.Book(
--- a/doorman/src/main/java/barleyspur/config/FleetSettings.java
+++ b/doorman/src/main/java/barleyspur/config/FleetSettings.java
@@ -16,7 +16,7 @@
  *
  * @param name name of the fleet; datagrams of other fleets are rejected
  * @param listenAddress local address for datagrams
- * @param advertisedAddress address that other members send to, such as {@code 10.0.0.4:7101}; the local address by default
+ * @param advertisedAddress address that other members send to, such as {@code 10.0.0.4:7101}; by default the local one
  * @param seedAddresses addresses of members to contact in order to join
  * @param sharedKey content of the key file, the secret that all members of the fleet share
  * @param probePeriodMs interval between two probes, 100 to 10,000
--- a/doorman/src/test/java/barleyspur/config/ConfigurationTest.java
+++ b/doorman/src/test/java/barleyspur/config/ConfigurationTest.java
@@ -51,7 +51,8 @@
         assertEquals(new Configuration.Limits(1024, 192, 20_000, 16, 400, 15_000), configuration.limits());
         Configuration neighbour =
                 Configuration.read(new JSONObject(CONFIG.replace("\"myNumber\":2", "\"myNumber\":1")), Map.of());
-        assertEquals(configuration.settingsDigest(), neighbour.settingsDigest(), "the doorman's own number is left out");
+        assertEquals(
+                configuration.settingsDigest(), neighbour.settingsDigest(), "the doorman's own number is left out");
     }
 
     /** Changes that a reload can't apply must be named. The address of the command channel can be applied. */
