--- a/doorman/src/main/java/barleyspur/config/ExpectationCheck.java
+++ b/doorman/src/main/java/barleyspur/config/ExpectationCheck.java
@@ -13,118 +13,133 @@
 import org.json.JSONException;
 import org.json.JSONObject;
 
-/** Puts a configuration and files of expectations before the checker. */
+/** Checks a configuration against files with routing expectations. */
 public final class ExpectationCheck {
 
-    private final ExpectationFiles.Read read;
+    private final ExpectationFiles.Definitions definitions;
     private final List<String> files;
-    private final Deployment site;
-    private final List<Deployment> fleets;
+    private final Deployment deployment;
+    private final List<Deployment> deployments;
 
-    private ExpectationCheck(ExpectationFiles.Read read, List<String> files, Deployment site, boolean describedOnly) {
-        this.read = read;
+    private ExpectationCheck(
+            ExpectationFiles.Definitions definitions,
+            List<String> files,
+            Deployment deployment,
+            boolean describedOnly) {
+        this.definitions = definitions;
         this.files = files;
-        this.site = site;
-        List<Deployment> all = new ArrayList<>(read.fleets());
-        if (!describedOnly || all.isEmpty()) {
-            all.add(0, site);
+        this.deployment = deployment;
+        List<Deployment> deployments = new ArrayList<>(definitions.deployments());
+        if (!describedOnly || deployments.isEmpty()) {
+            deployments.add(0, deployment);
         }
-        this.fleets = all;
+        this.deployments = deployments;
     }
 
-    /** The fleet of a configuration file. */
-    public static Deployment site(Path config) throws Configuration.Invalid {
+    /** Reads the fleet of a configuration file. */
+    public static Deployment readDeployment(Path config) throws Configuration.InvalidConfigurationException {
         try {
-            return Sites.read(new JSONObject(Files.readString(config)));
+            return Deployments.read(new JSONObject(Files.readString(config)));
         } catch (IOException e) {
-            throw new Configuration.Invalid(config + " can't be read: " + e.getMessage());
+            throw new Configuration.InvalidConfigurationException(config + " can't be read: " + e.getMessage());
         } catch (JSONException e) {
-            throw new Configuration.Invalid(config + " is not JSON: " + e.getMessage());
-        } catch (Configuration.Invalid e) {
-            throw new Configuration.Invalid(config + ": " + e.getMessage());
+            throw new Configuration.InvalidConfigurationException(config + " is not valid JSON: " + e.getMessage());
+        } catch (Configuration.InvalidConfigurationException e) {
+            throw new Configuration.InvalidConfigurationException(config + ": " + e.getMessage());
         }
     }
 
     /**
-     * Reads what is to be checked.
+     * Reads the expectations and creates a check of them.
      *
-     * @param describedOnly whether the fleets that files describe stand in for the configuration's own
+     * @param describedOnly whether the fleets that the files define, if any, replace the one of the configuration
      */
-    public static ExpectationCheck of(Deployment site, List<String> files, boolean describedOnly) throws Hcl.Invalid {
+    public static ExpectationCheck of(Deployment deployment, List<String> files, boolean describedOnly)
+            throws Hcl.InvalidHclException {
         return new ExpectationCheck(
-                ExpectationFiles.read(files, ExpectationCheck::text, site), files, site, describedOnly);
+                ExpectationFiles.read(files, ExpectationCheck::readText, deployment), files, deployment, describedOnly);
     }
 
-    private static String text(String from, String name) throws Hcl.Invalid {
+    private static String readText(String from, String name) throws Hcl.InvalidHclException {
         try {
             return Files.readString(Path.of(name));
         } catch (IOException e) {
-            throw new Hcl.Invalid(
+            throw new Hcl.InvalidHclException(
                     from.replaceFirst(":\\d+$", ""), 1, "file " + name + " can't be read: " + e.getMessage());
         }
     }
 
-    /** The names of the expectations, in their order. */
-    public List<String> names() {
-        return read.expectations().stream().map(e -> e.name()).toList();
+    /** Returns the names of the expectations in the order of the files. */
+    public List<String> expectationNames() {
+        return definitions.expectations().stream().map(e -> e.name()).toList();
     }
 
-    /** What the checker is given; {@code only} empty: all expectations; {@code depth} 0: as the files say. */
-    public Checker.Suite book(String only, int depth) {
+    /**
+     * Returns the input of the checker.
+     *
+     * @param only the name of the only expectation to check, or empty for all
+     * @param maxSequenceLength length up to which all sequences of events are simulated; 0: as in the files
+     */
+    public Checker.Suite suite(String only, int maxSequenceLength) {
         return new Checker.Suite(
-                read.expectations().stream()
+                definitions.expectations().stream()
                         .filter(e -> only.isEmpty() || e.name().equals(only))
                         .toList(),
-                fleets,
-                loads(),
-                read.cases(),
-                depth > 0 ? depth : Math.max(1, read.depth()));
+                deployments,
+                workloads(),
+                definitions.faultScripts(),
+                maxSequenceLength > 0 ? maxSequenceLength : Math.max(1, definitions.maxSequenceLength()));
     }
 
-    /** The loads that files lay down, or the usual one. */
-    public List<Workload> loads() {
-        return read.loads().isEmpty() ? List.of(Workload.defaultFor(site.sharedSettings())) : read.loads();
+    /** Returns the workloads that the files define, or the default one. */
+    public List<Workload> workloads() {
+        return definitions.workloads().isEmpty()
+                ? List.of(Workload.defaultFor(deployment.sharedSettings()))
+                : definitions.workloads();
     }
 
-    /** The cases that were read. */
-    public List<FaultScript> cases() {
-        return read.cases();
+    /** Returns the cases that the files define. */
+    public List<FaultScript> faultScripts() {
+        return definitions.faultScripts();
     }
 
-    /** A counterexample as the text of a trace file. */
-    public String trace(Checker.Counterexample counterexample) {
-        return Traces.write(counterexample, files, read.texts());
+    /** Returns the content of a trace file for a counterexample. */
+    public String traceText(Checker.Counterexample counterexample) {
+        return Traces.write(counterexample, files, definitions.fileTexts());
     }
 
-    /** The expectations that a configuration breaks, a line each; throws where they or it can't be read. */
-    public static List<String> broken(Path config, OwnSettings.Expectations wanted)
-            throws Configuration.Invalid, Hcl.Invalid {
-        ExpectationCheck check =
-                of(site(config), wanted.files().stream().map(Path::toString).toList(), false);
-        int[] left = {wanted.scenarios()};
-        BooleanSupplier more = () -> left[0]-- > 0;
-        List<String> broken = new ArrayList<>();
-        for (Checker.ExpectationResult f : Checker.of(check.book("", 0), Checker.Progress.NONE)
-                .run(wanted.seed(), more)
+    /** Returns a message for each expectation that a configuration violates; throws if either can't be read. */
+    public static List<String> findViolations(Path config, OwnSettings.Expectations expectations)
+            throws Configuration.InvalidConfigurationException, Hcl.InvalidHclException {
+        ExpectationCheck check = of(
+                readDeployment(config),
+                expectations.files().stream().map(Path::toString).toList(),
+                false);
+        int[] remaining = {expectations.scenarios()};
+        BooleanSupplier continueRunning = () -> remaining[0]-- > 0;
+        List<String> violations = new ArrayList<>();
+        for (Checker.ExpectationResult result : Checker.of(check.suite("", 0), Checker.Progress.NONE)
+                .run(expectations.seed(), continueRunning)
                 .expectationResults()) {
-            if (f.verdict() == Checker.Verdict.REFUTED) {
-                broken.add("expectation \"" + f.expectation().name() + "\" ("
-                        + f.expectation().location() + ") is refuted: it held in " + f.satisfied() + " of "
-                        + f.evaluated());
+            if (result.verdict() == Checker.Verdict.REFUTED) {
+                violations.add("expectation \"" + result.expectation().name() + "\" ("
+                        + result.expectation().location() + ") is refuted: it held in " + result.satisfied() + " of "
+                        + result.evaluated());
             }
         }
-        return broken;
+        return violations;
     }
 
-    /** Refuses a configuration that breaks an expectation, or with which that can't be told. */
-    public static void require(Path config, OwnSettings.Expectations wanted) throws Configuration.Invalid {
+    /** Throws if a configuration violates an expectation, or if the expectations can't be read. */
+    public static void requireNoViolations(Path config, OwnSettings.Expectations expectations)
+            throws Configuration.InvalidConfigurationException {
         try {
-            List<String> broken = broken(config, wanted);
-            if (!broken.isEmpty()) {
-                throw new Configuration.Invalid(String.join("; ", broken));
+            List<String> violations = findViolations(config, expectations);
+            if (!violations.isEmpty()) {
+                throw new Configuration.InvalidConfigurationException(String.join("; ", violations));
             }
-        } catch (Hcl.Invalid e) {
-            throw new Configuration.Invalid(e.getMessage());
+        } catch (Hcl.InvalidHclException e) {
+            throw new Configuration.InvalidConfigurationException(e.getMessage());
         }
     }
 }
--- a/doorman/src/main/java/barleyspur/config/Traces.java
+++ b/doorman/src/main/java/barleyspur/config/Traces.java
@@ -15,125 +15,139 @@
 import org.json.JSONException;
 import org.json.JSONObject;
 
-/** Counterexamples as files: whole in themselves, with the settings and the expectations that they were found by. */
+/** Reads and writes trace files: counterexamples together with the settings and expectation files they depend on. */
 public final class Traces {
 
     private static final int VERSION = 1;
 
-    /** A counterexample as it was read back. */
+    /** A counterexample that was read from a trace file. */
     public record Trace(Scenario scenario, Expectation expectation) {}
 
     private Traces() {}
 
-    /** The file's text. */
-    public static String write(Checker.Counterexample c, List<String> files, Map<String, String> texts) {
-        Scenario s = c.scenario();
-        Deployment site = s.deployment();
+    /** Returns the content of a trace file. */
+    public static String write(Checker.Counterexample counterexample, List<String> files, Map<String, String> texts) {
+        Scenario scenario = counterexample.scenario();
+        Deployment deployment = scenario.deployment();
         JSONObject json = new JSONObject();
         json.put("barleyspur_trace", VERSION)
-                .put("expectation", c.expectationName())
+                .put("expectation", counterexample.expectationName())
                 .put("files", new JSONArray(files))
                 .put("texts", new JSONObject(texts));
         json.put(
                 "fleet",
                 new JSONObject()
-                        .put("name", site.name())
-                        .put("zones", new JSONArray(site.stationNames()))
-                        .put("kinds", new JSONArray(site.modelNames()))
-                        .put("classes", new JSONArray(site.classNames()))
-                        .put("doormans", new JSONArray(site.doormanZones()))
-                        .put("settings", new JSONObject(site.rawSettings())));
+                        .put("name", deployment.name())
+                        .put("zones", new JSONArray(deployment.stationNames()))
+                        .put("kinds", new JSONArray(deployment.modelNames()))
+                        .put("classes", new JSONArray(deployment.classNames()))
+                        .put("doormans", new JSONArray(deployment.doormanZones()))
+                        .put("settings", new JSONObject(deployment.rawSettings())));
         JSONArray boxes = new JSONArray();
-        for (Box b : site.boxes()) {
-            boxes.put(new JSONArray(
-                    List.of(b.uid(), b.nodeId(), b.zoneIndex(), b.modelIndex(), b.cell(), b.concurrentTransfers())));
+        for (Box box : deployment.boxes()) {
+            boxes.put(new JSONArray(List.of(
+                    box.uid(),
+                    box.nodeId(),
+                    box.zoneIndex(),
+                    box.modelIndex(),
+                    box.cell(),
+                    box.concurrentTransfers())));
         }
         JSONArray faults = new JSONArray();
-        for (Fault f : s.faults()) {
-            faults.put(new JSONArray(
-                    List.of(f.kind().label(), f.nodeId(), f.atMs(), f.listDelayMs(), f.durationMs(), f.magnitude())));
+        for (Fault fault : scenario.faults()) {
+            faults.put(new JSONArray(List.of(
+                    fault.kind().label(),
+                    fault.nodeId(),
+                    fault.atMs(),
+                    fault.listDelayMs(),
+                    fault.durationMs(),
+                    fault.magnitude())));
         }
-        JSONArray asks = new JSONArray();
-        for (ClientRequest a : s.requests()) {
-            asks.put(new JSONArray(List.of(
-                    a.index(),
-                    a.arrivalMs(),
-                    a.doormanIndex(),
-                    a.classIndex(),
-                    a.objectId(),
-                    a.objectSet(),
-                    a.partIndex(),
-                    a.groupId(),
-                    a.sizeKb(),
-                    a.timeoutMs(),
-                    a.leavesAfterMs())));
+        JSONArray requests = new JSONArray();
+        for (ClientRequest request : scenario.requests()) {
+            requests.put(new JSONArray(List.of(
+                    request.index(),
+                    request.arrivalMs(),
+                    request.doormanIndex(),
+                    request.classIndex(),
+                    request.objectId(),
+                    request.objectSet(),
+                    request.partIndex(),
+                    request.groupId(),
+                    request.sizeKb(),
+                    request.timeoutMs(),
+                    request.leavesAfterMs())));
         }
-        json.put("mean_work", new JSONArray(s.meanWorkMs()))
+        json.put("mean_work", new JSONArray(scenario.meanWorkMs()))
                 .put("boxes", boxes)
                 .put("events", faults)
-                .put("requests", asks)
-                .put("seed", s.seed())
-                .put("retries", s.maxRetries())
-                .put("marked", s.marksRetries());
+                .put("requests", requests)
+                .put("seed", scenario.seed())
+                .put("retries", scenario.maxRetries())
+                .put("marked", scenario.marksRetries());
         return json.toString(1);
     }
 
-    /** Reads what {@link #write} wrote; {@code file} is named in messages. */
-    public static Trace read(String file, String text) throws Hcl.Invalid {
+    /** Parses the output of {@link #write}; {@code file} is the name for error messages. */
+    public static Trace read(String file, String text) throws Hcl.InvalidHclException {
         try {
             JSONObject json = new JSONObject(text);
             if (json.optInt("barleyspur_trace") != VERSION) {
-                throw new Hcl.Invalid(
-                        file,
-                        1,
-                        "key barleyspur_trace is not " + VERSION + ": this is no trace, or one of another version");
+                throw new Hcl.InvalidHclException(
+                        file, 1, "key barleyspur_trace is not " + VERSION + ": not a trace, or one of another version");
             }
             JSONObject fleet = json.getJSONObject("fleet");
-            Map<String, String> told = new HashMap<>();
-            fleet.getJSONObject("settings").toMap().forEach((k, v) -> told.put(k, String.valueOf(v)));
+            Map<String, String> flatSettings = new HashMap<>();
+            fleet.getJSONObject("settings").toMap().forEach((k, v) -> flatSettings.put(k, String.valueOf(v)));
             List<Box> boxes = new ArrayList<>();
-            for (Object o : json.getJSONArray("boxes")) {
-                JSONArray b = (JSONArray) o;
-                boxes.add(new Box(b.getString(0), b.getLong(1), b.getInt(2), b.getInt(3), b.getInt(4), b.getDouble(5)));
+            for (Object item : json.getJSONArray("boxes")) {
+                JSONArray boxFields = (JSONArray) item;
+                boxes.add(new Box(
+                        boxFields.getString(0),
+                        boxFields.getLong(1),
+                        boxFields.getInt(2),
+                        boxFields.getInt(3),
+                        boxFields.getInt(4),
+                        boxFields.getDouble(5)));
             }
-            Deployment site = Deployment.of(
+            Deployment deployment = Deployment.of(
                     fleet.getString("name"),
-                    told,
-                    SettingsReader.read(told),
+                    flatSettings,
+                    SettingsReader.read(flatSettings),
                     integers(fleet.getJSONArray("doormans")),
-                    texts(fleet.getJSONArray("zones")),
-                    texts(fleet.getJSONArray("kinds")),
-                    texts(fleet.getJSONArray("classes")),
+                    strings(fleet.getJSONArray("zones")),
+                    strings(fleet.getJSONArray("kinds")),
+                    strings(fleet.getJSONArray("classes")),
                     boxes);
             List<Fault> faults = new ArrayList<>();
-            for (Object o : json.getJSONArray("events")) {
-                JSONArray f = (JSONArray) o;
+            for (Object item : json.getJSONArray("events")) {
+                JSONArray faultFields = (JSONArray) item;
                 faults.add(new Fault(
-                        kind(f.getString(0)),
-                        f.getLong(1),
-                        f.getDouble(2),
-                        f.getDouble(3),
-                        f.getDouble(4),
-                        f.getDouble(5)));
+                        faultKind(faultFields.getString(0)),
+                        faultFields.getLong(1),
+                        faultFields.getDouble(2),
+                        faultFields.getDouble(3),
+                        faultFields.getDouble(4),
+                        faultFields.getDouble(5)));
             }
-            List<ClientRequest> asks = new ArrayList<>();
-            for (Object o : json.getJSONArray("requests")) {
-                JSONArray a = (JSONArray) o;
-                asks.add(new ClientRequest(
-                        a.getInt(0),
-                        a.getDouble(1),
-                        a.getInt(2),
-                        a.getInt(3),
-                        a.getLong(4),
-                        a.getString(5),
-                        a.getInt(6),
-                        a.getInt(7),
-                        a.getDouble(8),
-                        a.getDouble(9),
-                        a.getDouble(10)));
+            List<ClientRequest> requests = new ArrayList<>();
+            for (Object item : json.getJSONArray("requests")) {
+                JSONArray requestFields = (JSONArray) item;
+                requests.add(new ClientRequest(
+                        requestFields.getInt(0),
+                        requestFields.getDouble(1),
+                        requestFields.getInt(2),
+                        requestFields.getInt(3),
+                        requestFields.getLong(4),
+                        requestFields.getString(5),
+                        requestFields.getInt(6),
+                        requestFields.getInt(7),
+                        requestFields.getDouble(8),
+                        requestFields.getDouble(9),
+                        requestFields.getDouble(10)));
             }
             Scenario scenario = new Scenario(
-                    site,
+                    deployment,
                     json.getLong("seed"),
                     json.getInt("retries"),
                     json.getBoolean("marked"),
@@ -141,42 +155,43 @@
                             .map(w -> ((Number) w).doubleValue())
                             .toList(),
                     faults,
-                    asks);
-            return new Trace(scenario, expectation(file, json, site));
+                    requests);
+            return new Trace(scenario, readExpectation(file, json, deployment));
         } catch (JSONException | IllegalArgumentException | ClassCastException e) {
-            throw new Hcl.Invalid(file, 1, "is no trace: " + e.getMessage());
+            throw new Hcl.InvalidHclException(file, 1, "is not a valid trace: " + e.getMessage());
         }
     }
 
-    private static Expectation expectation(String file, JSONObject json, Deployment site) throws Hcl.Invalid {
+    private static Expectation readExpectation(String file, JSONObject json, Deployment deployment)
+            throws Hcl.InvalidHclException {
         JSONObject texts = json.getJSONObject("texts");
-        ExpectationFiles.Read read = ExpectationFiles.read(
-                texts(json.getJSONArray("files")),
+        ExpectationFiles.Definitions definitions = ExpectationFiles.read(
+                strings(json.getJSONArray("files")),
                 (from, name) -> {
                     if (!texts.has(name)) {
-                        throw new Hcl.Invalid(file, 1, "key texts has no " + name);
+                        throw new Hcl.InvalidHclException(file, 1, "key texts does not contain " + name);
                     }
                     return texts.getString(name);
                 },
-                site);
+                deployment);
         String name = json.getString("expectation");
-        return read.expectations().stream()
+        return definitions.expectations().stream()
                 .filter(e -> e.name().equals(name))
                 .findFirst()
-                .orElseThrow(
-                        () -> new Hcl.Invalid(file, 1, "key expectation names " + name + ", which its files lack"));
+                .orElseThrow(() -> new Hcl.InvalidHclException(
+                        file, 1, "key expectation names " + name + ", which no file defines"));
     }
 
-    private static Fault.Kind kind(String word) {
+    private static Fault.Kind faultKind(String keyword) {
         for (Fault.Kind kind : Fault.Kind.values()) {
-            if (kind.label().equals(word)) {
+            if (kind.label().equals(keyword)) {
                 return kind;
             }
         }
-        throw new IllegalArgumentException("no event is called " + word);
+        throw new IllegalArgumentException("unknown event: " + keyword);
     }
 
-    private static List<String> texts(JSONArray array) {
+    private static List<String> strings(JSONArray array) {
         return array.toList().stream().map(String::valueOf).toList();
     }
 
--- a/doorman/src/test/java/barleyspur/expect/ExpectationFixtures.java
+++ b/doorman/src/test/java/barleyspur/expect/ExpectationFixtures.java
@@ -17,19 +17,19 @@
     /** The deployment of the example configuration. */
     static Deployment stationDeployment() {
         try {
-            return ExpectationCheck.site(STATION_CONFIG);
-        } catch (Configuration.Invalid e) {
+            return ExpectationCheck.readDeployment(STATION_CONFIG);
+        } catch (Configuration.InvalidConfigurationException e) {
             throw new AssertionError(e);
         }
     }
 
     /** Reads a text as the expectation file {@code test.hcl}. */
-    static ExpectationFiles.Read read(Deployment deployment, String text) throws Hcl.Invalid {
+    static ExpectationFiles.Definitions read(Deployment deployment, String text) throws Hcl.InvalidHclException {
         return ExpectationFiles.read(
                 List.of("test.hcl"),
                 (from, name) -> {
                     if (!name.equals("test.hcl")) {
-                        throw new Hcl.Invalid("test.hcl", 1, "file " + name + " can't be read");
+                        throw new Hcl.InvalidHclException("test.hcl", 1, "file " + name + " can't be read");
                     }
                     return text;
                 },
@@ -40,22 +40,23 @@
     static Checker.Result check(String text, ScenarioSimulation.PolicyFactory policyFactory, int scenarios) {
         try {
             Deployment deployment = stationDeployment();
-            ExpectationFiles.Read read = read(deployment, text);
-            List<Deployment> deployments = read.fleets().isEmpty() ? List.of(deployment) : read.fleets();
-            List<Workload> workloads =
-                    read.loads().isEmpty() ? List.of(Workload.defaultFor(deployment.sharedSettings())) : read.loads();
+            ExpectationFiles.Definitions read = read(deployment, text);
+            List<Deployment> deployments = read.deployments().isEmpty() ? List.of(deployment) : read.deployments();
+            List<Workload> workloads = read.workloads().isEmpty()
+                    ? List.of(Workload.defaultFor(deployment.sharedSettings()))
+                    : read.workloads();
             int[] remaining = {scenarios};
             return new Checker(
                             new Checker.Suite(
                                     read.expectations(),
                                     deployments,
                                     workloads,
-                                    read.cases(),
-                                    Math.max(1, read.depth())),
+                                    read.faultScripts(),
+                                    Math.max(1, read.maxSequenceLength())),
                             policyFactory,
                             Checker.Progress.NONE)
                     .run(1, () -> remaining[0]-- > 0);
-        } catch (Hcl.Invalid e) {
+        } catch (Hcl.InvalidHclException e) {
             throw new AssertionError(e);
         }
     }
--- a/doorman/src/test/java/barleyspur/expect/ScenarioGeneratorTest.java
+++ b/doorman/src/test/java/barleyspur/expect/ScenarioGeneratorTest.java
@@ -16,7 +16,7 @@
 /** Checks that the exhaustive enumeration generates each sequence, or one that differs only in equal boxes. */
 class ScenarioGeneratorTest {
 
-    private static Deployment pairDeployment() throws Hcl.Invalid {
+    private static Deployment pairDeployment() throws Hcl.InvalidHclException {
         return ExpectationFixtures.read(
                         ExpectationFixtures.stationDeployment(),
                         """
@@ -27,7 +27,7 @@
               doormans        = 1
             }
             """)
-                .fleets()
+                .deployments()
                 .get(0);
     }
 
@@ -59,7 +59,7 @@
 
     /** Symmetry reduction omits no sequence and generates none twice. */
     @Test
-    void allSequencesOfTwoAreGeneratedOnce() throws Hcl.Invalid {
+    void allSequencesOfTwoAreGeneratedOnce() throws Hcl.InvalidHclException {
         Deployment deployment = pairDeployment();
         ScenarioGenerator generator = new ScenarioGenerator(deployment, List.of(tinyWorkload()), List.of(), 1, 2, true);
         Set<String> generated = new HashSet<>();
--- a/lab/src/main/java/barleyspur/lab/Lab.java
+++ b/lab/src/main/java/barleyspur/lab/Lab.java
@@ -248,7 +248,7 @@
                             : FleetRunCommand.runProcesses(scenario, doormanJar(commandLine), folder))
                     ? OK
                     : FAILED;
-        } catch (Hcl.Invalid e) {
+        } catch (Hcl.InvalidHclException e) {
             System.err.println("barleyspur-lab: " + e.getMessage());
             return USAGE;
         }
@@ -280,7 +280,7 @@
                             : BudgetCommands.runProcesses(scenario, doormanJar(commandLine), folder))
                     ? OK
                     : FAILED;
-        } catch (Hcl.Invalid e) {
+        } catch (Hcl.InvalidHclException e) {
             System.err.println("barleyspur-lab: " + e.getMessage());
             return USAGE;
         }
--- a/lab/src/main/java/barleyspur/lab/fleet/BudgetCommands.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/BudgetCommands.java
@@ -31,9 +31,10 @@
      * Runs a scenario with budgets on real processes and writes a report.
      *
      * @return whether all invariants held
-     * @throws Hcl.Invalid where the scenario can't be used
+     * @throws Hcl.InvalidHclException where the scenario can't be used
      */
-    public static boolean runProcesses(Path scenario, Path jar, Path folder) throws Hcl.Invalid, IOException {
+    public static boolean runProcesses(Path scenario, Path jar, Path folder)
+            throws Hcl.InvalidHclException, IOException {
         FaultSchedule schedule = loadWithBudgets(scenario);
         System.out.printf("%s: %d doormans, logs below %s%n", schedule.name(), schedule.initialDoormans(), folder);
         try {
@@ -73,10 +74,10 @@
         }
     }
 
-    private static FaultSchedule loadWithBudgets(Path scenario) throws Hcl.Invalid {
+    private static FaultSchedule loadWithBudgets(Path scenario) throws Hcl.InvalidHclException {
         FaultSchedule schedule = ScenarioFile.load(scenario);
         if (schedule.workload() == null) {
-            throw new Hcl.Invalid(
+            throw new Hcl.InvalidHclException(
                     scenario.toString(), 1, "has no block load { ... } and no budgets: use the command fleet run");
         }
         return schedule;
@@ -167,7 +168,8 @@
      *
      * @return whether all invariants held
      */
-    public static boolean runSimulations(Path scenario, int seeds, Path folder) throws Hcl.Invalid, IOException {
+    public static boolean runSimulations(Path scenario, int seeds, Path folder)
+            throws Hcl.InvalidHclException, IOException {
         FaultSchedule schedule = loadWithBudgets(scenario);
         long startNanos = System.nanoTime();
         double usableSum = 0;
--- a/lab/src/main/java/barleyspur/lab/fleet/FleetRunCommand.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/FleetRunCommand.java
@@ -20,9 +20,10 @@
      * Runs a scenario on real processes and writes a report.
      *
      * @return whether all invariants held
-     * @throws Hcl.Invalid where the scenario can't be used
+     * @throws Hcl.InvalidHclException where the scenario can't be used
      */
-    public static boolean runProcesses(Path scenario, Path jar, Path folder) throws Hcl.Invalid, IOException {
+    public static boolean runProcesses(Path scenario, Path jar, Path folder)
+            throws Hcl.InvalidHclException, IOException {
         FaultSchedule schedule = ScenarioFile.load(scenario);
         MembershipMonitor monitor = new MembershipMonitor(true);
         System.out.printf("%s: %d doormans, logs below %s%n", schedule.name(), schedule.initialDoormans(), folder);
@@ -56,7 +57,8 @@
      *
      * @return whether all invariants held
      */
-    public static boolean runSimulations(Path scenario, int seeds, Path folder) throws Hcl.Invalid, IOException {
+    public static boolean runSimulations(Path scenario, int seeds, Path folder)
+            throws Hcl.InvalidHclException, IOException {
         FaultSchedule schedule = ScenarioFile.load(scenario);
         List<Double> settleTimesMs = new ArrayList<>();
         long startNanos = System.nanoTime();
--- a/lab/src/main/java/barleyspur/lab/fleet/ScenarioFile.java
+++ b/lab/src/main/java/barleyspur/lab/fleet/ScenarioFile.java
@@ -36,14 +36,14 @@
     /**
      * Reads a schedule from a file.
      *
-     * @throws Hcl.Invalid where the file can't be read or its text is invalid
+     * @throws Hcl.InvalidHclException where the file can't be read or its text is invalid
      */
-    static FaultSchedule load(Path file) throws Hcl.Invalid {
+    static FaultSchedule load(Path file) throws Hcl.InvalidHclException {
         String text;
         try {
             text = Files.readString(file);
         } catch (IOException e) {
-            throw new Hcl.Invalid(file.toString(), 1, "can't be read: " + e.getMessage());
+            throw new Hcl.InvalidHclException(file.toString(), 1, "can't be read: " + e.getMessage());
         }
         return read(file.toString(), text);
     }
@@ -53,11 +53,11 @@
      *
      * @param file name of the file for messages
      */
-    static FaultSchedule read(String file, String text) throws Hcl.Invalid {
+    static FaultSchedule read(String file, String text) throws Hcl.InvalidHclException {
         Hcl.Block root = Hcl.read(file, text);
-        root.close(List.of("scenario"));
+        root.rejectUnknown(List.of("scenario"));
         if (root.blocks().size() != 1) {
-            throw new Hcl.Invalid(
+            throw new Hcl.InvalidHclException(
                     file,
                     1,
                     "must contain one block scenario \"NAME\" { ... }, not "
@@ -74,7 +74,7 @@
         Hcl.Value seeds = scenario.value("seeds");
         List<Integer> seedSlots =
                 seeds == null ? List.of(0, Math.min(1, slotCount - 1)) : List.copyOf(reader.slots(seeds));
-        scenario.close(List.of("step", "random", "load", "budget"));
+        scenario.rejectUnknown(List.of("step", "random", "load", "budget"));
         FaultSchedule.Workload workload = parseWorkload(scenario, slotCount);
         List<FaultSchedule.Step> steps = new ArrayList<>();
         for (Hcl.Block step : scenario.blocks()) {
@@ -84,7 +84,7 @@
                     throw step.invalid("can't be combined with other steps");
                 }
                 int faults = (int) step.number("faults", 10, 1, 1_000);
-                step.close(List.of());
+                step.rejectUnknown(List.of());
                 return FaultSchedule.random(doormans, faults, periodMs, settleTimeoutMs, randomSeed)
                         .with(workload);
             } else if (step.type().equals("step")) {
@@ -104,7 +104,8 @@
                 workload);
     }
 
-    private static FaultSchedule.Workload parseWorkload(Hcl.Block scenario, int slotCount) throws Hcl.Invalid {
+    private static FaultSchedule.Workload parseWorkload(Hcl.Block scenario, int slotCount)
+            throws Hcl.InvalidHclException {
         if (scenario.blocks("load").size() != 1) {
             if (scenario.blocks("load").isEmpty() && scenario.blocks("budget").isEmpty()) {
                 return null;
@@ -121,11 +122,11 @@
         Map<String, BudgetConfig.Budget> budgets = new TreeMap<>();
         Map<String, String> modelByBudget = new TreeMap<>();
         for (Hcl.Block block : scenario.blocks("budget")) {
-            BudgetConfig.Budget budget = BudgetSettings.budget(block, maxDoormans, maxHoldMs + sendSlackMs);
+            BudgetConfig.Budget budget = BudgetSettings.readBudget(block, maxDoormans, maxHoldMs + sendSlackMs);
             Hcl.Value model = block.value("at");
-            modelByBudget.put(budget.name(), model == null ? "cache" : model.text());
+            modelByBudget.put(budget.name(), model == null ? "cache" : model.asString());
             budgets.put(budget.name(), budget);
-            block.close(List.of());
+            block.rejectUnknown(List.of());
         }
         FaultSchedule.Workload workload = new FaultSchedule.Workload(
                 new BudgetConfig(List.of(), maxDoormans, leaderLeaseMs, maxHoldMs, sendSlackMs, budgets),
@@ -136,23 +137,23 @@
                 parseDuration(load, "jump", 0, 0, MAX_DURATION_MS),
                 parseDuration(load, "hit", 20, 1, 5_000),
                 parseDuration(load, "cold", 0, 0, MAX_DURATION_MS));
-        load.close(List.of());
+        load.rejectUnknown(List.of());
         return workload;
     }
 
-    private FaultSchedule.Step parseStep(Hcl.Block block) throws Hcl.Invalid {
+    private FaultSchedule.Step parseStep(Hcl.Block block) throws Hcl.InvalidHclException {
         Matcher matcher = STEP_TIME.matcher(block.label());
         if (!matcher.matches() || block.label().isBlank()) {
             throw block.invalid("has an invalid time \"" + block.label()
                     + "\"; examples are \"2s\", \"settled\", \"settled + 500ms\"");
         }
-        double delayMs = matcher.group(2) == null ? 0 : Hcl.millis(matcher.group(2));
+        double delayMs = matcher.group(2) == null ? 0 : Hcl.parseMillis(matcher.group(2));
         Fault fault = parseFault(block);
-        block.close(FAULT_BLOCKS);
+        block.rejectUnknown(FAULT_BLOCKS);
         return new FaultSchedule.Step(matcher.group(1) != null, delayMs, fault);
     }
 
-    private Fault parseFault(Hcl.Block step) throws Hcl.Invalid {
+    private Fault parseFault(Hcl.Block step) throws Hcl.InvalidHclException {
         List<Fault> found = new ArrayList<>();
         addIfPresent(found, step.value("kill"), Fault.Kill::new);
         addIfPresent(found, step.value("freeze"), Fault.Freeze::new);
@@ -162,7 +163,7 @@
         addIfPresent(found, step.value("resume"), targets -> new Fault.Quiesce(targets, false));
         Hcl.Value name = step.value("as");
         Hcl.Value clock = step.value("clock");
-        double offset = clock == null ? 0 : Hcl.millis(clock.text());
+        double offset = clock == null ? 0 : Hcl.parseMillis(clock.asString());
         if (Double.isNaN(offset)) {
             throw clock.invalid("is not a time: " + clock.value());
         }
@@ -173,10 +174,10 @@
                 targets -> new Fault.Start(targets, name == null ? "" : String.valueOf(name.value()), offset, format));
         Hcl.Value budget = step.value("of");
         if (budget != null) {
-            found.add(new Fault.Whole(budget.text(), (long) step.number("whole", 0, 1, 1e9)));
+            found.add(new Fault.Whole(budget.asString(), (long) step.number("whole", 0, 1, 1e9)));
         }
         Hcl.Value heal = step.value("heal");
-        if (heal != null && heal.flag()) {
+        if (heal != null && heal.asBoolean()) {
             found.add(new Fault.Heal());
         }
         for (Hcl.Block block : step.blocks()) {
@@ -199,7 +200,7 @@
                 case "starve" -> found.add(new Fault.Starve(slots(block, "who"), block.number("share", 0.1, 0.01, 1)));
                 default -> {}
             }
-            block.close(List.of());
+            block.rejectUnknown(List.of());
         }
         if (found.size() != 1) {
             throw step.invalid("must have one fault, not " + found.size());
@@ -212,34 +213,34 @@
         Fault create(Set<Integer> slots);
     }
 
-    private void addIfPresent(List<Fault> found, Hcl.Value value, FaultFactory factory) throws Hcl.Invalid {
+    private void addIfPresent(List<Fault> found, Hcl.Value value, FaultFactory factory) throws Hcl.InvalidHclException {
         if (value != null) {
             found.add(factory.create(slots(value)));
         }
     }
 
-    private Fault parseSplit(Hcl.Block block) throws Hcl.Invalid {
+    private Fault parseSplit(Hcl.Block block) throws Hcl.InvalidHclException {
         Hcl.Value groups = block.value("groups");
         if (groups == null) {
             throw block.invalid("has no key groups, as in [\"d1..d3\", \"d4..d7\"]");
         }
         List<Set<Integer>> partitions = new ArrayList<>();
-        for (String group : groups.texts()) {
+        for (String group : groups.asStrings()) {
             partitions.add(slots(groups, List.of(group.split(" +"))));
         }
         return new Fault.Split(List.copyOf(partitions));
     }
 
-    private Set<Integer> slots(Hcl.Block block, String key) throws Hcl.Invalid {
+    private Set<Integer> slots(Hcl.Block block, String key) throws Hcl.InvalidHclException {
         Hcl.Value value = block.value(key);
         return value == null ? FaultSchedule.slotRange(0, slotCount) : slots(value);
     }
 
-    private Set<Integer> slots(Hcl.Value value) throws Hcl.Invalid {
-        return slots(value, value.texts());
+    private Set<Integer> slots(Hcl.Value value) throws Hcl.InvalidHclException {
+        return slots(value, value.asStrings());
     }
 
-    private Set<Integer> slots(Hcl.Value value, List<String> names) throws Hcl.Invalid {
+    private Set<Integer> slots(Hcl.Value value, List<String> names) throws Hcl.InvalidHclException {
         Set<Integer> set = new TreeSet<>();
         for (String name : names) {
             Matcher matcher = SLOT_RANGE.matcher(name);
@@ -260,9 +261,9 @@
     }
 
     private static double parseDuration(Hcl.Block block, String key, double defaultMs, double minMs, double maxMs)
-            throws Hcl.Invalid {
+            throws Hcl.InvalidHclException {
         Hcl.Value value = block.value(key);
-        double ms = value == null ? defaultMs : Hcl.millis(value.text());
+        double ms = value == null ? defaultMs : Hcl.parseMillis(value.asString());
         if (!(ms >= minMs && ms <= maxMs)) {
             throw value.invalid("is no time from " + minMs + " to " + maxMs + " ms: " + value.value());
         }
