--- a/decision/src/main/java/barleyspur/decision/RoutingPolicy.java
+++ b/decision/src/main/java/barleyspur/decision/RoutingPolicy.java
@@ -55,7 +55,7 @@
     }
 
     /**
-     * One class of requests.
+     * One class of requests. The names of its components are part of {@link Settings#toString} and must not change.
      *
      * @param keyWindowMs how long a group of nodes drops repeats of a keyed request
      * @param aimMs the latency target of an answer, without the time that sending it takes
@@ -104,6 +104,13 @@
         public double capacityShareAt(double ageMs) {
             return fromShare + (1 - fromShare) * (Math.max(0, ageMs) / warmAfterMs);
         }
+
+        /** Returns a text for {@link Settings#toString}, whose names must not change. */
+        @Override
+        public String toString() {
+            return "ColdRule[fromShare=" + fromShare + ", warmAfterMs=" + warmAfterMs + ", fallMultiple="
+                    + overloadMultiple + "]";
+        }
     }
 
     /**
@@ -191,6 +198,46 @@
                     mayMessagePeers,
                     maxRetryAfterMs);
         }
+
+        /**
+         * Returns a text of all settings. Doormans publish a hash of it as the digest of their settings, and operators
+         * compare the digests of doormans of different versions, so the names in it must not change.
+         */
+        @Override
+        public String toString() {
+            return "Settings[classes=" + classes
+                    + ", me=" + doormanIndex
+                    + ", directors=" + doormanCount
+                    + ", zone=" + zone
+                    + ", zoneDirectors=" + doormansPerZone
+                    + ", parentKind=" + parentKind
+                    + ", originKind=" + originKind
+                    + ", sizesCount=" + weighBySize
+                    + ", mustAsk=" + mustSubscribe
+                    + ", mustAskMs=" + mustSubscribeWithinMs
+                    + ", tickMs=" + tickMs
+                    + ", answerSlackMs=" + answerSlackMs
+                    + ", drainGraceMs=" + drainGraceMs
+                    + ", coldCache=" + coldCache
+                    + ", coldParent=" + coldParent
+                    + ", fallSpanMs=" + overloadSpanMs
+                    + ", purgeGraceMs=" + purgeGraceMs
+                    + ", purgeDoneMs=" + purgeCompleteMs
+                    + ", direct=" + mayBypassCaches
+                    + ", joins=" + joinFills
+                    + ", siblings=" + siblings
+                    + ", notes=" + notes
+                    + ", paceKbPerMs=" + paceKbPerMs
+                    + ", reports=" + reports
+                    + ", reportFields=" + reportFields
+                    + ", maxAttempts=" + maxAttempts
+                    + ", mayDuplicate=" + mayDuplicate
+                    + ", mayCancel=" + mayCancel
+                    + ", mayProbe=" + mayProbe
+                    + ", mayTell=" + mayMessagePeers
+                    + ", maxRetryAfterMs=" + maxRetryAfterMs
+                    + "]";
+        }
     }
 
     // ---- events ---------------------------------------------------------------------------------------
