--- a/doorman/src/main/java/barleyspur/admin/AdminConnection.java
+++ b/doorman/src/main/java/barleyspur/admin/AdminConnection.java
@@ -45,8 +45,7 @@
         lingeringClose = new LingeringClose(channel, clock);
         requestTimeout = clock.schedule(
                 REQUEST_TIMEOUT_MS,
-                () -> respond(
-                        HttpResponse.error(408, "no complete request within " + (long) REQUEST_TIMEOUT_MS + " ms")));
+                () -> respond(HttpResponse.error(408, "no whole call within " + (long) REQUEST_TIMEOUT_MS + " ms")));
         ctx.fireChannelActive();
     }
 
@@ -57,7 +56,7 @@
             response = routes.handle(request);
         } catch (RuntimeException e) {
             LogEvent.log(LOG.atError().setCause(e), "call failed", "method", request.method(), "path", request.path());
-            response = HttpResponse.error(500, "the request failed: " + e);
+            response = HttpResponse.error(500, "the call failed: " + e);
         } finally {
             request.body().release();
         }
--- a/doorman/src/main/java/barleyspur/admin/Routes.java
+++ b/doorman/src/main/java/barleyspur/admin/Routes.java
@@ -66,9 +66,9 @@
             }
         }
         if (allowed.isEmpty()) {
-            return HttpResponse.error(404, "no such path: " + path);
+            return HttpResponse.error(404, "no call " + path);
         }
-        return HttpResponse.error(405, path + " allows only " + String.join(", ", allowed))
+        return HttpResponse.error(405, path + " is called by " + String.join(", ", allowed))
                 .withHeader("Allow", String.join(", ", allowed));
     }
 }
--- a/doorman/src/main/java/barleyspur/admin/http/HttpRequestDecoder.java
+++ b/doorman/src/main/java/barleyspur/admin/http/HttpRequestDecoder.java
@@ -70,12 +70,12 @@
         int end = endOfHead(in, start);
         if (end < 0) {
             if (in.readableBytes() > maxHeadBytes) {
-                throw invalid(in, HEADER_FIELDS_TOO_LARGE, "the head is longer than " + maxHeadBytes + " bytes");
+                throw invalid(in, HEADER_FIELDS_TOO_LARGE, "a head of over " + maxHeadBytes + " bytes");
             }
             return false;
         }
         if (end - start > maxHeadBytes) {
-            throw invalid(in, HEADER_FIELDS_TOO_LARGE, "the head is longer than " + maxHeadBytes + " bytes");
+            throw invalid(in, HEADER_FIELDS_TOO_LARGE, "a head of over " + maxHeadBytes + " bytes");
         }
         String text = in.toString(start, end - start, StandardCharsets.ISO_8859_1);
         in.readerIndex(end);
@@ -86,7 +86,7 @@
             first++;
         }
         if (first == lines.length) {
-            throw invalid(in, BAD_REQUEST, "the request line is missing");
+            throw invalid(in, BAD_REQUEST, "no request line");
         }
         parseRequestLine(in, lines[first]);
         headers = new LinkedHashMap<>();
@@ -131,19 +131,18 @@
     private void parseRequestLine(ByteBuf in, String line) {
         String[] parts = line.split(" ", -1);
         if (parts.length != 3 || !isToken(parts[0]) || parts[1].isEmpty()) {
-            throw invalid(
-                    in, BAD_REQUEST, "the request line is not method, target and version separated by single spaces");
+            throw invalid(in, BAD_REQUEST, "no request line: method, target and version apart by one space");
         }
         if (!parts[2].matches("HTTP/[0-9]\\.[0-9]")) {
-            throw invalid(in, BAD_REQUEST, "the request line has no valid HTTP version");
+            throw invalid(in, BAD_REQUEST, "no HTTP version");
         }
         if (!parts[2].startsWith("HTTP/1.")) {
-            throw invalid(in, VERSION_NOT_SUPPORTED, "version " + parts[2] + " is not supported");
+            throw invalid(in, VERSION_NOT_SUPPORTED, "version " + parts[2] + " is not spoken");
         }
         for (int i = 0; i < parts[1].length(); i++) {
             char c = parts[1].charAt(i);
             if (c <= ' ' || c >= 0x7f) {
-                throw invalid(in, BAD_REQUEST, "the target contains a character that is not visible ASCII");
+                throw invalid(in, BAD_REQUEST, "the target holds a byte that is not visible ASCII");
             }
         }
         if (parts[1].charAt(0) != '/') {
@@ -156,11 +155,11 @@
     /** Parses a header field (RFC 9112 section 5). */
     private void parseField(ByteBuf in, String line) {
         if (line.charAt(0) == ' ' || line.charAt(0) == '\t') {
-            throw invalid(in, BAD_REQUEST, "folded header lines are not supported");
+            throw invalid(in, BAD_REQUEST, "a folded header line");
         }
         int colon = line.indexOf(':');
         if (colon <= 0 || !isToken(line.substring(0, colon))) {
-            throw invalid(in, BAD_REQUEST, "a header line does not start with a name and a colon");
+            throw invalid(in, BAD_REQUEST, "a header line without a name and a colon");
         }
         String name = line.substring(0, colon).toLowerCase(Locale.ROOT);
         String value = line.substring(colon + 1).strip();
@@ -169,7 +168,7 @@
 
     private int parseBodyLength(ByteBuf in) {
         if (headers.containsKey("transfer-encoding")) {
-            throw invalid(in, NOT_IMPLEMENTED, "transfer codings are not supported; send Content-Length");
+            throw invalid(in, NOT_IMPLEMENTED, "no transfer coding is spoken; send Content-Length");
         }
         String length = headers.get("content-length");
         if (length == null) {
@@ -179,12 +178,12 @@
         String[] values = length.split("\\s*,\\s*");
         for (String value : values) {
             if (!value.equals(values[0]) || !value.matches("[0-9]{1,10}")) {
-                throw invalid(in, BAD_REQUEST, "Content-Length is not a single valid number");
+                throw invalid(in, BAD_REQUEST, "Content-Length is not one number");
             }
         }
         long bytes = Long.parseLong(values[0]);
         if (bytes > maxBodyBytes) {
-            throw invalid(in, CONTENT_TOO_LARGE, "the body is longer than " + maxBodyBytes + " bytes");
+            throw invalid(in, CONTENT_TOO_LARGE, "a body of over " + maxBodyBytes + " bytes");
         }
         return (int) bytes;
     }
--- a/doorman/src/main/java/barleyspur/budget/LeaseCoordinator.java
+++ b/doorman/src/main/java/barleyspur/budget/LeaseCoordinator.java
@@ -390,9 +390,10 @@
                         holder.hasLeft));
             }
             long leasable = leasableAmount(pool);
+            // These texts are part of the administration API.
             String reason = context.nowMs < recoveryEndMs(pool.budget)
-                    ? "waiting until leases of earlier coordinators have expired"
-                    : totalCommitted > leasable ? "the capacity was reduced: leases above it have not expired yet" : "";
+                    ? "waits for what dividers before gave out"
+                    : totalCommitted > leasable ? "the whole was lowered: more than it is still out" : "";
             allocations.add(new BudgetSnapshot.Allocation(
                     entry.getKey(),
                     pool.budget.kind(),
