--- a/decision/src/test/java/barleyspur/decision/ConcurrencyLimitTest.java
+++ b/decision/src/test/java/barleyspur/decision/ConcurrencyLimitTest.java
@@ -172,15 +172,15 @@
 
     @Test
     void anAttemptInFlightAtItsLatencyTargetIsLate() {
-        List<WakeAt> aims = new ArrayList<>();
+        List<WakeAt> targetAlarms = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
             List<Action> sent = harness.request(0, 10_000 + i, 4_000);
-            aims.addAll(PolicyHarness.actionsOf(sent, WakeAt.class)
+            targetAlarms.addAll(PolicyHarness.actionsOf(sent, WakeAt.class)
                     .subList(1, PolicyHarness.actionsOf(sent, WakeAt.class).size()));
         }
-        for (WakeAt aim : aims) {
-            harness.nowMs = Math.max(harness.nowMs + 200, aim.atMs());
-            harness.handle(new Alarm(aim.token()));
+        for (WakeAt alarm : targetAlarms) {
+            harness.nowMs = Math.max(harness.nowMs + 200, alarm.atMs());
+            harness.handle(new Alarm(alarm.token()));
         }
         assertTrue(countFillsNotAdmitted(5) >= 4);
     }
--- a/decision/src/test/java/barleyspur/decision/RetuneTest.java
+++ b/decision/src/test/java/barleyspur/decision/RetuneTest.java
@@ -33,7 +33,7 @@
 
     /** Guards against a lower limit on attempts that is ignored: a failed request must not be retried beyond it. */
     @Test
-    void aLowerCapOnAttemptsBindsNewRequests() {
+    void aLowerLimitOnAttemptsAppliesToNewRequests() {
         Get first = harness.get(42);
         List<RoutingPolicy.Action> again = harness.outcome(first, 0, Result.ERROR, Note.NONE);
         assertEquals(
--- a/decision/src/test/java/barleyspur/decision/RoutingTest.java
+++ b/decision/src/test/java/barleyspur/decision/RoutingTest.java
@@ -18,7 +18,7 @@
     private final PolicyHarness harness = new PolicyHarness(PolicyHarness.settings()).listNodes(4);
 
     @Test
-    void firstRequestTakesAKeepingFillOfMiddleRankFromAParent() {
+    void firstRequestIsFilledFromAParentAtTheDefaultRank() {
         Get get = harness.get(42);
         assertTrue(get.node() >= 1 && get.node() <= 4);
         assertTrue(get.source() == 11 || get.source() == 12);
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void aBelievedHolderIsAskedAgain() {
+    void aBelievedHolderIsUsedAgain() {
         Get first = harness.serve(harness.get(42));
         for (int i = 0; i < 5; i++) {
             Get again = harness.serve(harness.get(42));
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void beliefsLapse() {
+    void believedCopiesExpire() {
         harness.serve(harness.get(42));
         harness.nowMs += 60_000;
         // No copies are believed to exist, so no holder can be busy: all requests join the new fill.
--- a/decision/src/test/java/barleyspur/decision/RulesTest.java
+++ b/decision/src/test/java/barleyspur/decision/RulesTest.java
@@ -32,7 +32,7 @@
     // ---- rule 1: one final answer in time ------------------------------------------------------------
 
     @Test
-    void aRequestStillOutIsRefusedAheadOfItsDeadlineAndItsAttemptCalledOff() {
+    void anUnansweredRequestIsRefusedBeforeItsDeadlineAndItsAttemptCancelled() {
         List<Action> sent = harness.request(0, 42, 3_000);
         WakeAt wake = PolicyHarness.deadline(sent);
         assertTrue(wake.atMs() < harness.nowMs + 3_000);
@@ -106,7 +106,7 @@
     }
 
     @Test
-    void anUnsafeRequestWithItsAttemptOutFailsAtTheDeadline() {
+    void anUnsafeRequestWithAnAttemptInFlightFailsAtTheDeadline() {
         WakeAt wake = PolicyHarness.deadline(harness.request(2, 42, 3_000));
         PolicyHarness.onlyAction(harness.handle(new Alarm(wake.token())), Fail.class);
     }
@@ -185,8 +185,8 @@
     @Test
     void doormansStartOnAColdCacheAtDifferentTimes() {
         List<Double> first = new ArrayList<>();
-        for (int me = 0; me < 8; me++) {
-            harness = new PolicyHarness(PolicyHarness.settings(me, 8)).listNodes(4);
+        for (int doormanIndex = 0; doormanIndex < 8; doormanIndex++) {
+            harness = new PolicyHarness(PolicyHarness.settings(doormanIndex, 8)).listNodes(4);
             servedWith(g -> true, 200, 60);
             harness.changeNodes(PolicyHarness.node(1, PolicyHarness.CACHE, State.READY, harness.nowMs));
             double listedAtMs = harness.nowMs;
@@ -203,7 +203,7 @@
     }
 
     @Test
-    void aCacheThatAnswersAgainAfterARefusedConnectIsTakenAsCold() {
+    void aCacheThatAnswersAgainAfterARefusedConnectIsTreatedAsCold() {
         servedWith(g -> true, 200, 60);
         Get get = harness.get(++lastObject);
         harness.outcome(get, 0, Result.CONNECT_FAILED, Note.NONE);
@@ -255,7 +255,7 @@
     // ---- rule 5: purges ------------------------------------------------------------------------------------
 
     @Test
-    void afterAPurgeNoOlderCopyWillDoUntilAllAreDropped() {
+    void afterAPurgeNoOlderCopyIsAcceptedUntilAllAreDropped() {
         harness.serve(harness.get(42));
         harness.handle(new Purged(5, 42, 300));
         harness.nowMs += 1_000;
--- a/doorman/src/main/java/barleyspur/DoormanServer.java
+++ b/doorman/src/main/java/barleyspur/DoormanServer.java
@@ -102,15 +102,15 @@
     private final CountDownLatch stopped = new CountDownLatch(1);
     private final Doorman doorman;
     private final CommandChannel commandChannel;
-    private final ThriftServer front;
+    private final ThriftServer thriftServer;
     private final CommandReader commandReader;
     private final Clock clock;
     private final Lifecycle lifecycle = new Lifecycle();
     /** The classes that requests may name; replaced by each reload that changes them. */
     private RequestClassRegistry requestClasses;
-    /** The server on the management address; null if the platform configures none. */
+    /** The server on the administration address; null if the platform configures none. */
     private final AdminServer admin;
-    /** Tells the two processes of an upgrade which of them listens; null without a management address. */
+    /** Shows the two processes of an upgrade which of them listens; null without an administration address. */
     private final ListenerPidFile listenerPidFile;
     /** The view of the other doormans; null without a fleet block in the settings. */
     private final Subsystem fleet;
@@ -140,11 +140,11 @@
                 clock,
                 new DepotClient.Limits(limits.streams(), limits.idleMs(), limits.sockets() / SOCKET_SHARES),
                 settings.reportFields());
-        RoutingPolicy director = new LeastRecentlyLostPolicy(settings, configuration.seed());
+        RoutingPolicy policy = new LeastRecentlyLostPolicy(settings, configuration.seed());
         // The configuration's seed is not used here: several doormans, and successive processes of one, may share it
         // but have to be distinguishable.
-        long incarnation = ownSettings.fleet() == null ? 0 : new SecureRandom().nextLong();
-        FleetService fleetPort = ownSettings.fleet() == null
+        long randomSeed = ownSettings.fleet() == null ? 0 : new SecureRandom().nextLong();
+        FleetService fleetService = ownSettings.fleet() == null
                 ? null
                 : new FleetService(
                         eventLoops,
@@ -156,16 +156,16 @@
                         version(),
                         configuration.digest(),
                         System.currentTimeMillis(),
-                        incarnation);
-        fleet = fleetPort;
+                        randomSeed);
+        fleet = fleetService;
         budgets = ownSettings.budgets() == null
                 ? null
                 : new BudgetService(
-                        fleetPort, clock, ownSettings.budgets().terms(), configuration.name(), incarnation + 1);
+                        fleetService, clock, ownSettings.budgets().terms(), configuration.name(), randomSeed + 1);
         doorman = new Doorman(
                 settings,
                 limits.maxOpen(),
-                director,
+                policy,
                 clock,
                 budgets == null
                         ? depots
@@ -185,7 +185,7 @@
                 clock,
                 commandReader);
         requestClasses = RequestClassRegistry.of(configuration.names().classes(), settings.classes());
-        front = new ThriftServer(
+        thriftServer = new ThriftServer(
                 eventLoops,
                 doorman,
                 clock,
@@ -201,7 +201,7 @@
             admin = null;
             listenerPidFile = null;
         } else {
-            // Only a platform that configures a management address runs upgrades with two processes side by side.
+            // Only a platform that configures an administration address runs upgrades with two processes at a time.
             Routes.Builder routes =
                     new LifecycleRoutes(lifecycle, clock, this::onLifecycleChanged).addTo(Routes.builder());
             if (fleet != null) {
@@ -221,7 +221,7 @@
     }
 
     private void onLifecycleChanged() {
-        front.closeIdle();
+        thriftServer.closeIdle();
         if (fleet != null) {
             fleet.onLifecycleChange();
         }
@@ -239,7 +239,7 @@
                     commandChannel.connect();
                 })
                 .sync();
-        awaitBound(front.listen(configuration.listen()), configuration.listen());
+        awaitBound(thriftServer.listen(configuration.listen()), configuration.listen());
         eventLoops
                 .submit(() -> {
                     lifecycle.startServing(clock.nowMs());
@@ -321,7 +321,7 @@
         if (!update.isUnchanged() || attempts != configuration.settings().maxAttempts()) {
             requestClasses = update.registry();
             doorman.applySettings(configuration.settings().retuned(requestClasses.classes(), attempts));
-            front.updateClasses(requestClasses);
+            thriftServer.updateClasses(requestClasses);
             LogEvent.log(
                     LOG.atInfo(),
                     "reload: classes retuned",
@@ -364,8 +364,8 @@
         }
         LogEvent.log(LOG.atInfo(), "leaving", "successor", successor);
         if (wasServing && !lifecycle.shouldListen()) {
-            front.stopListening();
-            front.closeIdle();
+            thriftServer.stopListening();
+            thriftServer.closeIdle();
         }
         if (fleet != null) {
             fleet.onLifecycleChange();
@@ -374,12 +374,13 @@
         if (lifecycle.shouldListen()) {
             clock.schedule(graceMs, () -> {
                 lifecycle.endGrace();
-                front.closeIdle();
+                thriftServer.closeIdle();
             });
         }
         doorman.drain(graceMs, lifecycle.answerDeadlineMs() - clock.nowMs(), () -> {
             lifecycle.endGrace();
-            front.close(Math.max(FINAL_READ_MS, lifecycle.answerDeadlineMs() - clock.nowMs()), this::stopSubsystems);
+            thriftServer.close(
+                    Math.max(FINAL_READ_MS, lifecycle.answerDeadlineMs() - clock.nowMs()), this::stopSubsystems);
         });
     }
 
--- a/doorman/src/main/java/barleyspur/Subsystem.java
+++ b/doorman/src/main/java/barleyspur/Subsystem.java
@@ -8,7 +8,7 @@
  */
 public interface Subsystem {
 
-    /** Adds the component's calls to the routes of the management address. */
+    /** Adds the component's routes to those of the administration address. */
     void addTo(Routes.Builder routes);
 
     /** Starts the component, when the doorman starts serving. */
--- a/doorman/src/main/java/barleyspur/WarmUp.java
+++ b/doorman/src/main/java/barleyspur/WarmUp.java
@@ -37,7 +37,7 @@
     static final int BODY_BYTES = 8_000;
     private static final double STEP_MS = 3;
 
-    /** A scheduled task; {@code run} holds null once the task is cancelled. */
+    /** A scheduled task; {@code action} holds null once the task is cancelled. */
     private record Task(double dueMs, long sequence, AtomicReference<Runnable> action) {}
 
     private final PriorityQueue<Task> timers =
@@ -82,7 +82,7 @@
         doorman.onNodeList(true, listings(settings));
         Lifecycle lifecycle = new Lifecycle();
         lifecycle.startServing(nowMs);
-        ThriftServer front = new ThriftServer(
+        ThriftServer thriftServer = new ThriftServer(
                 eventLoops,
                 doorman,
                 this,
@@ -94,7 +94,7 @@
                 false);
         List<EmbeddedChannel> clients = new ArrayList<>();
         for (int i = 0; i < CLIENT_COUNT; i++) {
-            clients.add(new EmbeddedChannel(front.channelInitializer()));
+            clients.add(new EmbeddedChannel(thriftServer.channelInitializer()));
         }
         for (int i = 0; i < requests; i++) {
             clients.get(i % CLIENT_COUNT).writeInbound(requestFrame(i));
--- a/doorman/src/main/java/barleyspur/budget/BudgetMessage.java
+++ b/doorman/src/main/java/barleyspur/budget/BudgetMessage.java
@@ -67,6 +67,6 @@
      */
     record LeaseGrant(String budget, long sequence, long amount, double durationMs, long periodId) {}
 
-    /** Tells that the sender is not the coordinator: requests go to this address or, if empty, to another voter. */
+    /** Reports that the sender is not the coordinator: requests go to this address or, if empty, to another voter. */
     record Redirect(String address) implements BudgetMessage {}
 }
--- a/doorman/src/main/java/barleyspur/budget/net/BudgetService.java
+++ b/doorman/src/main/java/barleyspur/budget/net/BudgetService.java
@@ -67,7 +67,7 @@
         fleet.setPayloadListener(this);
     }
 
-    /** Adds the call for the budgets to the routes of the admin address. */
+    /** Adds the route for the budgets to those of the administration address. */
     public void addRoutes(Routes.Builder routes) {
         routes.add(
                 "GET",
--- a/doorman/src/main/java/barleyspur/budget/net/BudgetStatusJson.java
+++ b/doorman/src/main/java/barleyspur/budget/net/BudgetStatusJson.java
@@ -5,7 +5,10 @@
 import org.json.JSONArray;
 import org.json.JSONObject;
 
-/** Builds the response to {@code GET /admin/budget}. */
+/**
+ * Builds the response to {@code GET /admin/budget}. Some of its keys differ from the names in this program: the
+ * {@code divider} is the lease coordinator, {@code whole} the capacity, and {@code holdings} are the holders of leases.
+ */
 final class BudgetStatusJson {
 
     private BudgetStatusJson() {}
--- a/doorman/src/main/java/barleyspur/budget/net/BudgetedDepots.java
+++ b/doorman/src/main/java/barleyspur/budget/net/BudgetedDepots.java
@@ -169,13 +169,13 @@
     }
 
     @Override
-    public Call send(long node, AttemptRequest order, AttemptListener listener) {
+    public Call send(long node, AttemptRequest request, AttemptListener listener) {
         NodeListing listing = listings.get(node);
         if (listing == null || !nodeKindByBudget.containsValue(listing.kind())) {
-            return delegate.send(node, order, listener);
+            return delegate.send(node, request, listener);
         }
         LimitedAttempt attempt = new LimitedAttempt(listing, listener);
-        attempt.call = delegate.send(node, order, attempt);
+        attempt.call = delegate.send(node, request, attempt);
         return attempt;
     }
 
--- a/doorman/src/main/java/barleyspur/channel/LineDecoder.java
+++ b/doorman/src/main/java/barleyspur/channel/LineDecoder.java
@@ -14,8 +14,8 @@
     /** The number of pending bytes already searched for a line feed. */
     private int searchedBytes;
 
-    LineDecoder(int maxLine) {
-        this.maxLineBytes = maxLine;
+    LineDecoder(int maxLineBytes) {
+        this.maxLineBytes = maxLineBytes;
     }
 
     @Override
--- a/doorman/src/main/java/barleyspur/cli/BudgetCommand.java
+++ b/doorman/src/main/java/barleyspur/cli/BudgetCommand.java
@@ -8,7 +8,10 @@
 import org.json.JSONArray;
 import org.json.JSONObject;
 
-/** The command {@code budget status|why NAME}, which shows a running doorman's shares of the fleet's budgets. */
+/**
+ * The command {@code budget status|why NAME}, which shows a running doorman's shares of the fleet's budgets. Its output
+ * uses the terms of the administration API: the divider is the lease coordinator, and what it has granted is out.
+ */
 final class BudgetCommand {
 
     private static final String NO_BUDGETS = "has no budgets: its settings contain no block budgets";
@@ -48,19 +51,19 @@
                 : showStatus(state, line.hasOption("json"));
     }
 
-    /** Prints all budgets; fails if the doorman needs shares and the doorman that divides them does not respond. */
+    /** Prints all budgets; fails if the doorman requests leases and no coordinator answers. */
     private static int showStatus(JSONObject state, boolean json) {
-        boolean noDivider = state.getBoolean("lost");
+        boolean coordinatorLost = state.getBoolean("lost");
         if (json) {
             System.out.println(state.toString(2));
-            return noDivider ? Command.FAILED : Command.OK;
+            return coordinatorLost ? Command.FAILED : Command.OK;
         }
         System.out.printf(
                 "%s %s%s%n",
                 state.getString("self"),
                 state.getBoolean("divides")
                         ? "divides, for another " + state.getLong("term_left_ms") + " ms unless the voters renew it"
-                        : noDivider
+                        : coordinatorLost
                                 ? "HEARS NO DIVIDER"
                                 : state.getJSONArray("own").isEmpty()
                                         ? "has asked for nothing"
@@ -73,9 +76,9 @@
             System.out.println("  " + describeOwn((JSONObject) entry));
         }
         for (Object entry : state.getJSONArray("divided")) {
-            printDivided((JSONObject) entry, false);
+            printAllocation((JSONObject) entry, false);
         }
-        return noDivider ? Command.FAILED : Command.OK;
+        return coordinatorLost ? Command.FAILED : Command.OK;
     }
 
     private static String describeOwn(JSONObject share) {
@@ -96,28 +99,28 @@
                                 + share.getLong("overheld") + " places held too long");
     }
 
-    private static void printDivided(JSONObject budget, boolean includeUnused) {
-        JSONArray holdings = budget.getJSONArray("holdings");
+    private static void printAllocation(JSONObject budget, boolean includeUnused) {
+        JSONArray holders = budget.getJSONArray("holdings");
         System.out.printf(
                 "divides %s: %d of %d out among %d%s%n",
                 budget.getString("budget"),
                 budget.getLong("out"),
                 budget.getLong("limit"),
-                holdings.length(),
+                holders.length(),
                 budget.getString("why").isEmpty() ? "" : "; " + budget.getString("why"));
-        for (Object entry : holdings) {
-            JSONObject holding = (JSONObject) entry;
-            if (includeUnused || holding.getLong("committed") > 0) {
+        for (Object entry : holders) {
+            JSONObject holder = (JSONObject) entry;
+            if (includeUnused || holder.getLong("committed") > 0) {
                 System.out.printf(
                         "    %-12s may use %d for %.1f s, is to have %d, wants %d, uses %d, heard %.1f s ago%s%n",
-                        holding.getString("doorman"),
-                        holding.getLong("committed"),
-                        holding.getLong("left_ms") / 1e3,
-                        holding.getLong("target"),
-                        holding.getLong("wants"),
-                        holding.getLong("using"),
-                        holding.getLong("heard_ms") / 1e3,
-                        holding.getBoolean("gone") ? ", has left" : "");
+                        holder.getString("doorman"),
+                        holder.getLong("committed"),
+                        holder.getLong("left_ms") / 1e3,
+                        holder.getLong("target"),
+                        holder.getLong("wants"),
+                        holder.getLong("using"),
+                        holder.getLong("heard_ms") / 1e3,
+                        holder.getBoolean("gone") ? ", has left" : "");
             }
         }
     }
@@ -137,7 +140,7 @@
                 if (json) {
                     System.out.println(budget.toString(2));
                 } else {
-                    printDivided(budget, true);
+                    printAllocation(budget, true);
                 }
                 found = true;
             }
--- a/doorman/src/main/java/barleyspur/cli/Cli.java
+++ b/doorman/src/main/java/barleyspur/cli/Cli.java
@@ -83,7 +83,7 @@
                     case "fleet" -> FleetCommand.command();
                     case "budget" -> BudgetCommand.command();
                     case "rehearse" ->
-                        Command.of(name, "Start and stop a doorman on the loopback interface.", line -> rehearse());
+                        Command.of(name, "Start and stop a doorman on the loopback interface.", line -> startAndStop());
                     case "simhost" ->
                         Command.of(
                                 name,
@@ -162,12 +162,12 @@
         }
     }
 
-    private static int rehearse() throws Command.InvalidInputException, IOException {
+    private static int startAndStop() throws Command.InvalidInputException, IOException {
         try {
-            DoormanServer node = new DoormanServer(Configuration.example(), OwnSettings.none());
-            node.start();
-            node.drain();
-            node.awaitEnd();
+            DoormanServer doorman = new DoormanServer(Configuration.example(), OwnSettings.none());
+            doorman.start();
+            doorman.drain();
+            doorman.awaitEnd();
             return Command.OK;
         } catch (Configuration.Invalid e) {
             throw Command.InvalidInputException.input("configuration: " + e.getMessage());
@@ -211,26 +211,26 @@
         Configuration configuration = loadConfiguration();
         checkSettings(settings, configuration);
         try {
-            DoormanServer node = new DoormanServer(configuration, settings);
+            DoormanServer doorman = new DoormanServer(configuration, settings);
             reloadSignal.setTask(
-                    () -> node.reload(() -> reloadConfiguration(settings), () -> reloadSettings(line, settings)));
+                    () -> doorman.reload(() -> reloadConfiguration(settings), () -> reloadSettings(line, settings)));
             // After SIGTERM the JVM waits for its shutdown hooks, so the hook waits for the drain. It is added before
             // the start, so that clients are never served without it.
             Runtime.getRuntime()
                     .addShutdownHook(new Thread(
                             () -> {
-                                node.drain();
+                                doorman.drain();
                                 try {
-                                    node.awaitEnd();
+                                    doorman.awaitEnd();
                                 } catch (InterruptedException e) {
                                     Thread.currentThread().interrupt();
                                 }
                             },
                             "drain"));
-            node.start();
+            doorman.start();
             return RUNNING;
         } catch (RejectedExecutionException e) {
-            // SIGTERM arrived during the start, and the hook has stopped the node.
+            // SIGTERM arrived during the start, and the hook has stopped the doorman.
             return Command.FAILED;
         } catch (ExecutionException e) {
             throw new IOException(e.getMessage(), e);
--- a/doorman/src/main/java/barleyspur/cli/ReloadSignal.java
+++ b/doorman/src/main/java/barleyspur/cli/ReloadSignal.java
@@ -2,13 +2,13 @@
 
 /**
  * Handles SIGHUP, which reloads the configuration. The handler has to be installed first of all, because an unhandled
- * SIGHUP ends the JVM; a signal that arrives before the node exists is kept and runs once a task is set.
+ * SIGHUP ends the JVM; a signal that arrives before the doorman exists is kept and runs once a task is set.
  */
 final class ReloadSignal {
 
     private static final String NAME = "HUP";
 
-    /** The task that a signal runs; null until there is a node to reload. */
+    /** The task that a signal runs; null until there is a doorman to reload. */
     private Runnable task;
 
     private boolean pending;
--- a/doorman/src/main/java/barleyspur/depot/DepotConnection.java
+++ b/doorman/src/main/java/barleyspur/depot/DepotConnection.java
@@ -26,8 +26,8 @@
 
 /**
  * One connection to a depot and the calls that are open on it. Calls opened before the connection is established are
- * written once it is; if it never is, they never ran. Nothing is retried here: the director decides on the result of
- * each call.
+ * written once it is; if it never is, they never ran. Nothing is retried here: the routing policy decides on the
+ * result of each call.
  */
 final class DepotConnection extends SimpleChannelInboundHandler<RespDecoder.Message> {
 
--- a/doorman/src/main/java/barleyspur/doorman/Clock.java
+++ b/doorman/src/main/java/barleyspur/doorman/Clock.java
@@ -1,8 +1,8 @@
 package barleyspur.doorman;
 
 /**
- * The time and timers that the core and the director use. The time is the Unix time at process start plus the elapsed
- * time of a monotonic clock: it is comparable with Unix timestamps from other systems and never goes back.
+ * The time and timers that the core and the routing policy use. The time is the Unix time at process start plus the
+ * elapsed time of a monotonic clock: it is comparable with Unix timestamps from other systems and never goes back.
  */
 public interface Clock {
 
--- a/doorman/src/main/java/barleyspur/doorman/Doorman.java
+++ b/doorman/src/main/java/barleyspur/doorman/Doorman.java
@@ -16,14 +16,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The core of a doorman: passes events to a director and executes the actions that it returns. It is independent of the
- * client and depot protocols and makes no routing decisions itself. All calls have to come from the same event loop
- * thread.
+ * The core of a doorman: passes events to a {@link RoutingPolicy} and executes the actions that it returns. It is
+ * independent of the client and depot protocols and makes no routing decisions itself. All calls have to come from the
+ * same event loop thread.
  */
 public final class Doorman implements CommandListener {
 
     private static final Logger LOG = LoggerFactory.getLogger("doorman");
-    /** Request ids passed to the director stay below 2^32, where its timer tokens begin. */
+    /** Request ids passed to the policy stay below 2^32, where its timer tokens begin. */
     private static final long ID_LIMIT = 1L << 32;
 
     private static final double PROBE_TIMEOUT_MS = 250;
@@ -32,7 +32,7 @@
 
     private RoutingPolicy.Settings settings;
     private final int maxOpen;
-    private final RoutingPolicy director;
+    private final RoutingPolicy policy;
     private final Clock clock;
     private final Depots depots;
     private final Map<Long, RequestContext> contexts = new HashMap<>();
@@ -59,12 +59,12 @@
     private Runnable drainCallback;
 
     /**
-     * Creates a core that accepts at most {@code maxOpen} open requests and executes the actions of {@code director}.
+     * Creates a core that accepts at most {@code maxOpen} open requests and executes the actions of {@code policy}.
      */
-    public Doorman(RoutingPolicy.Settings settings, int maxOpen, RoutingPolicy director, Clock clock, Depots depots) {
+    public Doorman(RoutingPolicy.Settings settings, int maxOpen, RoutingPolicy policy, Clock clock, Depots depots) {
         this.settings = settings;
         this.maxOpen = maxOpen;
-        this.director = director;
+        this.policy = policy;
         this.clock = clock;
         this.depots = depots;
         this.nodeTable = new NodeTable(depots);
@@ -72,7 +72,7 @@
 
     // ---- client requests --------------------------------------------------------------------------------
 
-    /** A handle on an open request that lets a client front report that its client has left. */
+    /** A handle on an open request by which the client connection reports that its client has left. */
     public interface Cancellable {
         /** Reports that the client has left and needs no answer any more. */
         void cancel();
@@ -107,11 +107,11 @@
         recentIds.add(request.id());
         RequestTrace.requestAccepted(request, nowMs - arrivedMs);
         pendingResponses++;
-        // Guarantees every request an answer even if the director never gives one: at this time half of the answer
+        // Guarantees every request an answer even if the policy never gives one: at this time half of the answer
         // slack remains.
         context.answerTimer = clock.schedule(
                 context.deadlineMs - nowMs + settings.answerSlackMs() / 2,
-                () -> failWithoutDirector(context, "left unanswered"));
+                () -> failWithoutPolicy(context, "left unanswered"));
         dispatch(new RoutingPolicy.Request(
                 context.id,
                 request.category(),
@@ -127,7 +127,7 @@
     }
 
     /**
-     * Applies changed settings to the requests accepted from now on and passes them to the director. Classes keep their
+     * Applies changed settings to the requests accepted from now on and passes them to the policy. Classes keep their
      * numbers, so open requests keep their classes.
      */
     public void applySettings(RoutingPolicy.Settings next) {
@@ -154,7 +154,7 @@
         }
         draining = true;
         clock.schedule(maxMs, () -> List.copyOf(contexts.values())
-                .forEach(context -> failWithoutDirector(context, "the process ends")));
+                .forEach(context -> failWithoutPolicy(context, "the process ends")));
         LogEvent.log(LOG.atInfo(), "drain: asked to stop", "open", pendingResponses);
         clock.schedule(graceMs, () -> {
             drainCallback = callback;
@@ -179,8 +179,8 @@
         }
     }
 
-    /** Fails a request without asking the director, and cancels all its open attempts. */
-    private void failWithoutDirector(RequestContext context, String cause) {
+    /** Fails a request without asking the policy, and cancels all its open attempts. */
+    private void failWithoutPolicy(RequestContext context, String cause) {
         if (!context.finished) {
             LogEvent.log(LOG.atError(), "failed without the director", "request", context.request.id(), "cause", cause);
             finishRequest(context, "failed");
@@ -234,7 +234,7 @@
 
     /**
      * Cancels the affected attempts that wait for a connection and have not written a byte yet: they were decided
-     * before the change that has just been reported. They end as never sent. The director has received the change
+     * before the change that has just been reported. They end as never sent. The policy has received the change
      * first, so it decides again with current information.
      */
     private void cancelUnsent(BiPredicate<RequestContext, RequestContext.Attempt> affected) {
@@ -260,10 +260,10 @@
         cancelUnsent((context, attempt) -> context.request.group() == group);
     }
 
-    // ---- the director ----------------------------------------------------------------------------------
+    // ---- the routing policy ----------------------------------------------------------------------------
 
     /**
-     * Passes an event to the director. Events caused by the resulting actions are queued and handled one after another.
+     * Passes an event to the policy. Events caused by the resulting actions are queued and handled one after another.
      */
     private void dispatch(RoutingPolicy.Event event) {
         pendingEvents.add(event);
@@ -273,7 +273,7 @@
         dispatching = true;
         try {
             for (RoutingPolicy.Event next = pendingEvents.poll(); next != null; next = pendingEvents.poll()) {
-                runDirector(next);
+                runPolicy(next);
             }
         } finally {
             dispatching = false;
@@ -281,12 +281,12 @@
     }
 
     /**
-     * Runs the director on one event and executes its actions. An exception in the director fails the affected request
-     * at once instead of ending the process.
+     * Runs the policy on one event and executes its actions. An exception in the policy fails the affected request at
+     * once instead of ending the process.
      */
-    private void runDirector(RoutingPolicy.Event event) {
+    private void runPolicy(RoutingPolicy.Event event) {
         try {
-            director.handle(clock.nowMs(), event, pendingActions::add);
+            policy.handle(clock.nowMs(), event, pendingActions::add);
         } catch (RuntimeException e) {
             LogEvent.log(
                     LOG.atError().setCause(e),
@@ -297,7 +297,7 @@
                     ? contexts.get(request.id())
                     : event instanceof RoutingPolicy.Outcome outcome ? contexts.get(outcome.request()) : null;
             if (affected != null) {
-                failWithoutDirector(affected, "the director failed");
+                failWithoutPolicy(affected, "the director failed");
             }
         }
         for (RoutingPolicy.Action action = pendingActions.poll(); action != null; action = pendingActions.poll()) {
@@ -357,12 +357,12 @@
     }
 
     private void probe(long node) {
-        double sentAt = clock.nowMs();
+        double sentAtMs = clock.nowMs();
         depots.probe(
                 node,
                 PROBE_TIMEOUT_MS,
                 answer -> dispatch(
-                        new RoutingPolicy.Probed(node, answer.result(), clock.nowMs() - sentAt, answer.load())));
+                        new RoutingPolicy.Probed(node, answer.result(), clock.nowMs() - sentAtMs, answer.load())));
     }
 
     // ---- attempts --------------------------------------------------------------------------------------
--- a/doorman/src/main/java/barleyspur/doorman/NodeListing.java
+++ b/doorman/src/main/java/barleyspur/doorman/NodeListing.java
@@ -30,7 +30,7 @@
 
     /**
      * Returns the node's number, which is the same in every doorman and after every restart. It is the hexadecimal
-     * number at the end of the uid, which on-call staff also find in the director's log lines, or else a hash of the
+     * number at the end of the uid, which on-call staff also find in the policy's log lines, or else a hash of the
      * uid that is above all such numbers.
      */
     public long nodeNumber() {
--- a/doorman/src/main/java/barleyspur/doorman/NodeTable.java
+++ b/doorman/src/main/java/barleyspur/doorman/NodeTable.java
@@ -24,8 +24,8 @@
     /**
      * The changes made by one list.
      *
-     * @param kind how the director has to read the list
-     * @param nodes the listed nodes in the director's form
+     * @param kind how the routing policy has to interpret the list
+     * @param nodes the listed nodes in the routing policy's form
      * @param invalidated the numbers of nodes for which attempts decided earlier must not be sent any more
      */
     record Change(RoutingPolicy.ListKind kind, List<RoutingPolicy.Node> nodes, Set<Long> invalidated) {}
--- a/doorman/src/main/java/barleyspur/doorman/RequestContext.java
+++ b/doorman/src/main/java/barleyspur/doorman/RequestContext.java
@@ -25,10 +25,10 @@
         /** Whether the attempt has ended with a result that does not prove that it never ran. */
         boolean mayHaveRun;
 
-        Attempt(long node, long source, double sentAt) {
+        Attempt(long node, long source, double startedAtMs) {
             this.node = node;
             this.source = source;
-            this.startedAtMs = sentAt;
+            this.startedAtMs = startedAtMs;
         }
     }
 
@@ -46,12 +46,12 @@
      * Creates the context of a request that arrived at {@code arrivedAtMs}. Its deadline is {@code marginMs} before its
      * time limit.
      */
-    RequestContext(long id, Request request, ResponseHandler handler, double takenAt, double marginMs) {
+    RequestContext(long id, Request request, ResponseHandler handler, double arrivedAtMs, double marginMs) {
         this.id = id;
         this.request = request;
         this.handler = handler;
-        this.arrivedAtMs = takenAt;
-        this.deadlineMs = takenAt + request.remainingMs() - marginMs;
+        this.arrivedAtMs = arrivedAtMs;
+        this.deadlineMs = arrivedAtMs + request.remainingMs() - marginMs;
     }
 
     /** Returns whether no byte of any attempt has been written. */
--- a/doorman/src/main/java/barleyspur/fleet/net/FleetAdminEndpoints.java
+++ b/doorman/src/main/java/barleyspur/fleet/net/FleetAdminEndpoints.java
@@ -11,7 +11,7 @@
 import org.json.JSONArray;
 import org.json.JSONObject;
 
-/** The read-only admin endpoints for the fleet view: {@code GET /admin/fleet} and {@code GET /admin/metrics}. */
+/** The read-only administration routes of the fleet view: {@code GET /admin/fleet} and {@code GET /admin/metrics}. */
 final class FleetAdminEndpoints {
 
     private static final int OK = 200;
--- a/doorman/src/main/java/barleyspur/fleet/net/package-info.java
+++ b/doorman/src/main/java/barleyspur/fleet/net/package-info.java
@@ -1,2 +1,2 @@
-/** Fleet membership over UDP: encoding and authentication of datagrams, admin endpoints, metrics and logging. */
+/** Fleet membership over UDP: encoding and authentication of datagrams, administration routes, metrics and logging. */
 package barleyspur.fleet.net;
--- a/doorman/src/main/java/barleyspur/front/thrift/ThriftFrameDecoder.java
+++ b/doorman/src/main/java/barleyspur/front/thrift/ThriftFrameDecoder.java
@@ -11,13 +11,13 @@
 
     private static final int LENGTH_BYTES = 4;
 
-    private final int maxFrame;
+    private final int maxFrameBytes;
     private long frameCount;
     private boolean discarding;
     private long discardedBytes;
 
-    ThriftFrameDecoder(int maxFrame) {
-        this.maxFrame = maxFrame;
+    ThriftFrameDecoder(int maxFrameBytes) {
+        this.maxFrameBytes = maxFrameBytes;
     }
 
     @Override
@@ -31,7 +31,7 @@
             return;
         }
         int length = in.getInt(in.readerIndex());
-        if (length <= 0 || length > maxFrame) {
+        if (length <= 0 || length > maxFrameBytes) {
             // Otherwise the decoder would run on the rest again, and fail again, when the connection ends.
             in.skipBytes(in.readableBytes());
             throw new CorruptedFrameException("invalid frame length " + (length & 0xFFFFFFFFL));
--- a/doorman/src/main/java/barleyspur/front/thrift/ThriftProtocol.java
+++ b/doorman/src/main/java/barleyspur/front/thrift/ThriftProtocol.java
@@ -96,7 +96,7 @@
         return out.writeInt(seqid);
     }
 
-    /** Sets the frame's length, including {@code more} bytes that are sent after this buffer. */
+    /** Sets the frame's length, including the {@code followingBytes} that are sent after this buffer. */
     private static ByteBuf finishFrame(ByteBuf out, int followingBytes) {
         return out.setInt(out.readerIndex(), out.readableBytes() - Integer.BYTES + followingBytes);
     }
--- a/doorman/src/main/java/barleyspur/reload/RequestClassRegistry.java
+++ b/doorman/src/main/java/barleyspur/reload/RequestClassRegistry.java
@@ -7,12 +7,12 @@
 import java.util.Map;
 
 /**
- * The request classes of a running doorman: the classes by number, as the director knows them, and the current number
- * of each class name. Reloaded settings may add, drop and reorder classes and change their effects. A number keeps its
- * class for the lifetime of the process, so an open request keeps the class that it was accepted under. A new or
- * changed class gets the next free number. A name that is dropped from the settings keeps its last class, since clients
- * may use it for a while after the change. This class has no I/O, clock or randomness and is immutable: an update
- * creates a new instance.
+ * The request classes of a running doorman: the classes by number, as the routing policy knows them, and the current
+ * number of each class name. Reloaded settings may add, drop and reorder classes and change their effects. A number
+ * keeps its class for the lifetime of the process, so an open request keeps the class that it was accepted under. A
+ * new or changed class gets the next free number. A name that is dropped from the settings keeps its last class,
+ * since clients may use it for a while after the change. This class has no I/O, clock or randomness and is
+ * immutable: an update creates a new instance.
  */
 public final class RequestClassRegistry {
 
@@ -83,7 +83,7 @@
         return number == null ? -1 : number;
     }
 
-    /** Returns all classes by number, as passed to the director. */
+    /** Returns all classes by number, as passed to the routing policy. */
     public List<RequestClass> classes() {
         return classes;
     }
--- a/doorman/src/main/java/barleyspur/tier/RequestHistory.java
+++ b/doorman/src/main/java/barleyspur/tier/RequestHistory.java
@@ -65,9 +65,9 @@
 
     /** Hashes a number (the finisher of SplitMix64, Steele et al. 2014). */
     static long mix(long bits) {
-        long a = (bits ^ (bits >>> 30)) * 0xBF58476D1CE4E5B9L;
-        long b = (a ^ (a >>> 27)) * 0x94D049BB133111EBL;
-        return b ^ (b >>> 31);
+        long first = (bits ^ (bits >>> 30)) * 0xBF58476D1CE4E5B9L;
+        long second = (first ^ (first >>> 27)) * 0x94D049BB133111EBL;
+        return second ^ (second >>> 31);
     }
 
     private static long hash(long object) {
--- a/doorman/src/test/java/barleyspur/doorman/DoormanTest.java
+++ b/doorman/src/test/java/barleyspur/doorman/DoormanTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Tests the core's side of the contract with the director, with a scripted director and a manual clock. */
+/** Tests how the core serves the routing policy, with a scripted policy and a manual clock. */
 class DoormanTest {
 
     private static final NodeListing NODE =
@@ -206,9 +206,9 @@
     @Test
     void finishedRequestIsNeverSent() {
         acceptRequest(event -> {
-            if (event instanceof RoutingPolicy.Request r) {
-                actionSink.accept(new RoutingPolicy.Refuse(r.id(), 300));
-                send(r.id());
+            if (event instanceof RoutingPolicy.Request request) {
+                actionSink.accept(new RoutingPolicy.Refuse(request.id(), 300));
+                send(request.id());
             }
         });
         assertEquals(List.of("refused 300.0"), answers);
@@ -240,8 +240,8 @@
     void clientThatLeavesGetsNoAnswer() {
         acceptRequest(event -> {
             sendAll(1, event);
-            if (event instanceof RoutingPolicy.Gone g) {
-                actionSink.accept(new RoutingPolicy.Cancel(g.request(), 0));
+            if (event instanceof RoutingPolicy.Gone gone) {
+                actionSink.accept(new RoutingPolicy.Cancel(gone.request(), 0));
             }
         });
         cancellable.cancel();
@@ -254,11 +254,11 @@
         assertEquals(0, body.refCnt());
     }
 
-    /** An exception in the director must neither leave the client without an answer nor end the process. */
+    /** An exception in the routing policy must neither leave the client without an answer nor end the process. */
     @Test
-    void directorFailureFailsTheRequestAtOnce() {
+    void policyFailureFailsTheRequestAtOnce() {
         acceptRequest(event -> {
-            throw new IllegalStateException("simulated director failure");
+            throw new IllegalStateException("simulated policy failure");
         });
         assertEquals(List.of("failed"), answers);
         advanceClockTo(2_004);
@@ -268,11 +268,11 @@
 
     /** An exception while handling an outcome must leave neither attempts nor their timers behind. */
     @Test
-    void directorFailureOnAnOutcomeCancelsOtherAttempts() {
+    void policyFailureOnAnOutcomeCancelsOtherAttempts() {
         acceptRequest(event -> {
             sendAll(2, event);
             if (event instanceof RoutingPolicy.Outcome) {
-                throw new IllegalStateException("simulated director failure");
+                throw new IllegalStateException("simulated policy failure");
             }
         });
         sentAttempts.get(0).onEnd(Answer.of(Result.MISS));
@@ -285,7 +285,7 @@
     }
 
     @Test
-    void requestLeftUnansweredByTheDirectorFailsOnTimer() {
+    void requestLeftUnansweredByThePolicyFailsOnTimer() {
         acceptRequest(event -> sendAll(1, event));
         advanceClockTo(1_853);
         assertEquals(List.of(), answers);
@@ -346,8 +346,7 @@
                     List.of(Result.MOOT),
                     outcomes().stream().map(RoutingPolicy.Outcome::result).toList());
             assertFalse(
-                    events.get(events.size() - 2) instanceof RoutingPolicy.Outcome,
-                    "the director gets the change first");
+                    events.get(events.size() - 2) instanceof RoutingPolicy.Outcome, "the policy gets the change first");
             sentAttempts.get(0).onEnd(ok(Unpooled.copiedBuffer(new byte[5])));
         }
     }
@@ -490,9 +489,9 @@
     void requestsGetAnEarlierDeadlineAfterAStall() {
         List<Double> remainingMs = new ArrayList<>();
         onEvent = event -> {
-            if (event instanceof RoutingPolicy.Request r) {
-                remainingMs.add(r.remainingMs());
-                actionSink.accept(new RoutingPolicy.Refuse(r.id(), 0));
+            if (event instanceof RoutingPolicy.Request request) {
+                remainingMs.add(request.remainingMs());
+                actionSink.accept(new RoutingPolicy.Refuse(request.id(), 0));
             }
         };
         acceptDelayedRequest(2, 0);
@@ -514,9 +513,9 @@
     @Test
     void requestThatWasNeverWrittenIsRefusedNotFailed() {
         acceptRequest(event -> {
-            if (event instanceof RoutingPolicy.Request r) {
-                send(r.id());
-                actionSink.accept(new RoutingPolicy.Fail(r.id()));
+            if (event instanceof RoutingPolicy.Request request) {
+                send(request.id());
+                actionSink.accept(new RoutingPolicy.Fail(request.id()));
             }
         });
         assertEquals(List.of("refused 700.0"), answers);
@@ -525,8 +524,8 @@
     @Test
     void requestThatWasWrittenIsFailed() {
         acceptRequest(event -> {
-            if (event instanceof RoutingPolicy.Request r) {
-                send(r.id());
+            if (event instanceof RoutingPolicy.Request request) {
+                send(request.id());
             }
         });
         sentAttempts.get(0).onSent();
--- a/doorman/src/test/java/barleyspur/front/thrift/ConnectionFailureTest.java
+++ b/doorman/src/test/java/barleyspur/front/thrift/ConnectionFailureTest.java
@@ -555,7 +555,7 @@
 
     /**
      * A box may reset the connection after reading any part of a request that must not run twice. The request is then
-     * failed and never sent again.
+     * failed and never sent again, whatever the name of its class.
      */
     @Test
     void unsafeRequestIsNeverSentTwice() throws Exception {
@@ -563,9 +563,9 @@
                 TestConnection client = doorman.client()) {
             for (int read = 1; read < 110; read++) {
                 client.write(dispatch(read, "order", id(read)));
-                TestConnection at = doorman.box.accept();
-                at.readBytes(read);
-                at.reset();
+                TestConnection boxConnection = doorman.box.accept();
+                boxConnection.readBytes(read);
+                boxConnection.reset();
                 assertEquals(FAILED, readOutcome(client, read), "reset after " + read + " bytes");
             }
             doorman.box.serve();
--- a/doorman/src/test/java/barleyspur/reload/RequestClassRegistryTest.java
+++ b/doorman/src/test/java/barleyspur/reload/RequestClassRegistryTest.java
@@ -63,7 +63,7 @@
         assertEquals(2, update.registry().numberOf("record"));
         assertEquals(1, update.registry().numberOf("files"));
         assertEquals(-1, update.registry().numberOf("never"));
-        assertEquals(3, update.registry().classes().size(), "the director gets no new class");
+        assertEquals(3, update.registry().classes().size(), "the policy gets no new class");
     }
 
     @Test
--- a/lab/src/test/java/barleyspur/lab/fleet/BudgetSimulationTest.java
+++ b/lab/src/test/java/barleyspur/lab/fleet/BudgetSimulationTest.java
@@ -388,9 +388,9 @@
                 List.of("calls"),
                 (budget, slot, nowMs) -> 5);
         Map<Long, Integer> byMs = new TreeMap<>();
-        simulation.log = (who, what) -> {
+        simulation.log = (process, action) -> {
             if (simulation.nowMs > 8_000
-                    && what instanceof BudgetAction.SendMessage send
+                    && action instanceof BudgetAction.SendMessage send
                     && send.message() instanceof BudgetMessage.LeaseRequest) {
                 byMs.merge((long) simulation.nowMs, 1, Integer::sum);
             }
@@ -435,8 +435,8 @@
     @Test
     void schedulesSurviveARoundTrip() throws Exception {
         for (String file : List.of("holders.hcl", "whole.hcl", "cold.hcl", "random.hcl")) {
-            Schedule s = ScenarioFile.load(java.nio.file.Path.of("..", "examples", "budget", file));
-            String written = ScenarioFile.write(s);
+            Schedule schedule = ScenarioFile.load(java.nio.file.Path.of("..", "examples", "budget", file));
+            String written = ScenarioFile.write(schedule);
             assertEquals(written, ScenarioFile.write(ScenarioFile.read("x.hcl", written)));
         }
     }
--- a/lab/src/test/java/barleyspur/lab/fleet/EmbeddedClocksTest.java
+++ b/lab/src/test/java/barleyspur/lab/fleet/EmbeddedClocksTest.java
@@ -56,39 +56,39 @@
         }
     }
 
-    /** With holders of shares on drifting clocks, a box never has more concurrent calls than the budget allows. */
+    /** With lease holders on drifting clocks, a box never has more concurrent calls than the budget allows. */
     @Test
     void clockDriftDoesNotExceedTheBudget() throws Exception {
         String network = "127." + (20 + ProcessHandle.current().pid() % 200) + ".210.";
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        List<DoormanServer> nodes = new ArrayList<>();
+        List<DoormanServer> doormans = new ArrayList<>();
         try {
             StandBoxes boxes = new StandBoxes(group, "record", 40, new double[3]);
             NodeList listed = new NodeList();
             for (int i = 0; i < 3; i++) {
-                InetSocketAddress at = new InetSocketAddress(network + (50 + i), 7001);
-                boxes.listen(at, StandBoxes.Kind.values()[i]);
-                listed.add(NodeList.node("s-" + i, at, StandBoxes.Kind.values()[i], 0, 64, 0));
+                InetSocketAddress address = new InetSocketAddress(network + (50 + i), 7001);
+                boxes.listen(address, StandBoxes.Kind.values()[i]);
+                listed.add(NodeList.node("s-" + i, address, StandBoxes.Kind.values()[i], 0, 64, 0));
             }
             InetSocketAddress channel = new InetSocketAddress(network + "100", 7001);
             StandChannel.listen(group, channel, 1);
             Path key = Files.writeString(folder.resolve("fleet.key"), "Lab0key1That2Nobody3Else4Should5Have6In7Use8\n");
             Files.setPosixFilePermissions(key, PosixFilePermissions.fromString("rw-------"));
-            List<InetSocketAddress> fronts = new ArrayList<>();
+            List<InetSocketAddress> doormanAddresses = new ArrayList<>();
             for (int i = 0; i < RATES.length; i++) {
                 double rate = RATES[i];
-                fronts.add(new InetSocketAddress(network + (i + 1), 7001));
-                nodes.add(new DoormanServer(
+                doormanAddresses.add(new InetSocketAddress(network + (i + 1), 7001));
+                doormans.add(new DoormanServer(
                         configuration(network, i, channel, listed),
                         settings(network, i),
                         (loop, polls) -> new SkewedClock(loop, polls, rate)));
-                nodes.get(i).start();
+                doormans.get(i).start();
             }
-            StandClients clients =
-                    new StandClients(group, List.of(new StandClients.Class("parts", 1, 600, 3_000)), fronts, 1);
+            StandClients clients = new StandClients(
+                    group, List.of(new StandClients.Class("parts", 1, 600, 3_000)), doormanAddresses, 1);
             clients.start(300, (slot, now) -> 1.0 / RATES.length);
             TimeUnit.SECONDS.sleep(9);
-            DoormanServer first = nodes.remove(0);
+            DoormanServer first = doormans.remove(0);
             first.drain();
             first.awaitEnd();
             TimeUnit.SECONDS.sleep(6);
@@ -96,9 +96,9 @@
             assertTrue(tally.arrived() > 0, "the box received no calls");
             assertTrue(tally.mostAtOnce() <= CAPACITY, tally.mostAtOnce() + " concurrent calls, limit " + CAPACITY);
         } finally {
-            nodes.forEach(DoormanServer::drain);
-            for (DoormanServer node : nodes) {
-                node.awaitEnd();
+            doormans.forEach(DoormanServer::drain);
+            for (DoormanServer doorman : doormans) {
+                doorman.awaitEnd();
             }
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
         }
