--- a/doorman/src/main/java/barleyspur/fleet/MemberTable.java
+++ b/doorman/src/main/java/barleyspur/fleet/MemberTable.java
@@ -19,7 +19,7 @@
     private static final LongHashFunction HASH = LongHashFunction.xx3();
 
     private final SplittableRandom random;
-    private final Map<String, MemberEntry> entries = new HashMap<>();
+    private final Map<String, MemberEntry> entriesByName = new HashMap<>();
     private final List<MemberEntry> listed = new ArrayList<>();
     private final long[] bucketDigests = new long[BUCKET_COUNT];
     private long digest;
@@ -60,11 +60,11 @@
     }
 
     MemberEntry get(String name) {
-        return entries.get(name);
+        return entriesByName.get(name);
     }
 
     Iterable<MemberEntry> entries() {
-        return entries.values();
+        return entriesByName.values();
     }
 
     /** The entries of the members in the view, in probe order. */
@@ -73,18 +73,18 @@
     }
 
     int rememberedCount() {
-        return entries.size() - listed.size();
+        return entriesByName.size() - listed.size();
     }
 
     MemberEntry add(MembershipRecord record) {
         MemberEntry entry = new MemberEntry(record.name(), hash(record.name()), record);
-        entries.put(record.name(), entry);
+        entriesByName.put(record.name(), entry);
         return entry;
     }
 
     void remove(MemberEntry entry) {
         setListed(entry, false);
-        entries.remove(entry.name);
+        entriesByName.remove(entry.name);
     }
 
     /** Adds an entry to the view or removes it, and updates the digest with its current record. */
