--- a/doorman/src/main/java/barleyspur/budget/BudgetAgent.java
+++ b/doorman/src/main/java/barleyspur/budget/BudgetAgent.java
@@ -135,7 +135,7 @@
         context.nowMs = lastMs;
         if (election != null && election.tick() && coordinator != null) {
             coordinator = null;
-            context.emit(new BudgetAction.CoordinatorChanged(false, 0, "lost the majority of the voters"));
+            context.emit(new BudgetAction.CoordinatorChanged(false, 0, "no majority of the voters"));
         }
     }
 
@@ -161,8 +161,7 @@
         } else if (message instanceof BudgetMessage.VoteReply vote) {
             if (election.onVote(from, vote)) {
                 coordinator = new LeaseCoordinator(context, election.epoch());
-                context.emit(new BudgetAction.CoordinatorChanged(
-                        true, election.epoch(), "elected by a majority of the voters"));
+                context.emit(new BudgetAction.CoordinatorChanged(true, election.epoch(), "a majority of the voters"));
             }
         } else if (message instanceof BudgetMessage.LeaseRequest request) {
             onLeaseRequest(from, fromName, fromNonce, request);
--- a/doorman/src/main/java/barleyspur/budget/LeaseCoordinator.java
+++ b/doorman/src/main/java/barleyspur/budget/LeaseCoordinator.java
@@ -216,7 +216,7 @@
         double expiryMs = recoveryEndMs(pool.budget);
         if (context.nowMs >= expiryMs) {
             context.emit(new BudgetAction.LogWarning(
-                    "a lease of an earlier coordinator outlasts its duration: a timing bound is violated",
+                    "a share of an earlier divider outlives its lease: a bound is broken",
                     report.budget(),
                     holder.name));
             expiryMs = context.nowMs + report.remainingMs() * BudgetConfig.DRIFT_MARGIN;
--- a/doorman/src/main/java/barleyspur/budget/net/BudgetService.java
+++ b/doorman/src/main/java/barleyspur/budget/net/BudgetService.java
@@ -138,7 +138,7 @@
             message = codec.decode(body);
         } catch (BudgetMessageCodec.DecodeException e) {
             metrics.counter("budget.words.refused", "cause", e.getMessage()).increment();
-            cappedLog.warn("message refused: " + e.getMessage(), "from", sender.name());
+            cappedLog.warn("word refused: " + e.getMessage(), "from", sender.name());
             return;
         }
         if (message != null && agent != null) {
@@ -217,7 +217,7 @@
         } else if (action instanceof BudgetAction.CoordinatorChanged change) {
             LogEvent.log(
                     LOG.atInfo(),
-                    change.coordinating() ? "divides" : "stopped dividing",
+                    change.coordinating() ? "divides" : "divides no more",
                     "mono",
                     monotonicMs,
                     "term",
--- a/doorman/src/main/java/barleyspur/config/Configuration.java
+++ b/doorman/src/main/java/barleyspur/config/Configuration.java
@@ -92,7 +92,7 @@
         try {
             json = new JSONObject(text);
         } catch (JSONException e) {
-            throw new InvalidConfigurationException(file + ": not valid JSON, or truncated: " + e.getMessage());
+            throw new InvalidConfigurationException(file + ": not JSON, or cut short: " + e.getMessage());
         }
         try {
             return read(json, variables);
--- a/doorman/src/main/java/barleyspur/fleet/Membership.java
+++ b/doorman/src/main/java/barleyspur/fleet/Membership.java
@@ -586,7 +586,7 @@
             MembershipRecord other = newerProcess;
             newerProcess = null;
             context.emit(new Action.Warn(
-                    "the newer process of this name is gone: this one takes it back",
+                    "the newer process of this name is gone: this one has it back",
                     other.name(),
                     other.metadata().address()));
             notifyChange(new Change.Name(++version, false, other));
@@ -611,7 +611,7 @@
         context.emit(new Action.Warn(
                 "this process stood still",
                 context.self.name(),
-                Math.round(gapMs) + " ms" + (viewExpired ? ": the records of other members have expired" : "")));
+                Math.round(gapMs) + " ms" + (viewExpired ? ": its view is void" : "")));
         inDoubt = true;
         context.lastHeardMs = nowMs;
         doubtEndsMs = nowMs + DOUBT_PERIODS * context.timings.periodMs();
