--- a/doorman/src/main/java/barleyspur/sim/SimulatorHost.java
+++ b/doorman/src/main/java/barleyspur/sim/SimulatorHost.java
@@ -74,8 +74,8 @@
         return reply;
     }
 
-    private static String describe(RuntimeException e) {
-        StackTraceElement[] trace = e.getStackTrace();
-        return e + (trace.length > 0 ? " at " + trace[0] : "");
+    private static String describe(RuntimeException failure) {
+        StackTraceElement[] trace = failure.getStackTrace();
+        return failure + (trace.length > 0 ? " at " + trace[0] : "");
     }
 }
